--- a/assign/orders.go
+++ b/assign/orders.go
@@ -1,5 +1,10 @@
 package assign
 
+import (
+	"fmt"
+	"strings"
+)
+
 // AllProxies stands for the tables of all connected proxies in SetRateLimit.
 const AllProxies = 65535
 
@@ -50,8 +55,27 @@
 	ID    int
 }
 
-// Log is a line for the operators' log.
-type Log struct{ Message string }
+// Log is a line for the operators' log: a constant message with its values as fields.
+type Log struct {
+	Message string
+	Fields  []LogField
+}
+
+// LogField is one value of a log line. Value is a string, an int or a float64.
+type LogField struct {
+	Name  string
+	Value any
+}
+
+// String returns the line as text, the fields as name=value behind the message.
+func (l Log) String() string {
+	var text strings.Builder
+	text.WriteString(l.Message)
+	for _, field := range l.Fields {
+		fmt.Fprintf(&text, " %s=%v", field.Name, field.Value)
+	}
+	return text.String()
+}
 
 // HealthCheck asks for a health check of an endpoint. The module never orders it; the simulator's wire knows it.
 type HealthCheck struct{ Endpoint string }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -13,6 +13,7 @@
 
 	"madderhollow/assign"
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/eventqueue"
 	"madderhollow/internal/handover"
 	"madderhollow/internal/wire"
 )
@@ -34,14 +35,11 @@
 	ErrNotFull          = errors.New("changes where the full list was asked for")
 )
 
-// Sink takes an event; it may wait.
-type Sink func(context.Context, assign.Event) error
-
 // Watcher follows one agent of discovery, or two while its address moves, over one connection each.
 type Watcher struct {
 	address      *handover.Address
 	codec        *wire.Codec
-	sink         Sink
+	sink         eventqueue.Sink
 	log          zerolog.Logger
 	delays       *backoff.Backoff
 	reportErrors atomic.Bool // the module wants to be told of failures
@@ -56,7 +54,7 @@
 
 // New makes a watcher of the agent at an address, in so many MB of memory. Known is the version of the list that the
 // module starts with. The seed is for the delays.
-func New(address *handover.Address, known int, codec *wire.Codec, sink Sink, memoryMB int, seed int64, log zerolog.Logger) *Watcher {
+func New(address *handover.Address, known int, codec *wire.Codec, sink eventqueue.Sink, memoryMB int, seed int64, log zerolog.Logger) *Watcher {
 	return &Watcher{address: address, version: known, codec: codec, sink: sink, log: log, maxAnswer: maxAnswerSize(memoryMB),
 		delays: backoff.New(minRetryDelay, maxRetryDelay, seed)}
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -150,7 +150,11 @@
 			l.log.Error().Msg("too many timers: one dropped")
 		}
 	case assign.Log:
-		l.log.Info().Msg(order.Message)
+		line := l.log.Info()
+		for _, field := range order.Fields {
+			line.Interface(field.Name, field.Value)
+		}
+		line.Msg(order.Message)
 	case assign.SendPeerMessage:
 		l.outputs.SendPeerMessage(order.To, order.Data)
 	case assign.WatchEndpoints:
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -20,6 +20,10 @@
 	maxReports = 4096
 )
 
+// Sink accepts an event from a package that receives it from the network. It may block until the context ends, and
+// returns the context's error then. Queue.Post and Queue.Report are sinks.
+type Sink func(context.Context, assign.Event) error
+
 // Queue holds what waits for the event loop.
 type Queue struct {
 	events  chan assign.Event
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,6 +14,7 @@
 
 	"madderhollow/assign"
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/eventqueue"
 )
 
 const (
@@ -26,9 +27,6 @@
 	openRetryDelay = 100 * time.Millisecond
 )
 
-// Sink takes an event; it may wait.
-type Sink func(context.Context, assign.Event) error
-
 // Socket owns the datagram socket. Send may be called by any goroutine.
 type Socket struct {
 	address netip.AddrPort
@@ -36,13 +34,13 @@
 	peers   []netip.AddrPort            // by number
 	numbers map[netip.AddrPort]int      // of the peers, by address
 	all     netip.AddrPort              // reaches all peers; invalid: there is no such address
-	sink    Sink
+	sink    eventqueue.Sink
 	log     zerolog.Logger
 }
 
 // Open listens for the peers, given in the order of their numbers. Where the address is not to be had yet, Run tries on:
 // no decision needs what peers say.
-func Open(listen, all string, peers []string, sink Sink, log zerolog.Logger) (*Socket, error) {
+func Open(listen, all string, peers []string, sink eventqueue.Sink, log zerolog.Logger) (*Socket, error) {
 	socket := &Socket{numbers: map[netip.AddrPort]int{}, sink: sink, log: log}
 	var err error
 	for number, peer := range peers {
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -13,6 +13,7 @@
 
 	"madderhollow/assign"
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/eventqueue"
 	"madderhollow/internal/handover"
 	"madderhollow/internal/httpconn"
 	"madderhollow/internal/wire"
@@ -33,14 +34,11 @@
 // ErrStatus is an answer other than that the stream begins.
 var ErrStatus = errors.New("unexpected status")
 
-// Sink takes an event; it may wait.
-type Sink func(context.Context, assign.Event) error
-
 // EventReader reads the relay's event stream, over one connection, or two while its address moves.
 type EventReader struct {
 	address    *handover.Address
 	codec      *wire.Codec
-	sink       Sink
+	sink       eventqueue.Sink
 	log        zerolog.Logger
 	delays     *backoff.Backoff
 	connected  map[int]bool // the proxies that the module was told of, and whether they were fresh
@@ -49,7 +47,7 @@
 }
 
 // NewEventReader makes a reader of the event stream at an address. The seed is for its delays.
-func NewEventReader(address *handover.Address, codec *wire.Codec, sink Sink, seed int64, log zerolog.Logger) *EventReader {
+func NewEventReader(address *handover.Address, codec *wire.Codec, sink eventqueue.Sink, seed int64, log zerolog.Logger) *EventReader {
 	return &EventReader{address: address, codec: codec, sink: sink, log: log, connected: map[int]bool{},
 		delays: backoff.New(minReopenDelay, maxReopenDelay, seed)}
 }
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -15,7 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"madderhollow/assign"
+	"madderhollow/internal/eventqueue"
 	"madderhollow/internal/wire"
 )
 
@@ -32,13 +32,10 @@
 	limitedLogPeriod = 10 * time.Second
 )
 
-// Sink takes an event; it may wait.
-type Sink func(context.Context, assign.Event) error
-
 // Server owns the listener and every connection at it.
 type Server struct {
 	codec       *wire.Codec
-	sink        Sink
+	sink        eventqueue.Sink
 	log         zerolog.Logger
 	limitedLog  zerolog.Logger
 	connections *connections
@@ -55,7 +52,7 @@
 }
 
 // New makes a server that may hold so many descriptors, in so many MB of memory.
-func New(codec *wire.Codec, sink Sink, descriptors, memoryMB int, log zerolog.Logger) *Server {
+func New(codec *wire.Codec, sink eventqueue.Sink, descriptors, memoryMB int, log zerolog.Logger) *Server {
 	return &Server{
 		codec:       codec,
 		sink:        sink,
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -36,7 +36,7 @@
 	case assign.SetTimer:
 		return []any{"after", instance, decimal(order.Delay * millisecondsPerSecond), order.ID}
 	case assign.Log:
-		return []any{"journalLine", instance, order.Message}
+		return []any{"journalLine", instance, order.String()}
 	case assign.HealthCheck:
 		return []any{"inspect", instance, order.Endpoint}
 	case assign.SendPeerMessage:
