--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -90,7 +90,7 @@
 	if !limited {
 		t.Errorf("no rate limit is set under overload\n%s", daemon.text())
 	}
-	if health, err := site.health(); err != nil || health["proxies"] != 6 || health["turns"] < 5 {
+	if health, err := site.health(); err != nil || health["proxies"] != 6 || health["batches"] < 5 {
 		t.Errorf("health %v (%v)", health, err)
 	}
 	daemon.mustTerminate(t)
--- a/cmd/madderhollow/counters.go
+++ b/cmd/madderhollow/counters.go
@@ -6,55 +6,66 @@
 	"github.com/rs/zerolog"
 )
 
-// bytesPerKB converts the heap's size.
+// bytesPerKB converts the size of the heap.
 const bytesPerKB = 1 << 10
 
-// counters are what the operators' page and the last log line show. Their names there are those of docs/on-call.md.
+// counters are the values that the status page and the last log line show. The two use the same names, which
+// docs/on-call.md explains. They count from the start of the process, except for Goroutines, HeapKB, OrdersWaiting and
+// Proxies, which are current values.
 type counters struct {
-	Calls          int   `json:"calls"`
-	CallsAgain     int   `json:"calls_again"`
-	Events         int   `json:"events"`
-	Goroutines     int   `json:"goroutines"`
-	HeapKB         int64 `json:"heap_kb"`
-	LinesMalformed int64 `json:"lines_spoilt"`
-	OrdersFolded   int   `json:"orders_folded"`
-	OrdersWaiting  int   `json:"orders_waiting"`
-	Proxies        int   `json:"proxies"`
-	Reports        int64 `json:"reports"`
-	ReportsLost    int   `json:"reports_lost"`
-	Unidentified   int64 `json:"strangers"`
-	Batches        int   `json:"turns"`
-	LongestWaitMs  int64 `json:"waited_most_ms"`
+	Batches                       int   `json:"batches"`
+	Calls                         int   `json:"calls"`
+	CallsRepeated                 int   `json:"calls_repeated"`
+	Events                        int   `json:"events"`
+	Goroutines                    int   `json:"goroutines"`
+	HeapKB                        int64 `json:"heap_kb"`
+	MalformedLines                int64 `json:"malformed_lines"`
+	MaxOrderWaitMs                int64 `json:"max_order_wait_ms"`
+	OrdersCoalesced               int   `json:"orders_coalesced"`
+	OrdersWaiting                 int   `json:"orders_waiting"`
+	Proxies                       int   `json:"proxies"`
+	Reports                       int64 `json:"reports"`
+	ReportsLost                   int   `json:"reports_lost"`
+	UnidentifiedConnectionsClosed int64 `json:"unidentified_connections_closed"`
 }
 
-// counters collects them from the parts.
+// counters collects the values from the parts. Several goroutines may call it.
 func (a *assigner) counters() counters {
 	batches, orders, reports := a.loop.Stats(), a.orders.Stats(), a.server.Stats()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return counters{
-		Calls:          orders.Calls,
-		CallsAgain:     orders.Repeated,
-		Events:         batches.Events,
-		Goroutines:     runtime.NumGoroutine(),
-		HeapKB:         int64(memory.HeapAlloc / bytesPerKB),
-		LinesMalformed: reports.Malformed,
-		OrdersFolded:   orders.Coalesced,
-		OrdersWaiting:  orders.Waiting,
-		Proxies:        orders.Proxies,
-		Reports:        reports.Reports,
-		ReportsLost:    a.events.Dropped(),
-		Unidentified:   reports.Refused,
-		Batches:        batches.Batches,
-		LongestWaitMs:  orders.LongestWait.Milliseconds(),
+		Batches:                       batches.Batches,
+		Calls:                         orders.Calls,
+		CallsRepeated:                 orders.Repeated,
+		Events:                        batches.Events,
+		Goroutines:                    runtime.NumGoroutine(),
+		HeapKB:                        int64(memory.HeapAlloc / bytesPerKB),
+		MalformedLines:                reports.Malformed,
+		MaxOrderWaitMs:                orders.LongestWait.Milliseconds(),
+		OrdersCoalesced:               orders.Coalesced,
+		OrdersWaiting:                 orders.Waiting,
+		Proxies:                       orders.Proxies,
+		Reports:                       reports.Reports,
+		ReportsLost:                   a.events.Dropped(),
+		UnidentifiedConnectionsClosed: reports.Refused,
 	}
 }
 
-// MarshalZerologObject writes the counters as members of a log line.
+// MarshalZerologObject writes the counters as fields of a log line.
 func (c counters) MarshalZerologObject(event *zerolog.Event) {
-	event.Int("calls", c.Calls).Int("calls_again", c.CallsAgain).Int("events", c.Events).Int("goroutines", c.Goroutines).
-		Int64("heap_kb", c.HeapKB).Int64("lines_spoilt", c.LinesMalformed).Int("orders_folded", c.OrdersFolded).
-		Int("orders_waiting", c.OrdersWaiting).Int("proxies", c.Proxies).Int64("reports", c.Reports).
-		Int("reports_lost", c.ReportsLost).Int64("strangers", c.Unidentified).Int("turns", c.Batches).
-		Int64("waited_most_ms", c.LongestWaitMs)
+	event.Int("batches", c.Batches).
+		Int("calls", c.Calls).
+		Int("calls_repeated", c.CallsRepeated).
+		Int("events", c.Events).
+		Int("goroutines", c.Goroutines).
+		Int64("heap_kb", c.HeapKB).
+		Int64("malformed_lines", c.MalformedLines).
+		Int64("max_order_wait_ms", c.MaxOrderWaitMs).
+		Int("orders_coalesced", c.OrdersCoalesced).
+		Int("orders_waiting", c.OrdersWaiting).
+		Int("proxies", c.Proxies).
+		Int64("reports", c.Reports).
+		Int("reports_lost", c.ReportsLost).
+		Int64("unidentified_connections_closed", c.UnidentifiedConnectionsClosed)
 }
