--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -28,17 +28,19 @@
 )
 
 const (
-	// maxLogRate lines a second are written; beyond that, trouble that repeats itself would fill the operators' disk.
+	// maxLogRate bounds the log, in lines a second. Further lines are dropped, so that a repeated failure cannot fill a disk.
 	maxLogRate = 50
-	// maxLogBuffered lines wait for whoever reads them. The rest is lost, since no decision may wait for a log.
+	// maxLogBuffered bounds the lines that wait for a slow reader of the log. Further lines are dropped, because writing a
+	// line must not block.
 	maxLogBuffered = 1000
 )
 
-// assigner is the program's parts. Each owns its connections and goroutines.
+// assigner holds the program's parts. Each part owns its connections and goroutines.
 type assigner struct {
 	config        *config.Config
-	log           zerolog.Logger
-	random        *rand.Rand // seeds for the parts, in the order in which they are made
+	log           zerolog.Logger // for the parts, which add their component
+	ownLog        zerolog.Logger // for the start and the end
+	random        *rand.Rand     // source of the parts' seeds, drawn in the order of their creation
 	startedAt     time.Time
 	codec         *wire.Codec
 	discoveryAt   *handover.Address
@@ -49,12 +51,13 @@
 	client        *relay.OrderClient
 	reader        *relay.EventReader
 	server        *reportserver.Server
-	peers         *peer.Socket // nil: there are none
+	peers         *peer.Socket // nil if the settings allow no peer messages
 	loop          *eventloop.Loop
-	statusAddress string
+	statusAddress string // empty: no status page
 }
 
-// serve runs an assigner until the context ends. At each signal of reload it reads its configuration again.
+// serve runs an assigner until the context ends. Each signal on reload makes it read its configuration file again. It
+// returns an error only if the assigner could not start.
 func serve(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, statusAddress string, logs io.Writer) error {
 	startedAt := time.Now()
 	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
@@ -63,10 +66,19 @@
 	if err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
-	logWriter := diode.NewWriter(struct{ io.Writer }{logs}, maxLogBuffered, 0, func(int) {}) // its end must not close logs
-	defer func() { _ = logWriter.Close() }()                                                 // it has nowhere to tell of an error
-	program := &assigner{config: cfg, startedAt: startedAt, codec: codec, statusAddress: statusAddress,
-		log: newLogger(logWriter, cfg.Name), random: rand.New(rand.NewSource(cfg.Seed))}
+	writerOnly := struct{ io.Writer }{logs} // hides Close, which the diode would call
+	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, 0, func(int) {})
+	defer func() { _ = logWriter.Close() }() // the log is the only place for an error, and it is closed
+	log := newLogger(logWriter, cfg.Name)
+	program := &assigner{
+		config:        cfg,
+		log:           log,
+		ownLog:        log.With().Str("component", "assigner").Logger(),
+		random:        rand.New(rand.NewSource(cfg.Seed)),
+		startedAt:     startedAt,
+		codec:         codec,
+		statusAddress: statusAddress,
+	}
 	listener, err := listen(ctx, cfg.Listen, program.random.Int63(), program.log)
 	if ctx.Err() != nil {
 		return nil
@@ -74,22 +86,24 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = listener.Close() }() // the report server has closed it, mostly
+	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
 	if err := program.makeParts(known.Version); err != nil {
 		return err
 	}
-	program.log.Info().Int("endpoints", len(known.Endpoints)).Int("version", known.Version).Msg("started")
+	program.ownLog.Info().Int("endpoints", len(known.Endpoints)).Int("version", known.Version).Msg("started")
 	program.run(ctx, known, listener, reload)
-	program.log.Info().EmbedObject(program.counters()).Msg("ended")
+	program.ownLog.Info().EmbedObject(program.counters()).Msg("ended")
 	return nil
 }
 
+// newLogger returns a logger that writes at most maxLogRate lines a second.
 func newLogger(w io.Writer, name string) zerolog.Logger {
 	return zerolog.New(w).With().Timestamp().Str("assigner", name).Logger().
 		Sample(&zerolog.BurstSampler{Burst: maxLogRate, Period: time.Second})
 }
 
-// makeParts makes all parts but the operators' page. Known is the version of the list that the module starts with.
+// makeParts creates all parts except the status page. The known version is that of the endpoint list with which the
+// decision module starts.
 func (a *assigner) makeParts(known int) error {
 	cfg, log := a.config, a.log
 	a.discoveryAt = handover.NewAddress(cfg.Discovery)
@@ -113,14 +127,16 @@
 	return nil
 }
 
+// sendPeerMessage sends a message to another assigner. It drops the message if the settings allow none.
 func (a *assigner) sendPeerMessage(to int, data []byte) {
 	if a.peers != nil {
 		a.peers.Send(to, data)
 	}
 }
 
-// run runs the parts until the context ends. The order client ends after the event loop, which gives no more orders then;
-// the report server begins once the first batch is done, since it answers pings from its first connection on.
+// run runs the parts until the context ends and all of them have returned. The order client outlives the event loop, so
+// that it can send the last orders. The report server starts after the first batch, because its answer to a ping means that
+// the assigner is ready.
 func (a *assigner) run(ctx context.Context, known assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
 	loopEnded, endLoop := context.WithCancel(context.WithoutCancel(ctx))
 	defer endLoop()
@@ -150,13 +166,14 @@
 	parts.run(ctx)
 }
 
-// serveStatus runs the operators' page. All else goes on without it.
+// serveStatus runs the status page until the context ends. The other parts do not depend on it.
 func (a *assigner) serveStatus(ctx context.Context, seed int64) {
 	listener, err := listen(ctx, a.statusAddress, seed, a.log)
 	if err == nil {
 		err = status.Serve(ctx, listener, func() any { return a.counters() })
 	}
 	if err != nil && ctx.Err() == nil {
-		a.log.Error().Err(err).Msg("status page ended")
+		log := a.log.With().Str("component", "status").Logger()
+		log.Error().Err(err).Msg("status page failed")
 	}
 }
--- a/cmd/madderhollow/listen.go
+++ b/cmd/madderhollow/listen.go
@@ -2,32 +2,43 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"time"
 
 	"github.com/rs/zerolog"
 
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/conditionlog"
 )
 
-// The former process may still hold an address while it dies. Whoever starts an assigner gives it 30 s to be ready.
+// The previous process may hold an address until its shutdown is complete. A new process has 30 s to become ready.
 const (
 	listenTimeout       = 25 * time.Second
 	minListenRetryDelay = 10 * time.Millisecond
 	maxListenRetryDelay = 200 * time.Millisecond
 )
 
-// listen opens an address, for some time also one that is still taken. The seed is for the delays between attempts.
+// listen binds a TCP address. It retries while that fails, until listenTimeout has passed or the context ends, and returns
+// the last error then. The seed randomizes the delays between attempts.
 func listen(ctx context.Context, address string, seed int64, log zerolog.Logger) (net.Listener, error) {
+	condition := conditionlog.New(conditionlog.Config{
+		Log:       log.With().Str("component", "listener").Str("address", address).Logger(),
+		Failing:   "address in use; retrying",
+		Recovered: "address bound",
+	})
 	delays := backoff.New(minListenRetryDelay, maxListenRetryDelay, seed)
-	for began, told := time.Now(), false; ; told = true {
+	deadline := time.Now().Add(listenTimeout)
+	for {
 		listener, err := net.Listen("tcp", address)
-		if err == nil || time.Since(began) > listenTimeout || ctx.Err() != nil {
-			return listener, err
+		if err == nil {
+			condition.Recover()
+			return listener, nil
 		}
-		if !told {
-			log.Warn().Err(err).Msg("not to be had yet")
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return nil, fmt.Errorf("bind listener: %w", err)
 		}
+		condition.Fail(err, nil)
 		delays.Wait(ctx)
 	}
 }
