--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink hosts assigners on the operators' simulator, which speaks on standard input and output.
+// Command benchlink hosts assigners for the operators' simulator. It reads the simulator's protocol (package simproto) from
+// standard input, writes replies to standard output and diagnostics to standard error.
 package main
 
 import (
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -24,14 +24,14 @@
 
 const terminate = syscall.SIGTERM
 
-// breakAll breaks some calls, the event stream, and the next two answers of discovery.
-func (p *platform) breakAll() {
-	var calls, asked atomic.Int32
+// injectFaults makes the next four calls fail, breaks the event stream, and garbles the next two answers of discovery.
+func (p *platform) injectFaults() {
+	var calls, requests atomic.Int32
 	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(calls.Add(1)-1, 4)] })
 	p.relay.CutStreams("event: joined\ndata: node=")
 	p.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
-		bad := asked.Add(1) < 3
+		bad := requests.Add(1) < 3
 		if bad {
 			_, _ = io.WriteString(w, "}")
 		}
@@ -39,7 +39,8 @@
 	})
 }
 
-// reportOverload reports late answers of busy endpoints and many requests.
+// reportOverload reports late answers of busy endpoints and a high request rate. It takes as long as the time between two
+// reports.
 func (p *platform) reportOverload(t *testing.T) {
 	t.Helper()
 	for zone, collector := range p.collectors {
@@ -57,10 +58,10 @@
 			}
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // a report's pace
+	time.Sleep(100 * time.Millisecond)
 }
 
-// limited tells whether some request class has a rate limit somewhere.
+// limited reports whether any table has a rate limit for a request class.
 func (p *platform) limited() (limited bool) {
 	p.relay.Inspect(func(state *relaytest.State) {
 		for _, limit := range state.Limits {
@@ -70,40 +71,40 @@
 	return limited
 }
 
-// A whole small incarnation: it answers pings, takes up proxies, keeps a drain, goes on after calls and the event stream
-// broke and discovery failed, sets rate limits under overload, and ends at SIGTERM.
-func TestAssigner(t *testing.T) {
+// The life of one process: it answers pings, attaches proxies, removes a draining endpoint from the tables also after
+// failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
+func TestAssignerThroughFaultsAndOverload(t *testing.T) {
 	site := newPlatform(t)
 	daemon := start(t, site.path, "-status", site.status)
 	site.connectCollectors(t)
 	site.connectProxies()
 	site.mustAttach(t, daemon, "", "proxies are not attached")
 	site.agent.Change(endpoint("s-0", "x", discoverytest.Leaving))
-	site.mustAttach(t, daemon, "s-0", "the drain is not kept")
-	site.breakAll()
+	site.mustAttach(t, daemon, "s-0", "a table still has a draining endpoint")
+	site.injectFaults()
 	site.agent.Change(endpoint("s-4", "y", discoverytest.Leaving))
-	site.mustAttach(t, daemon, "s-4", "the drain is not kept when all breaks")
+	site.mustAttach(t, daemon, "s-4", "a table still has a draining endpoint after faults")
 	limited := eventually.True(2*soon, func() bool {
 		site.reportOverload(t)
 		return site.limited()
 	})
 	if !limited {
-		t.Errorf("no rate limit is set under overload\n%s", daemon.text())
+		t.Errorf("got no rate limit under overload, want one\n%s", daemon.text())
 	}
 	if health, err := site.health(); err != nil || health["proxies"] != 6 || health["batches"] < 5 {
-		t.Errorf("health %v (%v)", health, err)
+		t.Errorf("got counters %v (%v), want 6 proxies and at least 5 batches", health, err)
 	}
 	daemon.mustTerminate(t)
 	for lines := bufio.NewScanner(strings.NewReader(daemon.log.String())); lines.Scan(); {
 		if !json.Valid(lines.Bytes()) {
-			t.Errorf("log line %q", lines.Text())
+			t.Errorf("got log line %q, want JSON", lines.Text())
 		}
 	}
 }
 
-// SIGHUP never ends it, whatever stands in the file; a file that is finished a moment later counts, and from then on
-// orders and the list go by the new addresses, while the old ones close.
-func TestNewConfigurations(t *testing.T) {
+// SIGHUP never ends the process, even if the file is missing or incomplete. Once the file is complete, calls and watches use
+// the new addresses, while the old ones close.
+func TestReloadMovesAddresses(t *testing.T) {
 	site := newPlatform(t)
 	daemon := start(t, site.path, "-status", site.status)
 	site.connectCollectors(t)
@@ -115,7 +116,7 @@
 		}
 	})
 	reload := func() { daemon.signal(t, syscall.SIGHUP) }
-	reload() // nothing is new
+	reload() // of an unchanged file
 	for i := range 3 {
 		site.move(t, 200*time.Millisecond)
 		if i > 0 {
@@ -132,12 +133,12 @@
 		reload()
 		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Leaving)
 		site.agent.Change(leaving)
-		site.mustAttach(t, daemon, leaving.Name, fmt.Sprint("the drain is not kept after move ", i))
+		site.mustAttach(t, daemon, leaving.Name, fmt.Sprint("a table still has a draining endpoint after move ", i))
 	}
 	site.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
-			if n := len(proxy.Messages); n > 8 { // a drain each, and what its weights bring
-				t.Errorf("proxy %d got %d messages", id, n)
+			if n := len(proxy.Messages); n > 8 { // three drains, and the changes of weights that follow them
+				t.Errorf("proxy %d got %d messages, want at most 8", id, n)
 			}
 		}
 	})
@@ -145,7 +146,7 @@
 	daemon.mustTerminate(t)
 }
 
-// openFiles counts this process' descriptors.
+// openFiles returns the number of file descriptors of this process. It skips the test on systems without /proc.
 func openFiles(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -155,22 +156,22 @@
 	return len(entries)
 }
 
-// After its end nothing is left of it: no goroutine, no descriptor, and its addresses are free at once.
-func TestNothingIsLeft(t *testing.T) {
+// An assigner that has ended leaves no goroutine and no descriptor, and its addresses can be bound again at once.
+func TestShutdownReleasesResources(t *testing.T) {
 	site := newPlatform(t)
 	t.Setenv("EDGE_CONFIG", site.path)
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	incarnation := func() {
+	startAndStop := func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- serve(ctx, cfg, nil, site.status, io.Discard) }()
 		site.connectCollectors(t)
 		site.relay.Connect(1, "x", 20, false)
 		if !eventually.True(soon, func() bool { return site.attached("") }) {
-			t.Error("the proxy is not attached")
+			t.Error("got no attached proxy, want one")
 		}
 		cancel()
 		if err := <-ended; err != nil {
@@ -180,30 +181,30 @@
 			mustClose(t, collector)
 		}
 	}
-	incarnation()
+	startAndStop()
 	goroutines, files := 0, 0
-	eventually.True(soon, func() bool { // the fakes' servers end their sides on their own
+	eventually.True(soon, func() bool { // the fakes close their connections in the background
 		nowGoroutines, nowFiles := runtime.NumGoroutine(), openFiles(t)
 		same := nowGoroutines == goroutines && nowFiles == files
 		goroutines, files = nowGoroutines, nowFiles
 		return same
 	})
 	for range 3 {
-		incarnation()
+		startAndStop()
 	}
 	if !eventually.True(soon, func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= files }) {
-		t.Errorf("%d goroutines and %d descriptors became %d and %d", goroutines, files, runtime.NumGoroutine(), openFiles(t))
+		t.Errorf("got %d goroutines and %d descriptors, want at most %d and %d", runtime.NumGoroutine(), openFiles(t), goroutines, files)
 	}
 }
 
-// Without a usable configuration it says so in one line and ends before it listens.
-func TestUnusableConfiguration(t *testing.T) {
-	p := newPlatform(t)
-	good, err := os.ReadFile(p.path)
+// An unusable configuration makes the program end with one line of text before it listens.
+func TestUnusableConfigurationIsRefused(t *testing.T) {
+	site := newPlatform(t)
+	good, err := os.ReadFile(site.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaced := func(before, after string) string { return strings.Replace(string(good), before, after, 1) }
+	replaced := func(text, by string) string { return strings.Replace(string(good), text, by, 1) }
 	for name, text := range map[string]string{
 		"no object":              "{",
 		"no relay":               replaced(`"relay"`, `"x"`),
@@ -230,13 +231,14 @@
 	})
 }
 
-// mustRefuse fails unless the program refuses a configuration file with one line and status 2.
+// mustRefuse fails the test unless the program ends with one line and exitConfiguration.
 func mustRefuse(t *testing.T, path string) {
 	t.Helper()
-	a := start(t, path)
-	_ = a.wait(t) // its status is looked at below
-	log := a.log.String()
-	if code := a.ProcessState.ExitCode(); code != exitConfiguration || strings.Count(log, "\n") != 1 || !strings.HasPrefix(log, "madderhollow: ") {
-		t.Errorf("status %d\n%s", code, log)
+	daemon := start(t, path)
+	_ = daemon.wait(t) // the exit code is checked below
+	log := daemon.log.String()
+	oneLine := strings.Count(log, "\n") == 1 && strings.HasPrefix(log, "madderhollow: ")
+	if code := daemon.ProcessState.ExitCode(); code != exitConfiguration || !oneLine {
+		t.Errorf("got exit code %d, want %d, and log\n%s", code, exitConfiguration, log)
 	}
 }
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -23,17 +23,17 @@
 	"madderhollow/internal/testconfig"
 )
 
-// soon is what anything may take on a busy machine.
+// soon bounds every wait. It is long enough for a busy machine.
 const soon = 10 * time.Second
 
-// The environment of this test binary when it is to be the program itself, and how long that tries a configuration file
-// which cannot be used.
+// Environment variables of this test binary. The first makes it run the program instead of the tests; the second sets how
+// long the program retries an unusable configuration file.
 const (
 	programVariable      = "MADDERHOLLOW_MAIN"
 	retryTimeoutVariable = "MADDERHOLLOW_RETRY_TIMEOUT"
 )
 
-// TestMain runs the program itself where a test starts its own binary again.
+// TestMain runs the program instead of the tests in a process that a test started from its own binary.
 func TestMain(m *testing.M) {
 	if os.Getenv(programVariable) == "" {
 		os.Exit(m.Run())
@@ -45,14 +45,14 @@
 	os.Exit(run(os.Args[1:], os.Getenv, retry))
 }
 
-// program is a started assigner.
+// program is an assigner in a process of its own.
 type program struct {
 	*exec.Cmd
 	log   *logBuffer
-	ended chan error
+	ended chan error // receives the result of Wait
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer collects a log. Several goroutines may write and read it.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -61,7 +61,7 @@
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.buffer.Write(b)
+	return l.buffer.Write(b) //nolint:wrapcheck // io.Writer passes the buffer's result on unchanged
 }
 
 func (l *logBuffer) String() string {
@@ -70,11 +70,13 @@
 	return l.buffer.String()
 }
 
+// start starts the program with a configuration file.
 func start(t *testing.T, configPath string, args ...string) *program {
 	t.Helper()
 	return launch(t, newProgram(configPath, args...))
 }
 
+// newProgram returns the program, not yet started, so that a test can change its environment and output.
 func newProgram(configPath string, args ...string) *program {
 	p := &program{Cmd: exec.Command(os.Args[0], args...), log: &logBuffer{}, ended: make(chan error, 1)}
 	p.Env = []string{programVariable + "=1", "EDGE_CONFIG=" + configPath}
@@ -82,17 +84,18 @@
 	return p
 }
 
+// launch starts the program and kills it at the end of the test.
 func launch(t *testing.T, p *program) *program {
 	t.Helper()
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.ended <- p.Wait() }()
-	t.Cleanup(func() { _ = p.Process.Kill() }) // it has ended, mostly
+	go func() { p.ended <- p.Wait() }()        // ends with the process
+	t.Cleanup(func() { _ = p.Process.Kill() }) // fails if it has ended
 	return p
 }
 
-// signal sends a signal to a program that runs.
+// signal sends a signal to the running program.
 func (p *program) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(s); err != nil {
@@ -100,9 +103,9 @@
 	}
 }
 
-// text ends the program, if need be, and gives its log.
+// text kills the program if it still runs, and returns its log and exit status.
 func (p *program) text() string {
-	_ = p.Process.Kill() // it may have ended
+	_ = p.Process.Kill() // fails if it has ended
 	if err, ok := <-p.ended; ok {
 		close(p.ended)
 		return fmt.Sprint(p.log, err)
@@ -110,7 +113,7 @@
 	return p.log.String()
 }
 
-// wait waits for the program's end.
+// wait waits until the program has ended.
 func (p *program) wait(t *testing.T) error {
 	t.Helper()
 	select {
@@ -118,49 +121,55 @@
 		close(p.ended)
 		return err
 	case <-time.After(soon):
-		t.Fatal("it does not end")
+		t.Fatalf("the program still runs after %v", soon)
 		return nil
 	}
 }
 
-// mustTerminate sends SIGTERM, and fails unless the program then ends with status 0.
+// mustTerminate sends SIGTERM, and fails the test unless the program ends with status 0.
 func (p *program) mustTerminate(t *testing.T) {
 	t.Helper()
 	p.signal(t, terminate)
 	p.mustEnd(t)
 }
 
-// mustEnd fails unless the program ends with status 0.
+// mustEnd fails the test unless the program ends with status 0.
 func (p *program) mustEnd(t *testing.T) {
 	t.Helper()
 	if err := p.wait(t); err != nil {
-		t.Errorf("%v\n%s", err, p.text())
+		t.Errorf("got %v, want exit status 0\n%s", err, p.text())
 	}
 }
 
-// freeAddress gives an address that nobody holds, below the ports that the kernel deals out: between now and the
-// program's start a connection of another test might be dealt it.
+// freeAddress returns an unused address. Its port is below the range of ephemeral ports, so that a connection of another
+// test cannot get it before the program binds it.
 func freeAddress(t *testing.T, network string) string {
 	t.Helper()
 	for range 1000 {
 		address := fmt.Sprint("127.0.0.1:", 10000+rand.Intn(20000))
-		if holder, err := hold(network, address); err == nil {
-			mustClose(t, holder)
+		if socket, err := bind(network, address); err == nil {
+			mustClose(t, socket)
 			return address
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatal("found no free port in 1000 attempts")
 	return ""
 }
 
-// hold takes an address.
-func hold(network, address string) (io.Closer, error) {
+// bind opens a socket at an address. Network is "tcp" or "udp".
+func bind(network, address string) (socket io.Closer, err error) {
 	if network == "udp" {
-		return net.ListenPacket(network, address)
+		socket, err = net.ListenPacket(network, address)
+	} else {
+		socket, err = net.Listen(network, address)
 	}
-	return net.Listen(network, address)
+	if err != nil {
+		return nil, fmt.Errorf("bind: %w", err)
+	}
+	return socket, nil
 }
 
+// mustClose closes a resource and fails the test if that fails.
 func mustClose(t *testing.T, closer io.Closer) {
 	t.Helper()
 	if err := closer.Close(); err != nil {
@@ -168,29 +177,30 @@
 	}
 }
 
-// platform is a fake relay, a fake agent of discovery, and a configuration for one assigner among them.
+// platform is a fake relay, a fake discovery agent, and the configuration of one assigner that uses them.
 type platform struct {
 	relay      *relaytest.Relay
 	agent      *discoverytest.Agent
-	listen     string
+	listen     string // addresses of the assigner
 	status     string
 	peers      string
-	path       string // of the configuration file
-	members    map[string]any
-	collectors map[string]*collectortest.Collector
+	path       string                              // of the configuration file
+	members    map[string]any                      // of the configuration file
+	collectors map[string]*collectortest.Collector // by zone
 }
 
-// zones are those of testconfig.Settings.
+// zones returns the zones of testconfig.Settings.
 func zones() []string { return []string{"x", "y", "z"} }
 
-// zoneOf deals zones by number.
+// zoneOf returns the zone of the endpoint or proxy with a number.
 func zoneOf(i int) string { return zones()[i%3] }
 
-// endpoint is an entry of the list with a status.
+// endpoint returns an entry of the endpoint list.
 func endpoint(name, zone, status string) discoverytest.Endpoint {
 	return discoverytest.Endpoint{Name: name, Address: "10.0.0.1:1", Zone: zone, Type: "m", Status: status, Weight: 1}
 }
 
+// newPlatform starts the fakes, writes a configuration file and closes the fakes at the end of the test.
 func newPlatform(t *testing.T) *platform {
 	t.Helper()
 	site := &platform{listen: freeAddress(t, "tcp"), status: freeAddress(t, "tcp"), peers: freeAddress(t, "udp"),
@@ -217,25 +227,26 @@
 	return site
 }
 
-// writeConfig puts a part of the configuration into the file, 1 for all of it.
-func (p *platform) writeConfig(t *testing.T, part float64) {
+// writeConfig writes the first part of the configuration to the file, as a fraction of its length; 1 writes all of it.
+func (p *platform) writeConfig(t *testing.T, fraction float64) {
 	t.Helper()
 	text, err := json.Marshal(p.members)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.path, text[:int(part*float64(len(text)))], 0o600); err != nil {
+	if err := os.WriteFile(p.path, text[:int(fraction*float64(len(text)))], 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// move takes relay and discovery to other addresses and writes these into the configuration file.
-func (p *platform) move(t *testing.T, oldOpen time.Duration) {
+// move moves relay and discovery to other addresses and writes these to the configuration file. Open connections to the old
+// addresses are closed after a delay.
+func (p *platform) move(t *testing.T, closeAfter time.Duration) {
 	t.Helper()
-	if err := p.relay.Move("", oldOpen); err != nil {
+	if err := p.relay.Move("", closeAfter); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.agent.Move("", oldOpen); err != nil {
+	if err := p.agent.Move("", closeAfter); err != nil {
 		t.Fatal(err)
 	}
 	p.members["relay"] = map[string]any{"address": p.relay.Address()}
@@ -243,7 +254,7 @@
 	p.writeConfig(t, 1)
 }
 
-// connectCollectors connects a collector for each zone, once the assigner answers pings.
+// connectCollectors connects a collector for each zone. It waits until the assigner listens and answers a ping.
 func (p *platform) connectCollectors(t *testing.T) {
 	t.Helper()
 	for _, zone := range zones() {
@@ -254,9 +265,9 @@
 			return err == nil
 		})
 		if !connected {
-			t.Fatal("nobody listens")
+			t.Fatalf("no listener at %s after %v", p.listen, soon)
 		}
-		t.Cleanup(func() { _ = collector.Close() }) // some tests close it before
+		t.Cleanup(func() { _ = collector.Close() }) // fails if the test has closed it
 		if err := collector.Ping(soon); err != nil {
 			t.Fatal(err)
 		}
@@ -264,15 +275,16 @@
 	}
 }
 
-// connectProxies connects six proxies with tables that nobody here knows, so that each must be attached to others.
+// connectProxies connects six proxies that are not fresh: they hold tables that the assigner does not know, so it has to
+// attach new ones.
 func (p *platform) connectProxies() {
 	for i := range 6 {
 		p.relay.Connect(i, zoneOf(i), 20, false)
 	}
 }
 
-// attached tells whether every connected proxy uses, for every class, a table that has entries, none of them for an
-// endpoint.
+// attached reports whether every connected proxy has, for every class, a table with entries, and none of them is for the
+// endpoint that is given.
 func (p *platform) attached(without string) (all bool) {
 	p.relay.Inspect(func(state *relaytest.State) {
 		all = len(state.Proxies) > 0
@@ -287,22 +299,25 @@
 	return all
 }
 
-// mustAttach fails unless all proxies come to use tables without an endpoint.
-func (p *platform) mustAttach(t *testing.T, a *program, without, complaint string) {
+// mustAttach fails the test with a message unless attached becomes true.
+func (p *platform) mustAttach(t *testing.T, daemon *program, without, message string) {
 	t.Helper()
 	if !eventually.True(soon, func() bool { return p.attached(without) }) {
-		t.Fatalf("%s\n%s", complaint, a.text())
+		t.Fatalf("%s\n%s", message, daemon.text())
 	}
 }
 
-// health asks the operators' page for its counters.
+// health returns the counters of the status page.
 func (p *platform) health() (map[string]float64, error) {
 	response, err := http.Get("http://" + p.status + "/healthz")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("status page: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // no error matters once the body has been read
 	defer http.DefaultClient.CloseIdleConnections()
 	values := map[string]float64{}
-	return values, json.NewDecoder(response.Body).Decode(&values)
+	if err := json.NewDecoder(response.Body).Decode(&values); err != nil {
+		return nil, fmt.Errorf("status page: %w", err)
+	}
+	return values, nil
 }
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -1,5 +1,9 @@
-// Command madderhollow is one assigner on sockets: it takes reports from collectors, the endpoint list from discovery and
-// events from the relay, and sends the relay the orders that its decision module makes of them.
+// Command madderhollow is one assigner. It receives load and traffic reports from collectors, the endpoint list from
+// discovery and proxies' events from the relay, passes them to its decision module (package assign), and sends the relay
+// the resulting orders: routing tables, weights and rate limits.
+//
+// The environment variable EDGE_CONFIG names its configuration file; docs/configuration.md describes it. SIGHUP reloads the
+// file, SIGTERM ends the process with status 0.
 package main
 
 import (
@@ -22,14 +26,16 @@
 // Exit codes.
 const (
 	exitOK            = 0
-	exitFailure       = 1 // the program could not do its work
-	exitConfiguration = 2 // arguments or configuration cannot be used; Go's runtime exits with it after a panic, too
+	exitFailure       = 1 // the listener could not be bound, or a part could not be created
+	exitConfiguration = 2 // invalid arguments or configuration; the Go runtime also uses it after a panic
 )
 
 const (
-	// heapFraction of the memory limit is the runtime's; the rest is for stacks, sockets and the collector's lag.
-	heapFraction    = 0.6
-	bytesPerMB      = 1 << 20
+	// heapFraction is the part of the memory limit that the Go runtime may use. The rest is for socket buffers and for
+	// the time that the garbage collector takes to react.
+	heapFraction = 0.6
+	bytesPerMB   = 1 << 20
+	// shutdownTimeout bounds the time from SIGTERM to the exit. SIGKILL may follow SIGTERM by 0.7 s.
 	shutdownTimeout = 650 * time.Millisecond
 )
 
@@ -37,19 +43,20 @@
 	os.Exit(run(os.Args[1:], os.Getenv, config.DefaultRetry()))
 }
 
-// run is the program. Retry is for a configuration file that cannot be used at once.
+// run is main with its inputs as parameters. It returns once the program has ended. The retry policy applies to a
+// configuration file that cannot be used yet.
 func run(args []string, env func(string) string, retry config.Retry) (exitCode int) {
-	reload := make(chan os.Signal, 1) // first of all: without them the signals kill the process
+	// Signals are handled from here on; before, they would kill the process.
+	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// SIGKILL may follow SIGTERM by 0.7 s. Whoever reads the log may have stopped, and nobody waits for an end that was
-	// ordered.
+	// A part that blocks, for instance on a log that is not read, must not delay the exit.
 	context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, func() { os.Exit(exitOK) }) })
 
 	flags := flag.NewFlagSet("madderhollow", flag.ContinueOnError)
-	statusAddress := flags.String("status", "", "address of the operators' page; none if empty")
-	switch err := flags.Parse(args); { // which tells of errors itself
+	statusAddress := flags.String("status", "", "address of the status page; none if empty")
+	switch err := flags.Parse(args); { // Parse prints its errors
 	case errors.Is(err, flag.ErrHelp):
 		return exitOK
 	case err != nil:
@@ -72,12 +79,13 @@
 	return exitOK
 }
 
+// fail prints an error and returns the exit code.
 func fail(err error, exitCode int) int {
 	fmt.Fprintln(os.Stderr, "madderhollow:", err)
 	return exitCode
 }
 
-// limitRuntime keeps the Go runtime within the configured limits.
+// limitRuntime applies the configured CPU and memory limits to the Go runtime.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * bytesPerMB))
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -18,28 +18,28 @@
 	"madderhollow/internal/relaytest"
 )
 
-//nolint:gochecknoglobals // a flag of the test binary has to be known before any test runs
+//nolint:gochecknoglobals // a flag of the test binary has to be registered before any test runs
 var soakTime = flag.Duration("soak", 3*time.Second, "how long TestSoak lasts")
 
-// soak is a program on whose sides everything breaks.
+// soak is a program whose relay, discovery, collectors and clients fail at random.
 type soak struct {
 	*platform
 	program     *program
 	mu          sync.Mutex
 	random      *rand.Rand
-	connections [400]net.Conn // that never identify themselves, more than the descriptors allow
-	replaceNext string        // the endpoint that is replaced next
+	connections [400]net.Conn // never identify themselves; more than the descriptor limit allows
+	replaceNext string        // name of the endpoint to be replaced next
 }
 
-// chance draws a number below n.
+// chance returns a random number from 0 to n-1. Several goroutines may call it.
 func (s *soak) chance(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Intn(n)
 }
 
-// breakRandomly breaks some calls and answers of discovery.
-func (s *soak) breakRandomly() {
+// injectFaults makes calls and answers of discovery fail at random.
+func (s *soak) injectFaults() {
 	s.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, s.chance(30)-23)) })
 	s.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		bad := s.chance(10) == 0
@@ -50,8 +50,8 @@
 	})
 }
 
-// report sends reports and a malformed line from each collector. A collector that was closed for its malformed lines
-// stays away: what is lost with it is part of the soak.
+// report sends reports and a malformed line from each collector. The assigner closes collectors for their malformed lines;
+// they do not reconnect, so write errors are ignored.
 func (s *soak) report(step int) {
 	for zone, collector := range s.collectors {
 		_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.chance(10), 200, 0.5)
@@ -65,16 +65,16 @@
 	t.Helper()
 	i := s.chance(len(s.connections))
 	if s.connections[i] != nil {
-		_ = s.connections[i].Close() // the server may have closed it
+		_ = s.connections[i].Close() // fails if the server has closed it
 	}
 	var err error
 	if s.connections[i], err = net.Dial("tcp", s.listen); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(s.connections[i], strings.Repeat("{", s.chance(5000))) // it may be closed meanwhile
+	_, _ = io.WriteString(s.connections[i], strings.Repeat("{", s.chance(5000))) // fails if the server has closed it
 }
 
-// change does one of the things that happen on a platform, mostly none.
+// change makes one random change to the platform, in five of 40 calls.
 func (s *soak) change(t *testing.T, step int) {
 	t.Helper()
 	proxy := step % 6
@@ -88,23 +88,24 @@
 		status := []string{discoverytest.Active, discoverytest.Active, discoverytest.Leaving}[s.chance(3)]
 		s.agent.Change(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), status))
 	case 3:
-		fresh := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Active)
-		s.agent.Change(fresh, endpoint(s.replaceNext, "x", discoverytest.Left))
-		s.replaceNext = fresh.Name
+		replacement := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Active)
+		s.agent.Change(replacement, endpoint(s.replaceNext, "x", discoverytest.Left))
+		s.replaceNext = replacement.Name
 	case 4:
 		s.move(t, 50*time.Millisecond)
 		s.program.signal(t, syscall.SIGHUP)
 	}
 }
 
-// usage is what the program holds.
+// usage is the program's use of resources.
 type usage struct{ goroutines, heapKB, descriptors float64 }
 
-// max is the larger of each member.
+// max returns the larger value of each resource.
 func (u usage) max(other usage) usage {
 	return usage{max(u.goroutines, other.goroutines), max(u.heapKB, other.heapKB), max(u.descriptors, other.descriptors)}
 }
 
+// usage measures the program. It skips the test on systems without /proc.
 func (s *soak) usage(t *testing.T) usage {
 	t.Helper()
 	health, err := s.health()
@@ -118,15 +119,15 @@
 	return usage{health["goroutines"], health["heap_kb"], float64(len(files))}
 }
 
-// play breaks everything for a time, and gives the most that the program held in each half of it.
-func (s *soak) play(t *testing.T, duration time.Duration) (first, second usage) {
+// run changes the platform for a time and returns the highest usage in each half of it.
+func (s *soak) run(t *testing.T, duration time.Duration) (first, second usage) {
 	t.Helper()
 	began := time.Now()
 	for step := 0; time.Since(began) < duration; step++ {
 		s.report(step)
 		s.connectUnidentified(t)
 		s.change(t, step)
-		time.Sleep(2 * time.Millisecond) // the soak's pace
+		time.Sleep(2 * time.Millisecond) // rate of changes
 		if step%100 != 99 {
 			continue
 		}
@@ -139,35 +140,35 @@
 	return first, second
 }
 
-// However long all sides break, connections come and go, endpoints are replaced under new names and new configurations
-// come, it holds no more than at the beginning, and when that ends its tables are right.
+// Faults, connections, replaced endpoints and reloads must not increase the program's use of resources over time, and its
+// tables are correct once they stop.
 func TestSoak(t *testing.T) {
 	site := newPlatform(t)
 	soaked := &soak{platform: site, program: start(t, site.path, "-status", site.status), random: rand.New(rand.NewSource(1)), replaceNext: "s-11"}
 	site.connectCollectors(t)
 	site.connectProxies()
-	soaked.breakRandomly()
-	first, second := soaked.play(t, *soakTime)
-	t.Logf("at most %+v, then %+v", first, second)
-	for name, held := range map[string][2]float64{
+	soaked.injectFaults()
+	first, second := soaked.run(t, *soakTime)
+	t.Logf("highest usage in the first half %+v, in the second %+v", first, second)
+	for name, highest := range map[string][2]float64{
 		"goroutines":  {first.goroutines, second.goroutines},
 		"KB of heap":  {first.heapKB, second.heapKB},
 		"descriptors": {first.descriptors, second.descriptors},
 	} {
-		if held[1] > 1.5*held[0]+20 || second.descriptors > 256 {
-			t.Errorf("%s grow from %g to %g", name, held[0], held[1])
+		if highest[1] > 1.5*highest[0]+20 || second.descriptors > 256 {
+			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most 256 descriptors", name, highest[1], highest[0])
 		}
 	}
 	for _, conn := range soaked.connections {
 		if conn != nil {
-			_ = conn.Close() // the server may have closed it
+			_ = conn.Close() // fails if the server has closed it
 		}
 	}
 	site.relay.SetFault(nil)
 	site.agent.Change(endpoint("s-0", "x", discoverytest.Leaving))
-	for i := range 6 { // whoever was fresh may still rightly hold its default table
+	for i := range 6 { // fresh proxies may keep their default table, so none of them may be fresh for the check
 		site.relay.Disconnect(i)
 		site.relay.Connect(i, zoneOf(i), 20, false)
 	}
-	site.mustAttach(t, soaked.program, "s-0", "its tables are wrong at the end")
+	site.mustAttach(t, soaked.program, "s-0", "a table still has a draining endpoint after the faults")
 }
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"errors"
+	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"os"
@@ -15,47 +17,49 @@
 	"madderhollow/internal/relaytest"
 )
 
-// newPipe makes a configuration file whose reader waits for its writer: a test then knows that it is being read.
+// newPipe creates a configuration file that is a named pipe. Its reader blocks until fillPipe writes, so that a test knows
+// when the program reads it.
 func newPipe(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
-		t.Skip("no pipes here")
+		t.Skip("named pipes are not available here")
 	}
 	return path
 }
 
-// fillPipe waits until somebody reads a pipe and gives it a text.
+// fillPipe waits for a reader of a pipe, writes a text and returns the pipe, which is still open.
 func fillPipe(path string, text []byte) (*os.File, error) {
 	pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("open pipe: %w", err)
 	}
-	if _, err := pipe.Write(text); err != nil && !errors.Is(err, syscall.EPIPE) { // its reader may have what it needs
+	if _, err := pipe.Write(text); err != nil && !errors.Is(err, syscall.EPIPE) { // the reader may stop early
 		return nil, errors.Join(err, pipe.Close())
 	}
 	return pipe, nil
 }
 
-// A process that is to die may still hold all addresses: the new one waits for them, and is ready once they are free.
-func TestAddressesStillHeld(t *testing.T) {
+// While the previous process still holds the addresses, the new one retries. It serves as soon as its listener is bound, and
+// does not wait for the status page and the peer socket.
+func TestStartWhileAddressesInUse(t *testing.T) {
 	site := newPlatform(t)
-	held := map[string]interface{ Close() error }{}
+	held := map[string]io.Closer{}
 	for address, network := range map[string]string{site.listen: "tcp", site.status: "tcp", site.peers: "udp"} {
-		holder, err := hold(network, address)
+		socket, err := bind(network, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held[address] = holder
+		held[address] = socket
 	}
 	daemon := start(t, site.path, "-status", site.status)
 	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), site.listen) }) {
-		t.Fatalf("it did not tell what it waits for\n%s", daemon.text())
+		t.Fatalf("got no log line about %s\n%s", site.listen, daemon.text())
 	}
 	mustClose(t, held[site.listen])
 	site.connectCollectors(t)
 	site.relay.Connect(1, "x", 20, false)
-	site.mustAttach(t, daemon, "", "without peers and status page the proxy is not attached")
+	site.mustAttach(t, daemon, "", "the proxy is not attached before status page and peer socket are bound")
 	mustClose(t, held[site.peers])
 	mustClose(t, held[site.status])
 	up := eventually.True(soon, func() bool {
@@ -63,14 +67,14 @@
 		return err == nil && strings.Contains(daemon.log.String(), "peers are heard")
 	})
 	if !up {
-		t.Errorf("status page or peers do not come\n%s", daemon.text())
+		t.Errorf("status page or peer socket is not bound\n%s", daemon.text())
 	}
 	daemon.mustTerminate(t)
 }
 
-// A configuration that was half there when it was read is read again. How long is checked in package config, on a clock of
-// its own; here the program tries on for as long as a busy machine may take.
-func TestConfigurationFinishedLate(t *testing.T) {
+// An incomplete configuration file is read again. Package config tests for how long, on a fake clock; here the program
+// retries for as long as a busy machine may need.
+func TestStartWhileConfigurationIncomplete(t *testing.T) {
 	site := newPlatform(t)
 	whole, err := os.ReadFile(site.path)
 	if err != nil {
@@ -87,7 +91,9 @@
 	mustClose(t, half)
 	done := make(chan error, 1)
 	var over atomic.Bool
-	go func() { // the same reader may still be there: what follows half a text is none, and it reads again
+	// The program may read the rest as a continuation of the first half. That is no valid text either, so it retries, and
+	// the goroutine writes the text again until the test sets over.
+	go func() {
 		var err error
 		for !over.Load() && err == nil {
 			var pipe *os.File
@@ -100,7 +106,7 @@
 	site.connectCollectors(t)
 	daemon.mustTerminate(t)
 	over.Store(true)
-	reader, err := os.OpenFile(path, os.O_RDWR|syscall.O_NONBLOCK, 0) // lets a writer go that waits for a reader
+	reader, err := os.OpenFile(path, os.O_RDWR|syscall.O_NONBLOCK, 0) // unblocks a writer that waits for a reader
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +116,8 @@
 	}
 }
 
-// Signals that come before the configuration was read are kept to, and together; neither is a crash.
-func TestSignalsBeforeTheConfiguration(t *testing.T) {
+// Signals that arrive while the configuration is being read are handled, also several of them.
+func TestSignalsBeforeConfigurationIsRead(t *testing.T) {
 	for name, signals := range map[string][]os.Signal{
 		"TERM":         {syscall.SIGTERM},
 		"HUP and TERM": {syscall.SIGHUP, syscall.SIGTERM},
@@ -120,32 +126,34 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := newPipe(t)
-			a := start(t, path)
-			pipe, err := fillPipe(path, []byte("{")) // it reads now
+			daemon := start(t, path)
+			pipe, err := fillPipe(path, []byte("{")) // the program now reads it
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range signals {
-				if err := a.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
+				if err := daemon.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 					t.Error(err)
 				}
 			}
-			a.mustEnd(t)
+			daemon.mustEnd(t)
 			mustClose(t, pipe)
 		})
 	}
 }
 
-// SIGTERM ends it with status 0 whatever it is in the midst of.
-func TestTerminatedAmid(t *testing.T) {
+// SIGTERM ends the program with status 0 during any operation that may block.
+func TestTerminateDuring(t *testing.T) {
 	for name, test := range map[string]struct {
-		prepare func(t *testing.T, p *platform) (reached func() bool) // before the start; nil: it has started
+		// prepare makes the operation block. It is called before the start, and returns a function that reports whether
+		// the operation has begun; nil stands for the end of the start.
+		prepare func(t *testing.T, p *platform) (reached func() bool)
 		reload  bool
 	}{
-		"an address that is taken": {prepare: holdListener},
-		"the first list":           {prepare: holdFirstList},
-		"a call":                   {prepare: holdCall},
-		"a reload":                 {reload: true},
+		"bind of an address in use": {prepare: holdListener},
+		"first list":                {prepare: holdFirstList},
+		"call":                      {prepare: holdCall},
+		"reload":                    {reload: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -161,7 +169,7 @@
 				}
 			}
 			if !eventually.True(soon, reached) {
-				t.Fatalf("it does not get there\n%s", daemon.text())
+				t.Fatalf("the operation has not begun\n%s", daemon.text())
 			}
 			if test.reload {
 				beginReload(t, site, daemon)
@@ -171,6 +179,7 @@
 	}
 }
 
+// holdListener binds the assigner's address.
 func holdListener(t *testing.T, p *platform) (reached func() bool) {
 	t.Helper()
 	listener, err := net.Listen("tcp", p.listen)
@@ -178,19 +187,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, listener) })
-	return nil // its log names the address
+	return nil // the log line about the address shows that the operation has begun
 }
 
+// holdFirstList makes discovery not answer.
 func holdFirstList(_ *testing.T, p *platform) (reached func() bool) {
-	asked := make(chan struct{}, 100)
+	requested := make(chan struct{}, 100)
 	p.agent.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		asked <- struct{}{}
+		requested <- struct{}{}
 		<-r.Context().Done()
 		return true
 	})
-	return func() bool { return len(asked) > 0 }
+	return func() bool { return len(requested) > 0 }
 }
 
+// holdCall makes the relay not answer calls.
 func holdCall(_ *testing.T, p *platform) (reached func() bool) {
 	called := make(chan struct{}, 100)
 	p.relay.SetFault(func([]string) relaytest.Fault { called <- struct{}{}; return relaytest.SilentAfter })
@@ -198,18 +209,17 @@
 	return func() bool { return len(called) > 0 }
 }
 
-// beginReload has the program read half a configuration.
-func beginReload(t *testing.T, p *platform, a *program) {
+// beginReload makes the program read an incomplete configuration, which it then retries.
+func beginReload(t *testing.T, p *platform, daemon *program) {
 	t.Helper()
 	p.writeConfig(t, 0.5)
-	a.signal(t, syscall.SIGHUP)
-	if !eventually.True(soon, func() bool { return strings.Contains(a.log.String(), "the old configuration stays") }) {
-		t.Errorf("no reload\n%s", a.log)
+	daemon.signal(t, syscall.SIGHUP)
+	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), "the old configuration stays") }) {
+		t.Errorf("got no log line about a failed reload\n%s", daemon.log)
 	}
 }
 
-// It ends though nobody reads its log any more.
-func TestEndsThoughNobodyReadsItsLog(t *testing.T) {
+func TestTerminateWhileLogIsNotRead(t *testing.T) {
 	const setPipeSize, pageSize = 1031, 4096
 	site := newPlatform(t)
 	reader, writer, err := os.Pipe()
@@ -221,12 +231,12 @@
 	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, writer.Fd(), setPipeSize, pageSize); errno != 0 {
 		t.Skip("pipes cannot be made small here")
 	}
-	if _, err := writer.Write(make([]byte, pageSize)); err != nil { // it is full
+	if _, err := writer.Write(make([]byte, pageSize)); err != nil { // fills the pipe
 		t.Fatal(err)
 	}
-	a := newProgram(site.path)
-	a.Stderr, a.Stdout = writer, writer
-	launch(t, a)
+	daemon := newProgram(site.path)
+	daemon.Stderr, daemon.Stdout = writer, writer
+	launch(t, daemon)
 	site.connectCollectors(t)
-	a.mustTerminate(t)
+	daemon.mustTerminate(t)
 }
--- a/cmd/madderhollow/supervisor.go
+++ b/cmd/madderhollow/supervisor.go
@@ -6,25 +6,26 @@
 	"sync"
 )
 
-// part is one of the program's goroutines. It runs until its context ends.
+// part is one of the program's long-running functions. It must return once its context ends.
 type part struct {
-	name string // as its goroutines are labelled in profiles
+	name string // label of its goroutines in profiles
 	run  func(context.Context)
 }
 
-// supervisor runs parts.
+// supervisor runs parts, each in a goroutine of its own.
 type supervisor struct{ parts []part }
 
+// add registers a part. It must not be called after run.
 func (s *supervisor) add(name string, run func(context.Context)) {
 	s.parts = append(s.parts, part{name, run})
 }
 
-// run starts the parts in the order in which they were added, and returns once all have ended.
+// run starts the parts in the order in which they were added, and returns once all have returned.
 func (s *supervisor) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, p := range s.parts {
 		running.Add(1)
-		go func() {
+		go func() { // ends when the part returns
 			defer running.Done()
 			pprof.Do(ctx, pprof.Labels("part", p.name), p.run)
 		}()
