--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -138,7 +138,7 @@
 	}
 	d.say("Discovery and the relay move; what is open stays so for two minutes. In a third terminal:\n"+
 		"    cp %s mine.json && pkill -HUP -x madderhollow", movedPath)
-	if !eventually.True(moveTimeout, func() bool { return d.agent.AskedAt() == moved.Discovery }) {
+	if !eventually.True(moveTimeout, func() bool { return d.agent.LastHost() == moved.Discovery }) {
 		return fmt.Errorf("nobody came to %s: %w", moved.Discovery, errNobodyListens)
 	}
 	d.say("The assigner is at the new addresses.")
--- a/internal/discoverytest/discovery.go
+++ b/internal/discoverytest/discovery.go
@@ -1,9 +1,10 @@
-// Package discoverytest is a fake of discovery's agent by the protocol's pages, in the manner of httptest, for tests and
-// the demo.
+// Package discoverytest provides a fake discovery agent for tests and the demo, as net/http/httptest does for HTTP. It answers
+// requests for the full endpoint list, and long polls for changes since a version.
 package discoverytest
 
 import (
 	"encoding/json"
+	"fmt"
 	"net/http"
 	"slices"
 	"strconv"
@@ -13,14 +14,14 @@
 	"madderhollow/internal/testserver"
 )
 
-// The states of an endpoint, as discovery writes them.
+// Status values of an endpoint, as discovery writes them.
 const (
 	Active  = "active"
 	Leaving = "leaving"
 	Left    = "left"
 )
 
-// Endpoint is an entry of the list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -29,61 +30,66 @@
 	Group   int     `json:"group"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	Since   int64   `json:"since_ms"` // Unix time of the start, ms
+	Since   int64   `json:"since_ms"` // Unix time of its start, milliseconds
 }
 
-// List is an answer of discovery.
+// List is an answer of discovery: the full list, or the changes since a version.
 type List struct {
-	Index     int64      `json:"index"`
-	Snapshot  bool       `json:"snapshot"`
+	Index     int64      `json:"index"`    // version
+	Snapshot  bool       `json:"snapshot"` // full list
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Agent is the fake. Its methods may be used by several goroutines.
+// Agent is a fake discovery agent. Several goroutines may call its methods.
 type Agent struct {
 	*testserver.Server
 
 	mu        sync.Mutex
 	intercept func(http.ResponseWriter, *http.Request) bool
-	index     int64
+	index     int64 // version of the list
 	list      []Endpoint
-	changedIn map[string]int64 // the version of the last change, by name
-	changed   chan struct{}    // closed at each change
-	askedAt   string
+	changedIn map[string]int64 // version of the last change, by endpoint
+	changed   chan struct{}    // closed and replaced at each change
+	lastHost  string
 }
 
-// New starts an agent at an address, or at a free port if that is empty, whose list has a version.
+// New starts an agent at an address; an empty address stands for a free port on the loopback address. Its list has the
+// version index. The caller closes the agent.
 func New(address string, index int64, list ...Endpoint) (*Agent, error) {
 	a := &Agent{index: index, list: list, changedIn: map[string]int64{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", a.answer)
-	var err error
-	a.Server, err = testserver.New(address, mux)
-	return a, err
+	mux.HandleFunc("GET /v1/servers", a.serveList)
+	server, err := testserver.New(address, mux)
+	if err != nil {
+		return nil, fmt.Errorf("discovery: %w", err)
+	}
+	a.Server = server
+	return a, nil
 }
 
-// Intercept lets f answer requests; one for which it returns false is answered as usual.
+// Intercept makes f handle each request first. The agent answers the requests for which f returns false.
 func (a *Agent) Intercept(f func(http.ResponseWriter, *http.Request) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.intercept = f
 }
 
-// AskedAt returns the address at which it was asked last.
-func (a *Agent) AskedAt() string {
+// LastHost returns the host and port to which the last request was sent.
+func (a *Agent) LastHost() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.askedAt
+	return a.lastHost
 }
 
-// List returns what it would answer now to a request for the full list.
+// List returns the full list, including endpoints that have left.
 func (a *Agent) List() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return List{a.index, true, slices.Clone(a.list)}
 }
 
-// Change sets entries. One that has left is told as such and then missing from the full list.
+// Change adds or replaces entries under a new version. An entry with status Left appears in changes, but not in answers
+// with the full list.
 func (a *Agent) Change(entries ...Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,7 +102,7 @@
 	a.wake()
 }
 
-// Restart starts the versions over.
+// Restart sets the version, as a restarted agent does that counts from the beginning.
 func (a *Agent) Restart(index int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,25 +111,26 @@
 	a.wake()
 }
 
-// wake ends the watches under way.
+// wake ends the pending long polls. The caller holds the lock.
 func (a *Agent) wake() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-func (a *Agent) answer(w http.ResponseWriter, r *http.Request) {
+// serveList answers a request for the list or its changes.
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	intercept := a.intercept
-	a.askedAt = r.Host
+	a.lastHost = r.Host
 	a.mu.Unlock()
 	if intercept != nil && intercept(w, r) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(a.listFor(r)) // the client may have gone
+	_ = json.NewEncoder(w).Encode(a.listFor(r)) // fails if the client has disconnected
 }
 
-// listFor is the list that a request asks for.
+// listFor returns the answer to a request. It blocks while a long poll waits for a change.
 func (a *Agent) listFor(request *http.Request) List {
 	full := a.List()
 	after, err := strconv.ParseInt(request.FormValue("after"), 10, 64)
@@ -139,8 +146,8 @@
 	return a.changesSince(after)
 }
 
-// waitForChange waits for something newer than a version.
-func (a *Agent) waitForChange(after int64, timeout time.Duration, clientGone <-chan struct{}) {
+// waitForChange waits until the list is newer than a version, the timeout has passed, or the client has disconnected.
+func (a *Agent) waitForChange(after int64, timeout time.Duration, disconnected <-chan struct{}) {
 	a.mu.Lock()
 	changed, index := a.changed, a.index
 	a.mu.Unlock()
@@ -152,10 +159,11 @@
 	select {
 	case <-changed:
 	case <-timer.C:
-	case <-clientGone:
+	case <-disconnected:
 	}
 }
 
+// changesSince returns the entries that changed after a version.
 func (a *Agent) changesSince(after int64) List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -10,85 +10,98 @@
 	"time"
 )
 
-// errUnusable is an order that the relay does not take.
-var errUnusable = errors.New("the order cannot be used")
+// Names of the orders in a call. The fields of an order are separated by commas, the orders of a call by semicolons.
+const (
+	setWeight       = "put"     // table, endpoint, weight
+	clearTable      = "wipe"    // table
+	attachTable     = "attach"  // proxy, table, request classes joined with "+" or "*" for all
+	setRateLimit    = "gate"    // table, request class, limit, retries allowed
+	ejectEndpoint   = "eject"   // endpoint
+	unejectEndpoint = "uneject" // endpoint
+	acknowledgment  = "fence"   // sequence number, 1 for an acknowledgment of all proxies
+	allClasses      = "*"
+	allProxiesField = "1"
+)
+
+// errRejected is returned for an order that the relay does not apply.
+var errRejected = errors.New("order rejected")
 
-// transaction is one call being carried out.
-type transaction struct {
+// call is a call while it is being applied.
+type call struct {
 	state      *State
 	classes    []string
-	reached    map[int]bool // proxies
-	sequence   string       // that is to be acknowledged; empty: none
-	allProxies bool         // by all of them
+	reached    map[int]bool // proxies that get a message
+	sequence   string       // to be acknowledged; empty: no acknowledgment was requested
+	allProxies bool         // all proxies acknowledge, not only those reached
 }
 
-// carryOut applies orders up to the first that cannot be used and tells how many that were. The proxies reached
-// acknowledge the call at once.
-func (r *Relay) carryOut(orders []string) (taken int) {
+// apply applies orders up to the first that is rejected, and returns the number of applied orders. The proxies that the
+// call reaches acknowledge it at once.
+func (r *Relay) apply(orders []string) (applied int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state.Calls = append(r.state.Calls, orders)
-	transaction := &transaction{state: &r.state, classes: r.classes, reached: map[int]bool{}}
+	call := &call{state: &r.state, classes: r.classes, reached: map[int]bool{}}
 	for _, order := range orders {
-		if transaction.apply(strings.Split(order, ",")) != nil {
+		if call.apply(strings.Split(order, ",")) != nil {
 			break
 		}
-		taken++
+		applied++
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.state.Proxies)) {
-		if !transaction.reached[id] && !transaction.allProxies {
+		if !call.reached[id] && !call.allProxies {
 			continue
 		}
 		p := r.state.Proxies[id]
 		p.Messages = append(p.Messages, time.Now())
-		if transaction.sequence != "" {
-			r.events.send(fmt.Sprintf("event: applied\ndata: node=%d&nonce=%s&latency=1.5\n\n", id, transaction.sequence))
+		if call.sequence != "" {
+			r.events.send(acknowledgedEvent(id, call.sequence))
 		}
 	}
-	return taken
+	return applied
 }
 
-// fieldCount is how many fields an order has, its name included.
+// fieldCount returns the number of fields of an order, including its name; 0 for an unknown order.
 func fieldCount(name string) int {
 	switch name {
-	case "put", "attach":
+	case setWeight, attachTable:
 		return 4
-	case "gate":
+	case setRateLimit:
 		return 5
-	case "fence":
+	case acknowledgment:
 		return 3
-	case "wipe", "eject", "uneject":
+	case clearTable, ejectEndpoint, unejectEndpoint:
 		return 2
 	}
 	return 0
 }
 
-// apply carries out one order, given by its fields.
-func (t *transaction) apply(fields []string) error {
+// apply applies one order, given by its fields.
+func (c *call) apply(fields []string) error {
 	name := fields[0]
 	if len(fields) != fieldCount(name) {
-		return errUnusable
+		return errRejected
 	}
 	switch name {
-	case "put":
-		return t.setWeight(number(fields[1]), fields[2], fields[3])
-	case "wipe":
-		t.clearTable(number(fields[1]))
-	case "attach":
-		return t.attach(number(fields[1]), number(fields[2]), fields[3])
-	case "gate":
-		t.state.Limits[fields[1]+","+fields[2]] = fields[3]
-		t.reachUsers(number(fields[1]))
-	case "eject", "uneject":
-		t.state.Ejected[fields[1]] = name == "eject"
-	case "fence":
-		t.sequence = fields[1]
-		t.allProxies = fields[2] == "1"
+	case setWeight:
+		return c.setWeight(number(fields[1]), fields[2], fields[3])
+	case clearTable:
+		c.clearTable(number(fields[1]))
+	case attachTable:
+		return c.attach(number(fields[1]), number(fields[2]), fields[3])
+	case setRateLimit:
+		c.state.Limits[fields[1]+","+fields[2]] = fields[3]
+		c.reachUsers(number(fields[1]))
+	case ejectEndpoint, unejectEndpoint:
+		c.state.Ejected[fields[1]] = name == ejectEndpoint
+	case acknowledgment:
+		c.sequence = fields[1]
+		c.allProxies = fields[2] == allProxiesField
 	}
 	return nil
 }
 
-// number reads a whole number, 0 where there is none.
+// number parses an integer. It returns 0 for any other text.
 func number(field string) int {
 	n, err := strconv.Atoi(field)
 	if err != nil {
@@ -97,50 +110,58 @@
 	return n
 }
 
-func (t *transaction) setWeight(table int, endpoint, text string) error {
+// setWeight sets the weight of a table entry. Weight 0 removes the entry.
+func (c *call) setWeight(table int, endpoint, text string) error {
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || weight < 0 {
-		return errUnusable
+		return errRejected
 	}
-	if t.state.Tables[table] == nil {
-		t.state.Tables[table] = map[string]float64{}
+	if c.state.Tables[table] == nil {
+		c.state.Tables[table] = map[string]float64{}
 	}
-	t.state.Tables[table][endpoint] = weight
+	c.state.Tables[table][endpoint] = weight
 	if weight == 0 {
-		delete(t.state.Tables[table], endpoint)
+		delete(c.state.Tables[table], endpoint)
 	}
-	t.reachUsers(table)
+	c.reachUsers(table)
 	return nil
 }
 
-func (t *transaction) clearTable(table int) {
-	delete(t.state.Tables, table)
+// clearTable removes a table's entries and rate limits.
+func (c *call) clearTable(table int) {
+	delete(c.state.Tables, table)
 	prefix := strconv.Itoa(table) + ","
-	maps.DeleteFunc(t.state.Limits, func(key, _ string) bool { return strings.HasPrefix(key, prefix) })
-	t.reachUsers(table)
+	maps.DeleteFunc(c.state.Limits, func(key, _ string) bool { return strings.HasPrefix(key, prefix) })
+	c.reachUsers(table)
 }
 
-func (t *transaction) attach(id, table int, classes string) error {
-	p := t.state.Proxies[id]
+// attach makes a proxy use a table for request classes. It rejects a proxy that is not connected.
+func (c *call) attach(id, table int, classes string) error {
+	p := c.state.Proxies[id]
 	if p == nil {
-		return errUnusable
+		return errRejected
 	}
 	names := strings.Split(classes, "+")
-	if classes == "*" {
-		names = t.classes
+	if classes == allClasses {
+		names = c.classes
 	}
 	for _, class := range names {
 		p.Tables[class] = table
 	}
-	t.reached[id] = true
+	c.reached[id] = true
 	return nil
 }
 
-// reachUsers marks the proxies that use a table.
-func (t *transaction) reachUsers(table int) {
-	for id, p := range t.state.Proxies {
+// reachUsers marks the proxies that use a table as reached.
+func (c *call) reachUsers(table int) {
+	for id, p := range c.state.Proxies {
 		for _, used := range p.Tables {
-			t.reached[id] = t.reached[id] || used == table
+			c.reached[id] = c.reached[id] || used == table
 		}
 	}
 }
+
+// acknowledgedEvent returns the event of a proxy that has applied a call.
+func acknowledgedEvent(proxy int, sequence string) string {
+	return fmt.Sprintf("event: applied\ndata: node=%d&nonce=%s&latency=1.5\n\n", proxy, sequence)
+}
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -1,5 +1,6 @@
-// Package relaytest is a fake of the relay and its proxies by the protocol's pages, in the manner of httptest, for tests
-// and the demo. It carries no load and measures nothing.
+// Package relaytest provides a fake relay with its proxies for tests and the demo, as net/http/httptest does for HTTP. It
+// applies the orders of calls to its State, sends proxies' events and acknowledgments on event streams, and injects faults.
+// Its proxies serve no requests.
 package relaytest
 
 import (
@@ -12,24 +13,24 @@
 	"madderhollow/internal/testserver"
 )
 
-// Fault is what happens to a call.
+// Fault is a failure of one call.
 type Fault int
 
-// The faults.
+// The faults of a call.
 const (
 	NoFault       Fault = iota
-	ResetBefore         // reset, nothing carried out
-	ResetAfter          // carried out, then reset
-	SilentBefore        // nothing carried out, no answer
-	SilentAfter         // carried out, no answer
-	GarbledAnswer       // carried out, an answer that cannot be read
-	HalfTaken           // half carried out, as if the next order could not be used yet
-	BusyAnswer
-	SyntaxAnswer
+	ResetBefore         // no order is applied, the connection is reset
+	ResetAfter          // all orders are applied, then the connection is reset
+	SilentBefore        // no order is applied, no answer is sent
+	SilentAfter         // all orders are applied, no answer is sent
+	GarbledAnswer       // all orders are applied, the answer is malformed
+	HalfTaken           // the first half of the orders is applied, the next one is rejected
+	BusyAnswer          // no order is applied, the answer is the error BUSY
+	SyntaxAnswer        // no order is applied, the answer is the error SYNTAX
 )
 
-// carriesOut tells whether the orders, or half of them, are carried out.
-func (f Fault) carriesOut() bool {
+// appliesOrders reports whether the orders, or half of them, are applied.
+func (f Fault) appliesOrders() bool {
 	switch f {
 	case NoFault, ResetAfter, SilentAfter, GarbledAnswer, HalfTaken:
 		return true
@@ -37,25 +38,25 @@
 	return false
 }
 
-// Proxy is a connected proxy, as far as the relay knows it.
+// Proxy is a connected proxy.
 type Proxy struct {
 	Zone     string
-	Rate     float64
-	Tables   map[string]int // by request class
+	Rate     float64        // requests per second at its connection
+	Tables   map[string]int // attached table by request class
 	Messages []time.Time    // when calls reached it, since it connected
 	Fresh    bool           // it held no assigned table when it connected
 }
 
-// State is what calls have brought about.
+// State is the result of all calls.
 type State struct {
-	Proxies map[int]*Proxy
+	Proxies map[int]*Proxy             // connected, by number
 	Tables  map[int]map[string]float64 // weights by table and endpoint
-	Limits  map[string]string          // by table and class, with a comma between
-	Ejected map[string]bool
-	Calls   [][]string
+	Limits  map[string]string          // rate limits by "table,class", as written in the order
+	Ejected map[string]bool            // by endpoint
+	Calls   [][]string                 // orders of the calls that were applied, the oldest first
 }
 
-// Relay is the fake. Its methods may be used by several goroutines.
+// Relay is a fake relay. Several goroutines may call its methods.
 type Relay struct {
 	*testserver.Server
 
@@ -67,39 +68,56 @@
 	stopped chan struct{}
 }
 
-// New starts a relay at an address, or at a free port if that is empty, for proxies with these request classes.
+// New starts a relay at an address; an empty address stands for a free port on the loopback address. The classes are the
+// request classes of its proxies. The caller closes the relay.
 func New(address string, classes ...string) (*Relay, error) {
-	r := &Relay{classes: classes, events: newBroadcaster(), stopped: make(chan struct{}),
-		state: State{Proxies: map[int]*Proxy{}, Tables: map[int]map[string]float64{}, Limits: map[string]string{}, Ejected: map[string]bool{}}}
+	relay := &Relay{
+		classes: classes,
+		events:  newBroadcaster(),
+		stopped: make(chan struct{}),
+		state: State{
+			Proxies: map[int]*Proxy{},
+			Tables:  map[int]map[string]float64{},
+			Limits:  map[string]string{},
+			Ejected: map[string]bool{},
+		},
+	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /{$}", r.answerCall)
-	mux.HandleFunc("GET /stream", r.serveStream)
-	var err error
-	r.Server, err = testserver.New(address, mux)
-	return r, err
+	mux.HandleFunc("POST /{$}", relay.serveCall)
+	mux.HandleFunc("GET /stream", relay.serveStream)
+	server, err := testserver.New(address, mux)
+	if err != nil {
+		return nil, fmt.Errorf("relay: %w", err)
+	}
+	relay.Server = server
+	return relay, nil
 }
 
-// Close ends it and all its connections.
+// Close stops the relay and closes all its connections. It must be called once.
 func (r *Relay) Close() error {
 	close(r.stopped)
-	return r.Server.Close()
+	if err := r.Server.Close(); err != nil {
+		return fmt.Errorf("relay: %w", err)
+	}
+	return nil
 }
 
-// SetFault has calls ask f for their fault before anything is carried out; nil: none has any.
+// SetFault makes f choose the fault of each call before any of its orders is applied. With nil no call fails.
 func (r *Relay) SetFault(f func(orders []string) Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// Inspect lets f read and change the state undisturbed.
+// Inspect calls f with the state, which f may read and change until it returns. No call is applied meanwhile, and f must
+// not call methods of the relay.
 func (r *Relay) Inspect(f func(state *State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.state)
 }
 
-// Connect lets a proxy connect.
+// Connect connects a proxy and sends the event. A fresh proxy holds no assigned table yet.
 func (r *Relay) Connect(id int, zone string, rate float64, fresh bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,27 +126,28 @@
 	r.events.send(connectedEvent(id, p))
 }
 
-// Disconnect lets a proxy disconnect.
+// Disconnect disconnects a proxy and sends the event.
 func (r *Relay) Disconnect(id int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.state.Proxies, id)
-	r.events.send(fmt.Sprintf("event: left\ndata: node=%d\n\n", id))
+	r.events.send(disconnectedEvent(id))
 }
 
-func (r *Relay) answerCall(response http.ResponseWriter, request *http.Request) {
+// serveCall applies the orders of a call and answers with the number of applied orders.
+func (r *Relay) serveCall(response http.ResponseWriter, request *http.Request) {
 	if request.PostFormValue("Action") != "CommitChanges" || request.PostFormValue("orders") == "" {
 		answerError(response, "SYNTAX")
 		return
 	}
 	orders := strings.Split(request.PostFormValue("orders"), ";")
-	fault := r.faultOf(orders)
+	fault := r.chooseFault(orders)
 	if fault == HalfTaken {
 		orders = orders[:len(orders)/2]
 	}
-	taken := 0
-	if fault.carriesOut() {
-		taken = r.carryOut(orders)
+	applied := 0
+	if fault.appliesOrders() {
+		applied = r.apply(orders)
 	}
 	switch fault {
 	case ResetBefore, ResetAfter:
@@ -147,11 +166,12 @@
 		answerError(response, "SYNTAX")
 	default:
 		response.Header().Set("Content-Type", "text/xml")
-		answer(response, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><results><item><taken>%d</taken></item></results></Response>\n", taken))
+		answer(response, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><results><item><taken>%d</taken></item></results></Response>\n", applied))
 	}
 }
 
-func (r *Relay) faultOf(orders []string) Fault {
+// chooseFault returns the fault of a call with these orders.
+func (r *Relay) chooseFault(orders []string) Fault {
 	r.mu.Lock()
 	fault := r.fault
 	r.mu.Unlock()
@@ -161,10 +181,12 @@
 	return fault(orders)
 }
 
+// answer writes a part of a response. A write error means that the client has disconnected.
 func answer(w http.ResponseWriter, text string) {
-	_, _ = fmt.Fprint(w, text) // the client may have gone
+	_, _ = fmt.Fprint(w, text)
 }
 
+// answerError answers with an error code of the protocol.
 func answerError(w http.ResponseWriter, code string) {
 	w.WriteHeader(http.StatusBadRequest)
 	answer(w, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>\n", code))
--- a/internal/relaytest/stream.go
+++ b/internal/relaytest/stream.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// defaultHeartbeat is the time between two heartbeats.
+	// defaultHeartbeat is the time between two heartbeats of a stream.
 	defaultHeartbeat = time.Second
-	// maxBehind events wait for a reader; one that is further behind is cut off.
-	maxBehind = 1000
-	heartbeat = ":\n\n"
+	// maxBuffered is the number of events that wait for a reader. A slower reader's stream is broken.
+	maxBuffered = 1000
+	heartbeat   = ":\n\n"
 )
 
-// broadcaster sends events to the readers of the stream. Its owner's lock guards it.
+// broadcaster sends events to the readers of all streams. The relay's lock guards it.
 type broadcaster struct {
-	readers  []chan string // the first one first
+	readers  []chan string // in the order in which their streams were opened; closed when the stream is to break
 	interval time.Duration // between heartbeats
 }
 
 func newBroadcaster() broadcaster { return broadcaster{interval: defaultHeartbeat} }
 
+// add returns a channel for the events of a new stream.
 func (b *broadcaster) add() chan string {
-	reader := make(chan string, maxBehind)
+	reader := make(chan string, maxBuffered)
 	b.readers = append(b.readers, reader)
 	return reader
 }
 
-// send gives an event to all readers.
+// send sends an event to all readers. It does not block.
 func (b *broadcaster) send(event string) {
 	for _, reader := range slices.Clone(b.readers) {
 		select {
@@ -41,7 +42,7 @@
 	}
 }
 
-// cut ends a reader's stream, if it is open.
+// cut breaks a reader's stream if it is open.
 func (b *broadcaster) cut(reader chan string) {
 	i := slices.Index(b.readers, reader)
 	if i < 0 {
@@ -51,28 +52,28 @@
 	b.readers = slices.Delete(b.readers, i, i+1)
 }
 
-// SetHeartbeat sets the time between two heartbeats, for streams that are opened from now on.
+// SetHeartbeat sets the time between two heartbeats for streams that are opened later. The default is one second.
 func (r *Relay) SetHeartbeat(interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events.interval = interval
 }
 
-// SendHeartbeat sends a heartbeat at once.
+// SendHeartbeat sends a heartbeat on all streams.
 func (r *Relay) SendHeartbeat() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events.send(heartbeat)
 }
 
-// Readers tells how many streams are open.
+// Readers returns the number of open streams.
 func (r *Relay) Readers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.events.readers)
 }
 
-// CutStreams breaks all streams; a text, if any, is sent first.
+// CutStreams breaks all streams after sending a text, which may be empty or an incomplete event.
 func (r *Relay) CutStreams(last string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// CutOldestStream breaks the stream that was opened first.
+// CutOldestStream breaks the stream that was opened first, if any.
 func (r *Relay) CutOldestStream() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,6 +92,7 @@
 	}
 }
 
+// connectedEvent returns the event of a proxy that has connected.
 func connectedEvent(id int, p *Proxy) string {
 	fresh := 0
 	if p.Fresh && len(p.Tables) == 0 {
@@ -99,7 +101,13 @@
 	return fmt.Sprintf("event: joined\ndata: node=%d&locality=%s&w=%g&cold=%d\n\n", id, p.Zone, p.Rate, fresh)
 }
 
-// openStream gives a reader and the snapshot that it begins with.
+// disconnectedEvent returns the event of a proxy that has disconnected.
+func disconnectedEvent(id int) string {
+	return fmt.Sprintf("event: left\ndata: node=%d\n\n", id)
+}
+
+// openStream registers a new stream and returns the channel of its events, the snapshot that precedes them, and the time
+// between heartbeats.
 func (r *Relay) openStream() (reader chan string, snapshot string, interval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,12 +117,14 @@
 	return r.events.add(), snapshot, r.events.interval
 }
 
+// closeStream removes a stream.
 func (r *Relay) closeStream(reader chan string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events.cut(reader)
 }
 
+// serveStream serves one event stream until its client disconnects or the stream is cut.
 func (r *Relay) serveStream(w http.ResponseWriter, request *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -125,14 +135,14 @@
 	defer heartbeats.Stop()
 	for {
 		answer(w, text)
-		if controller.Flush() != nil { // the client has gone
+		if controller.Flush() != nil { // the client has disconnected
 			return
 		}
 		var open bool
 		select {
 		case text, open = <-reader:
 			if !open {
-				panic(http.ErrAbortHandler) // a reset, as far as a handler can give one
+				panic(http.ErrAbortHandler) // closes the connection without an end of the response
 			}
 		case <-heartbeats.C:
 			text = heartbeat
--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -1,5 +1,5 @@
-// Package testserver is an HTTP server on the loopback address that can move to another port, for the fakes of the
-// assigner's surroundings.
+// Package testserver provides an HTTP server that can move to another address, for the fakes of the services that an
+// assigner uses.
 package testserver
 
 import (
@@ -12,27 +12,29 @@
 	"time"
 )
 
-// freePort is the address at which the kernel chooses a port.
+// freePort makes the kernel choose a port.
 const freePort = "127.0.0.1:0"
 
-// readHeaderTimeout bounds a request's head.
+// readHeaderTimeout bounds the time for reading the header of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves a handler at one address at a time.
+// Server serves a handler at one address at a time. Several goroutines may call its methods.
 type Server struct {
 	handler  http.Handler
 	mu       sync.Mutex
-	servers  []*http.Server
-	listener net.Listener
-	idle     map[net.Conn]bool // connections that no request is under way on
+	servers  []*http.Server    // one for each address so far, the current one last
+	listener net.Listener      // of the current address
+	idle     map[net.Conn]bool // connections without a pending request
 }
 
-// New starts a server at an address, or at a free port if that is empty.
+// New starts a server at an address; an empty address stands for a free port on the loopback address. The caller closes the
+// server.
 func New(address string, handler http.Handler) (*Server, error) {
 	s := &Server{handler: handler, idle: map[net.Conn]bool{}}
 	return s, s.open(address)
 }
 
+// open starts serving at an address.
 func (s *Server) open(address string) error {
 	if address == "" {
 		address = freePort
@@ -46,10 +48,11 @@
 	defer s.mu.Unlock()
 	s.servers = append(s.servers, server)
 	s.listener = listener
-	go func() { _ = server.Serve(listener) }() // it ends with an error whenever it is closed
+	go func() { _ = server.Serve(listener) }() // returns an error when Move or Close closes the listener
 	return nil
 }
 
+// connState keeps idle up to date. The HTTP servers call it when a connection changes its state.
 func (s *Server) connState(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,40 +62,42 @@
 	}
 }
 
-// Address is where it listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listener.Addr().String()
 }
 
-// Move opens another address, a free port if that is empty. The one before takes no new connection, and its open ones
-// close after a time.
-func (s *Server) Move(to string, after time.Duration) error {
+// Move makes the server listen at another address; an empty address stands for a free port. The old address accepts no
+// connections any more, and its open connections are closed after a delay.
+func (s *Server) Move(to string, closeAfter time.Duration) error {
 	s.mu.Lock()
 	listener, server := s.listener, s.servers[len(s.servers)-1]
 	s.mu.Unlock()
 	if err := listener.Close(); err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
-	time.AfterFunc(after, func() { _ = server.Close() }) // nobody is left to be told
+	time.AfterFunc(closeAfter, func() { _ = server.Close() }) // its only error is that of the closed listener
 	return s.open(to)
 }
 
-// CloseIdle closes the connections that no request is under way on, as servers do after a while, and tells how many.
+// CloseIdle closes the connections without a pending request, as a server does after an idle timeout, and returns their
+// number.
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.idle {
-		_ = conn.Close() // the client may have closed it at the same time
+		_ = conn.Close() // fails if the client has closed it at the same time
 	}
 	n := len(s.idle)
 	clear(s.idle)
 	return n
 }
 
-// Close ends it and all its connections. It waits for servers whose state changes need the lock.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() error {
+	// The lock must not be held while the servers close, because they call connState.
 	s.mu.Lock()
 	servers := slices.Clone(s.servers)
 	s.mu.Unlock()
