--- a/internal/eventually/eventually.go
+++ b/internal/eventually/eventually.go
@@ -1,14 +1,15 @@
-// Package eventually waits for conditions that other goroutines or processes bring about.
+// Package eventually waits for conditions that depend on other goroutines or processes.
 package eventually
 
 import "time"
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two evaluations of a condition.
 const pollInterval = time.Millisecond
 
-// True waits until a condition holds, and tells whether it did within the time.
-func True(within time.Duration, condition func() bool) bool {
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(pollInterval) {
+// True waits until a condition is true, and reports whether it became true within the timeout. It evaluates the condition at
+// least once.
+func True(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return true
 		}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,5 @@
-// Package golden compares what a test produces with a file in its testdata folder.
+// Package golden compares the output of a test with a recorded file in its testdata directory. With the environment variable
+// GOLDEN_UPDATE set, it records the file again.
 package golden
 
 import (
@@ -8,13 +9,14 @@
 	"testing"
 )
 
-// updateVariable is the environment variable that, when set, has files written instead of compared.
+// updateVariable is the environment variable that makes Compare write files.
 const updateVariable = "GOLDEN_UPDATE"
 
-// filePermissions are those of files written anew.
+// filePermissions are the permissions of recorded files.
 const filePermissions = 0o644
 
-// Compare fails the test at each line in which got differs from the file.
+// Compare reports a test error for each line in which got differs from the file, and stops the test if the number of lines
+// differs.
 func Compare(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
@@ -29,7 +31,7 @@
 	}
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	if len(gotLines) != len(wantLines) {
-		tb.Fatalf("%s: %d lines, want %d", name, len(gotLines), len(wantLines))
+		tb.Fatalf("%s: got %d lines, want %d", name, len(gotLines), len(wantLines))
 	}
 	for i := range gotLines {
 		if !bytes.Equal(gotLines[i], wantLines[i]) {
--- a/internal/quickcheck/quickcheck.go
+++ b/internal/quickcheck/quickcheck.go
@@ -1,4 +1,4 @@
-// Package quickcheck checks properties of seeded scenarios with testing/quick, on the same seeds each time.
+// Package quickcheck tests properties of seeded scenarios with testing/quick. Every run uses the same seeds.
 package quickcheck
 
 import (
@@ -7,10 +7,10 @@
 	"testing/quick"
 )
 
-// sourceSeed draws the scenarios' seeds.
+// sourceSeed is the seed of the source from which the seeds of the scenarios are drawn.
 const sourceSeed = 1
 
-// Seeds fails the test unless a property holds for so many seeds.
+// Seeds fails the test, and prints the seed, unless a property holds for count seeds.
 func Seeds(t *testing.T, count int, property func(seed int64) bool) {
 	t.Helper()
 	config := &quick.Config{MaxCount: count, Rand: rand.New(rand.NewSource(sourceSeed))}
--- a/internal/testconfig/settings.go
+++ b/internal/testconfig/settings.go
@@ -1,7 +1,7 @@
 package testconfig
 
-// Settings returns a small deployment's settings as the platform hands them over, in the operators' names and units: three
-// zones, six proxies, two request classes.
+// Settings returns the settings object of a small deployment with three zones, six proxies and two request classes. Names and
+// units are those of the settings; docs/configuration.md describes them.
 func Settings() map[string]any {
 	return map[string]any{
 		"az": "x", "zones": []string{"x", "y", "z"}, "balancers": 1, "rank": 0, "kinds": []string{"m"},
--- a/internal/testconfig/testconfig.go
+++ b/internal/testconfig/testconfig.go
@@ -1,9 +1,9 @@
-// Package testconfig makes configurations for tests.
+// Package testconfig provides configurations for tests.
 package testconfig
 
 import "madderhollow/assign"
 
-// New makes a configuration with these zones, so many proxies and request classes of these names, and defaults else.
+// New returns the default configuration with zones, a number of proxies and request classes with default members.
 func New(zones []string, proxies int, classNames ...string) assign.Config {
 	config := assign.DefaultConfig()
 	config.Zones = zones
