--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Make variants of a deployment for the operators' bench.
+"""Create variants of a deployment for the operators' bench.
 
 usage: lay.py SITE [FOLDER]
 
-SITE is a site file (TOML) of the operators' kit. Each variant below is that file with some lines changed, so that the
-program is also played on deployments that it was never tuned on. The variants, with the files that the bench wants
-beside a site, are written into FOLDER; by default that is deploy/sites/laid, which git ignores.
+SITE is a site file (TOML) of the operators' kit. Each variant is that file with some lines changed. Scores on the variants
+show whether the program works on deployments for which it was not tuned. The variants, and copies of the files that the
+bench expects in the same folder, are written to FOLDER; the default is deploy/sites/laid, which git ignores.
 """
 
 import pathlib
@@ -13,14 +13,14 @@
 import shutil
 import sys
 
-# Changes to a site file, by place. A place is `section.key`, or `section[i]` for all of the i-th section of a list of
-# sections. The value is the new text of a key, None to take the line or section out, or the keys of a section that is
-# added behind the last one of its list.
+# Changes to a site file, by place. A place is `section.key`, or `section[i]` for the whole i-th section of a list of
+# sections. The value is the new text of the key, None to remove the line or section, or the keys of a new section that
+# is appended to its list.
 Section = dict[str, str]
 Changes = dict[str, str | Section | None]
 
 VARIANTS: dict[str, Changes] = {
-    # One zone, one class that is not idempotent, admission by ratio, no limit on messages.
+    # One zone, one request class that is not idempotent, rate limits as ratios, no limit on messages.
     "harbour": {
         "name": '"harbour"',
         "net.zones": '["quay"]',
@@ -47,7 +47,7 @@
         "prices.waste": "0.01",
         "rules.fall_multiple": "2",
     },
-    # Four zones, five classes of which two share a name's beginning, few messages, other deadlines and costs.
+    # Four zones, five request classes (one name is a prefix of another), few messages, other deadlines and costs.
     "foundry": {
         "name": '"foundry"',
         "net.zones": '["z1", "z2", "z3", "z4"]',
@@ -107,29 +107,29 @@
     },
 }
 
-# Files that the bench wants beside a site.
+# Files that the bench expects in the folder of a site.
 COMPANIONS = ("real.json", "wire.json", "unlock.txt")
 
-# Permissions of the copies: the kit's own are not writable.
+# Permissions of the copies. The files of the kit may be read-only.
 FILE_MODE = 0o644
 
 
 class UnusedChange(Exception):
-    """A change names a line or section that the site file does not have."""
+    """A change names a line or section that is not in the site file."""
 
 
 class Variant:
-    """One variant under construction: the lines written so far and the changes that have not met their line yet."""
+    """A variant that is being written: its lines so far and the changes whose place has not been reached."""
 
     def __init__(self, changes: Changes) -> None:
         self.pending = dict(changes)
         self.lines: list[str] = []
-        self.section = ""  # that the next line belongs to, `name[i]` in a list of sections
-        self.removed = False  # the section is to be left out
-        self.counts: dict[str, int] = {}  # sections seen, by the name of their list
+        self.section = ""  # current section, `name[i]` in a list of sections
+        self.removed = False  # the current section is removed
+        self.counts: dict[str, int] = {}  # sections so far, by the name of their list
 
     def add(self, line: str) -> None:
-        """Take in one line of the site file."""
+        """Process the next line of the site file."""
         if head := re.fullmatch(r"\[\[(.+)\]\]", line):
             self._begin_listed_section(head[1])
         elif head := re.fullmatch(r"\[(.+)\]", line):
@@ -144,7 +144,7 @@
             self.lines.append(line)
 
     def text(self) -> str:
-        """Return the variant. Raises UnusedChange if a change met nothing."""
+        """Return the variant. Raise UnusedChange if the place of a change was not found."""
         if self.pending:
             raise UnusedChange(", ".join(self.pending))
         return "\n".join(self.lines) + "\n"
@@ -157,7 +157,7 @@
         self.removed = self.pending.pop(self.section, "") is None
 
     def _add_new_sections(self) -> None:
-        """Write the sections that come behind the last one of the list that ends here."""
+        """Append the new sections of the list of sections that ends here."""
         for place, keys in list(self.pending.items()):
             match = re.fullmatch(r"(\w+)\[(\d+)\]", place)
             if not match or not isinstance(keys, dict):
@@ -170,7 +170,7 @@
                 del self.pending[place]
 
     def _changed(self, key: str, line: str) -> str | None:
-        """Return the line for a key, or None if it is taken out."""
+        """Return the line for a key, or None if it is removed."""
         place = f"{self.section}.{key}" if self.section else key
         if place not in self.pending:
             return line
@@ -179,7 +179,7 @@
 
 
 def make_variant(site: str, changes: Changes) -> str:
-    """Return a site file's text with changes. Raises UnusedChange if one of them meets no line or section."""
+    """Return the text of a site file with changes. Raise UnusedChange if the place of a change is not found."""
     variant = Variant(changes)
     for line in site.splitlines():
         variant.add(line)
@@ -187,7 +187,7 @@
 
 
 def write_variants(site: pathlib.Path, folder: pathlib.Path) -> None:
-    """Write all variants of a site, and the files that the bench wants beside them, into a folder."""
+    """Write all variants of a site, and copies of its companion files, to a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     text = site.read_text()
     for name, changes in VARIANTS.items():
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -19,34 +19,36 @@
 // proxyCount is the number of proxies.
 const proxyCount = 6
 
-// surroundings is the part of the assigner's configuration that its surroundings need as well.
-type surroundings struct {
-	Listen    string
-	Discovery string
+// platformConfig holds the members of the assigner's configuration file that the fakes use, too.
+type platformConfig struct {
+	Listen    string // the assigner's address
+	Discovery string // address of the fake agent
 	Relay     struct{ Address string }
 	Known     discoverytest.List
 }
 
-func readConfig(path string) (config surroundings, err error) {
+// readConfig reads a configuration file.
+func readConfig(path string) (config platformConfig, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return config, err
+		return config, fmt.Errorf("read configuration: %w", err)
 	}
 	if err := json.Unmarshal(data, &config); err != nil {
-		return config, fmt.Errorf("%s: %w", path, err)
+		return config, fmt.Errorf("parse %s: %w", path, err)
 	}
 	return config, nil
 }
 
-// demo is the platform.
+// demo is a platform of fakes.
 type demo struct {
-	config     surroundings
-	relay      *relaytest.Relay
-	agent      *discoverytest.Agent
-	collectors map[string]*collectortest.Collector // by zone
-	began      time.Time
+	config      platformConfig
+	relay       *relaytest.Relay
+	agent       *discoverytest.Agent
+	collectors  map[string]*collectortest.Collector // by zone
+	connectedAt time.Time                           // when the assigner answered the last collector's ping
 }
 
+// newDemo starts the fakes at the addresses of a configuration file.
 func newDemo(configPath string) (*demo, error) {
 	config, err := readConfig(configPath)
 	if err != nil {
@@ -54,38 +56,44 @@
 	}
 	relay, err := relaytest.New(config.Relay.Address, "read", "sign")
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start relay: %w", err)
 	}
 	agent, err := discoverytest.New(config.Discovery, config.Known.Index, config.Known.Endpoints...)
 	if err != nil {
-		return nil, errors.Join(err, relay.Close())
+		return nil, errors.Join(fmt.Errorf("start discovery: %w", err), relay.Close())
 	}
-	return &demo{config: config, relay: relay, agent: agent, collectors: map[string]*collectortest.Collector{}, began: time.Now()}, nil
+	return &demo{
+		config:      config,
+		relay:       relay,
+		agent:       agent,
+		collectors:  map[string]*collectortest.Collector{},
+		connectedAt: time.Now(),
+	}, nil
 }
 
-// close ends the fakes. The process ends next, so that nothing is left of them either way.
+// close stops the fakes. The process exits next, so errors have no consequence.
 func (d *demo) close() {
 	_ = d.relay.Close()
 	_ = d.agent.Close()
 }
 
-// say tells the reader something, with the seconds since the assigner came.
-func (d *demo) say(format string, values ...any) {
-	fmt.Printf("%5.1f s  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, values...))
+// printf prints a line with the time since the collectors connected.
+func (d *demo) printf(format string, values ...any) {
+	fmt.Printf("%5.1f s  %s\n", time.Since(d.connectedAt).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// load is what a second's reports tell.
+// load is the content of the reports of one second.
 type load struct {
-	requests int // of class read at each proxy; class sign has a fifth of it
-	failed   int // attempts at each endpoint, of half as many
-	latency  float64
-	busy     float64
+	requests int     // of class read at each proxy; class sign has a fifth of them
+	failed   int     // attempts at each endpoint, which gets half as many attempts as requests
+	latency  float64 // milliseconds
+	busy     float64 // busy fraction of each endpoint
 }
 
-// calm is a load with which nothing needs a change.
-func calm() load { return load{requests: 20, latency: 150, busy: 0.4} }
+// normal is a load that needs no rate limit.
+func normal() load { return load{requests: 20, latency: 150, busy: 0.4} }
 
-// report has the collectors report a second, and lets it pass.
+// report makes the collectors report a load, and waits one second.
 func (d *demo) report(second load) error {
 	for zone, collector := range d.collectors {
 		for _, endpoint := range d.agent.List().Endpoints {
@@ -93,13 +101,13 @@
 				continue
 			}
 			if err := collector.ReportEndpoint(endpoint.Name, second.requests/2, second.failed, second.latency, second.busy); err != nil {
-				return fmt.Errorf("the assigner is gone: %w", err)
+				return fmt.Errorf("send report: %w", err)
 			}
 		}
 		for _, proxy := range d.proxiesIn(zone) {
 			err := errors.Join(collector.ReportProxy(proxy, "read", second.requests), collector.ReportProxy(proxy, "sign", second.requests/5))
 			if err != nil {
-				return fmt.Errorf("the assigner is gone: %w", err)
+				return fmt.Errorf("send report: %w", err)
 			}
 		}
 	}
@@ -107,6 +115,7 @@
 	return nil
 }
 
+// proxiesIn returns the connected proxies of a zone.
 func (d *demo) proxiesIn(zone string) (proxies []int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
@@ -118,7 +127,7 @@
 	return proxies
 }
 
-// attached tells whether every proxy has tables for both classes.
+// attached reports whether every proxy has tables for both classes.
 func (d *demo) attached() (all bool) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		all = true
@@ -129,7 +138,7 @@
 	return all
 }
 
-// tableOfProxy0 writes its entries.
+// tableOfProxy0 formats the entries of the table of proxy 0.
 func (d *demo) tableOfProxy0() (text string) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, table := range state.Proxies[0].Tables {
@@ -143,7 +152,8 @@
 	return text
 }
 
-// limited tells how many proxies hold a class to fewer requests a second than come, and the lowest limit.
+// limited returns the number of tables that limit a class to fewer requests per second than each proxy receives, and the
+// lowest limit. Each proxy has a table of its own.
 func (d *demo) limited(class string, requests float64) (proxies int, lowest float64) {
 	lowest = requests
 	d.relay.Inspect(func(state *relaytest.State) {
@@ -158,7 +168,7 @@
 	return proxies, lowest
 }
 
-// users counts the proxies that have an endpoint in a table.
+// users returns the number of proxies that have an endpoint in a table.
 func (d *demo) users(endpoint string) (proxies int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo plays a small platform on the loopback address round one assigner and tells what that orders: a relay with
-// six proxies, discovery with twelve endpoints, and a collector for each zone. Nothing here serves a request; the reports
+// Command demo runs a small platform of fakes on the loopback address for one assigner, and prints what the assigner orders:
+// a relay with six proxies, discovery with twelve endpoints, and a collector for each zone. No request is served; the reports
 // follow a script.
 package main
 
@@ -11,7 +11,7 @@
 
 func main() {
 	configPath := flag.String("config", "examples/config.json", "the assigner's configuration")
-	movedPath := flag.String("moved", "examples/moved.json", "the one that takes its place at the end")
+	movedPath := flag.String("moved", "examples/moved.json", "the configuration that replaces it at the end")
 	flag.Parse()
 	if err := run(*configPath, *movedPath); err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
