--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -74,11 +74,7 @@
 // The life of one process: it answers pings, attaches proxies, removes a draining endpoint from the tables also after
 // failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
 func TestAssignerThroughFaultsAndOverload(t *testing.T) {
-	site := newPlatform(t)
-	daemon := start(t, site.path, "-status", site.status)
-	site.connectCollectors(t)
-	site.connectProxies()
-	site.mustAttach(t, daemon, "", "proxies are not attached")
+	site, daemon := startAttached(t)
 	site.agent.Change(endpoint("s-0", "x", discoverytest.Leaving))
 	site.mustAttach(t, daemon, "s-0", "a table still has a draining endpoint")
 	site.injectFaults()
@@ -105,11 +101,7 @@
 // SIGHUP never ends the process, even if the file is missing or incomplete. Once the file is complete, calls and watches use
 // the new addresses, while the old ones close.
 func TestReloadMovesAddresses(t *testing.T) {
-	site := newPlatform(t)
-	daemon := start(t, site.path, "-status", site.status)
-	site.connectCollectors(t)
-	site.connectProxies()
-	site.mustAttach(t, daemon, "", "proxies are not attached")
+	site, daemon := startAttached(t)
 	site.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			proxy.Messages = nil
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -227,6 +227,17 @@
 	return site
 }
 
+// startAttached starts an assigner with a status page on a new platform, and returns once its proxies are attached.
+func startAttached(t *testing.T) (*platform, *program) {
+	t.Helper()
+	site := newPlatform(t)
+	daemon := start(t, site.path, "-status", site.status)
+	site.connectCollectors(t)
+	site.connectProxies()
+	site.mustAttach(t, daemon, "", "the proxies are not attached")
+	return site, daemon
+}
+
 // writeConfig writes the first part of the configuration to the file, as a fraction of its length; 1 writes all of it.
 func (p *platform) writeConfig(t *testing.T, fraction float64) {
 	t.Helper()
