--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -97,16 +97,16 @@
 	}
 }
 
-// usage is the program's use of resources.
-type usage struct{ goroutines, heapKB, descriptors float64 }
+// resources is what the program uses.
+type resources struct{ goroutines, heapKB, descriptors float64 }
 
 // max returns the larger value of each resource.
-func (u usage) max(other usage) usage {
-	return usage{max(u.goroutines, other.goroutines), max(u.heapKB, other.heapKB), max(u.descriptors, other.descriptors)}
+func (r resources) max(other resources) resources {
+	return resources{max(r.goroutines, other.goroutines), max(r.heapKB, other.heapKB), max(r.descriptors, other.descriptors)}
 }
 
-// usage measures the program. It skips the test on systems without /proc.
-func (s *soak) usage(t *testing.T) usage {
+// resources measures the program. It skips the test on systems without /proc.
+func (s *soak) resources(t *testing.T) resources {
 	t.Helper()
 	health, err := s.health()
 	if err != nil {
@@ -116,11 +116,11 @@
 	if err != nil {
 		t.Skip("descriptors cannot be counted here")
 	}
-	return usage{health["goroutines"], health["heap_kb"], float64(len(files))}
+	return resources{health["goroutines"], health["heap_kb"], float64(len(files))}
 }
 
-// run changes the platform for a time and returns the highest usage in each half of it.
-func (s *soak) run(t *testing.T, duration time.Duration) (first, second usage) {
+// run changes the platform for a time and returns the highest values in each half of it.
+func (s *soak) run(t *testing.T, duration time.Duration) (first, second resources) {
 	t.Helper()
 	began := time.Now()
 	for step := 0; time.Since(began) < duration; step++ {
@@ -132,9 +132,9 @@
 			continue
 		}
 		if time.Since(began) > duration/2 {
-			second = second.max(s.usage(t))
+			second = second.max(s.resources(t))
 		} else {
-			first = first.max(s.usage(t))
+			first = first.max(s.resources(t))
 		}
 	}
 	return first, second
@@ -149,7 +149,7 @@
 	site.connectProxies()
 	soaked.injectFaults()
 	first, second := soaked.run(t, *soakTime)
-	t.Logf("highest usage in the first half %+v, in the second %+v", first, second)
+	t.Logf("highest values in the first half %+v, in the second %+v", first, second)
 	for name, highest := range map[string][2]float64{
 		"goroutines":  {first.goroutines, second.goroutines},
 		"KB of heap":  {first.heapKB, second.heapKB},
