--- /dev/null
+++ b/assign/subset/table.go
@@ -0,0 +1,151 @@
+package subset
+
+import (
+	"math"
+	"slices"
+
+	"madderhollow/assign/numeric"
+)
+
+// Entry is one weighted endpoint of a routing table.
+type Entry[E comparable] struct {
+	Endpoint E
+	Weight   float64
+}
+
+// WeightOf returns the weight of an endpoint in a table, 0 if the table does not hold it.
+func WeightOf[E comparable](table []Entry[E], endpoint E) float64 {
+	i := slices.IndexFunc(table, func(entry Entry[E]) bool { return entry.Endpoint == endpoint })
+	if i < 0 {
+		return 0
+	}
+	return table[i].Weight
+}
+
+// Table is a routing table that a proxy should hold.
+type Table[E comparable] struct {
+	Entries []Entry[E]
+	// WarmingCapacity is the fraction of its usual weight that the table can serve while some of its entries are warming
+	// up, 0 to 1; 0 if none is.
+	WarmingCapacity float64
+}
+
+// draft is a table under construction.
+type draft[E comparable] struct {
+	entries []Entry[E]
+	weight  float64 // of all entries
+	warming float64 // of the entries that are warming up
+	sound   float64 // of the warm entries, less the fraction that fails
+}
+
+// add appends candidates and returns their weight, usable and as listed.
+func (d *draft[E]) add(chosen []*Candidate[E]) (weight, listedWeight float64) {
+	for _, c := range chosen {
+		d.entries = append(d.entries, Entry[E]{c.Endpoint, c.Weight})
+		weight += c.Weight
+		listedWeight += c.ListedWeight
+		if c.Warming {
+			d.warming += c.Weight
+		} else {
+			d.sound += c.Weight * (1 - c.FailureRatio)
+		}
+	}
+	return weight, listedWeight
+}
+
+// Build returns the table that a proxy should hold, given the one that it holds, the rate in requests per second that it
+// brings, and the table size in entries. It prefers endpoints of the proxy's zone, because crossing zones is charged for, and
+// adds remote ones until the table carries what tables of the zone usually do.
+func (plan *Plan[E]) Build(held []Entry[E], rate, tableSize float64) Table[E] {
+	plan.AddLoad(held, -rate)
+	plan.rank(held)
+	size := int(math.Round(tableSize))
+	remoteSize := min(int(math.Round(plan.remoteFraction*float64(size))), size-1)
+
+	table := &draft[E]{}
+	localWeight, _ := table.add(plan.lowestRanked(false, size-remoteSize))
+	localEntries := len(table.entries)
+	remoteWeight, remoteListed := table.add(plan.lowestRanked(true, remoteSize))
+	if localWeight > 0 && remoteWeight > 0 { // the remote entries get their fraction, however few they are
+		scale := localWeight / remoteListed * plan.remoteFraction / (1 - plan.remoteFraction)
+		for i := range table.entries[localEntries:] {
+			table.entries[localEntries+i].Weight *= scale
+		}
+		remoteWeight *= scale
+	}
+	table.weight = localWeight + remoteWeight
+
+	plan.AddLoad(table.entries, rate)
+	capacity := plan.capWarming(table)
+	return Table[E]{Entries: table.entries, WarmingCapacity: capacity}
+}
+
+const (
+	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry moves: a
+	// new connection is expensive.
+	ReassignmentRatio = 3.0
+	// stickinessMargin keeps an entry among candidates of equal rank.
+	stickinessMargin = 1e-9
+)
+
+// rank ranks the candidates by load for a proxy, and those that it holds lower.
+func (plan *Plan[E]) rank(held []Entry[E]) {
+	for _, c := range plan.candidates {
+		c.rank = c.load
+		c.penalizeRank()
+	}
+	for _, entry := range held {
+		if c := plan.byEndpoint[entry.Endpoint]; c != nil && entry.Weight > 0 {
+			c.rank = c.load/ReassignmentRatio - stickinessMargin
+		}
+	}
+}
+
+// lowestRanked returns the local or remote candidates of lowest rank, as many as the size says. Sorting all of them for each
+// proxy would cost too much CPU in a large fleet.
+func (plan *Plan[E]) lowestRanked(remote bool, size int) []*Candidate[E] {
+	chosen := make([]*Candidate[E], 0, size+1)
+	if size <= 0 {
+		return chosen
+	}
+	for _, c := range plan.candidates {
+		if c.Remote != remote {
+			continue
+		}
+		i := len(chosen)
+		for i > 0 && c.before(chosen[i-1]) {
+			i--
+		}
+		if i < size {
+			chosen = slices.Insert(chosen, i, c)
+			chosen = chosen[:min(len(chosen), size)]
+		}
+	}
+	return chosen
+}
+
+// maxWarmingShare is the most that warming endpoints may have of a table's weight.
+const maxWarmingShare = 0.9
+
+// capWarming limits the warming endpoints of a table to the part that a full table would give them, even if warm ones are
+// missing. It returns the fraction of its usual weight that the table can serve, 0 if none of its entries is warming up.
+func (plan *Plan[E]) capWarming(table *draft[E]) float64 {
+	if table.warming == 0 {
+		return 0
+	}
+	fullTableWeight := math.Max(plan.fullTableWeight, numeric.MinDivisor)
+	maxShare := math.Min(maxWarmingShare, table.warming/fullTableWeight)
+	warm := table.weight - table.warming
+	if warm < numeric.MinDivisor { // the proxies of all zones use the same few warming endpoints
+		return math.Min(plan.remainingCapacity, maxShare)
+	}
+	if table.warming > maxShare*table.weight {
+		factor := maxShare / (1 - maxShare) * warm / table.warming
+		for i, entry := range table.entries {
+			if plan.byEndpoint[entry.Endpoint].Warming {
+				table.entries[i].Weight *= factor
+			}
+		}
+	}
+	return math.Min(1, table.sound/(1-maxShare)/fullTableWeight)
+}
