--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -1,54 +1,67 @@
 package assign
 
 import (
-	"fmt"
 	"math/rand"
 	"slices"
+
+	"madderhollow/assign/overload"
 )
 
-// clockTolerance is how early a tick may come: hosts round times, and a tick missed by rounding would come a batch late, s.
+// clockTolerance is how early a tick may run: hosts round times, and a tick missed by rounding would run a batch late, s.
 const clockTolerance = 1e-9
 
-// Assigner decides for the proxies that are connected to one assigner. It is to be made by New.
+// Assigner decides for the proxies that are connected to one assigner. Use New.
+//
+// The records of endpoints, zones, request classes and proxies change only in the handlers of messages (mailbox.go), one
+// after another. A handler collects the inputs of a rule, calls the rule's package and stores the result.
 type Assigner struct {
-	config   Config
-	random   *rand.Rand
-	now      float64 // of the batch under way, s
-	nextTick float64 // s; 0 before the first batch
-	orders   []Order // of the batch under way
-	mailbox  []message
+	// Written by New only.
+	config            Config
+	random            *rand.Rand
+	classes           []*requestClass
+	classesByPriority []*requestClass // the highest priority first
+	groups            []*tableGroup
+	busyColumn        int // of MetricBusy in load reports; -1: they have none
+
+	// The batch being handled; written by Handle, order, send and drain.
+	now     float64 // s
+	orders  []Order
+	mailbox []message
+
+	nextTick float64 // s; 0 before the first batch; written by tick
+
+	// Records, each created on first use and changed by its own handlers.
+	endpoints    map[string]*endpoint // by name
+	endpointList []*endpoint          // in the order first listed
+	proxies      []*proxy             // by number
+	zones        []*zone              // in the order first named
+	scheduler    *orderScheduler
 
-	endpoints       map[string]*endpoint
-	endpointList    []*endpoint // in the order first listed
-	proxies         []*proxy    // by number
-	zones           []*zone     // in the order first named
-	classes         []*requestClass
-	classesByWeight []*requestClass // the highest priority first
-	groups          []*tableGroup
-	split           *rateSplit
-	scheduler       *orderScheduler
-	busyColumn      int       // of load reports; -1: they have none
-	forgottenCare   careLevel // that default tables need for the sake of forgotten endpoints
+	totalRate        float64            // that all proxies may admit, 1/s; 0: none is set; written by updateTotal
+	joining          []*proxy           // wait to join the rate split; written by requestJoin and joinSplit
+	meanFailureRatio float64            // of current assessments, 0 to 1; written by measurePeriod
+	tableSize        overload.TableSize // of assigned tables; written by updateTotal
+	expiredEndpoints bool               // default tables may hold expired endpoints; written by deleteExpiredEndpoints
 }
 
-// New makes an Assigner that knows no endpoint and no proxy. All chance in its decisions comes from the seed.
+// New returns an Assigner without endpoints and proxies. All randomness in its decisions comes from the seed.
 func New(seed int64, config Config) *Assigner {
 	classes := newRequestClasses(config.RequestClasses)
 	return &Assigner{
-		config:          config,
-		random:          rand.New(rand.NewSource(seed)),
-		endpoints:       map[string]*endpoint{},
-		classes:         classes,
-		classesByWeight: byPriority(classes),
-		groups:          groupByTable(classes),
-		split:           newRateSplit(),
-		scheduler:       newOrderScheduler(config.Channel),
-		busyColumn:      slices.Index(config.Reports.LoadMetrics, MetricBusy),
+		config:            config,
+		random:            rand.New(rand.NewSource(seed)),
+		endpoints:         map[string]*endpoint{},
+		classes:           classes,
+		classesByPriority: byPriority(classes),
+		groups:            groupByTable(classes),
+		scheduler:         newOrderScheduler(config.Channel),
+		busyColumn:        slices.Index(config.Reports.LoadMetrics, MetricBusy),
+		tableSize:         overload.NewTableSize(),
 	}
 }
 
-// Handle takes the events of one batch at a time in seconds, which never falls, and returns the orders that follow. The
-// caller owns the returned orders.
+// Handle handles the events of one batch and returns the orders that follow. Now is the batch's time in seconds; it never
+// decreases. The caller owns the returned orders.
 func (a *Assigner) Handle(now float64, events []Event) []Order {
 	a.orders = nil
 	a.now = now
@@ -63,53 +76,43 @@
 	}
 	a.drain()
 	if a.scheduler.isDue(now) {
-		a.send(scheduleOrders{})
+		a.send(schedulingDue{})
 		a.drain()
 	}
 	return a.orders
 }
 
-// tick starts the periodic work of all parts and sets the timer for the next.
-func (a *Assigner) tick() {
-	a.nextTick = a.now + tickInterval
-	a.order(SetTimer{Delay: tickInterval})
-	for _, e := range a.endpointList {
-		a.send(endpointTick{e})
-	}
-	a.send(splitTick{})
-	a.send(recomputeRequested{})
-}
-
-// order adds to the orders of the batch.
+// order appends to the orders of the batch.
 func (a *Assigner) order(orders ...Order) { a.orders = append(a.orders, orders...) }
 
-func (a *Assigner) logf(format string, values ...any) {
-	a.order(Log{Message: fmt.Sprintf(format, values...)})
+// log orders a log line with a constant message.
+func (a *Assigner) log(message string, fields ...LogField) {
+	a.order(Log{Message: message, Fields: fields})
 }
 
 // dispatch turns an event into messages to the records that it concerns.
 func (a *Assigner) dispatch(event Event) {
-	switch record := event.(type) {
+	switch event := event.(type) {
 	case EndpointUpdate:
-		a.updateEndpoints(record)
-		a.send(recomputeRequested{})
+		a.updateEndpoints(event)
+		a.send(tablesOutdated{})
 	case EndpointLoadReport:
-		if endpoint := a.endpoints[record.Endpoint]; endpoint != nil {
-			a.send(loadReported{endpoint, record})
+		if endpoint := a.endpoints[event.Endpoint]; endpoint != nil {
+			a.send(loadReported{endpoint, event})
 		}
 	case ProxyConnected:
-		proxy := a.proxy(record.Proxy)
-		a.send(proxyConnected{proxy, record})
-		a.send(recomputeRequested{proxy})
+		proxy := a.proxy(event.Proxy)
+		a.send(proxyConnected{proxy, event})
+		a.send(tablesOutdated{proxy})
 	case ProxyTrafficReport:
-		a.send(trafficReported{a.proxy(record.Proxy), record})
+		a.send(trafficReported{a.proxy(event.Proxy), event})
 	case ProxyDisconnected:
-		a.send(proxyDisconnected{a.proxy(record.Proxy)})
+		a.send(proxyDisconnected{a.proxy(event.Proxy)})
 	case Acknowledged:
-		a.send(acknowledged{a.proxy(record.Proxy), record.Sequence})
+		a.send(acknowledged{a.proxy(event.Proxy), event.Sequence})
 	case TimerFired:
-		// It has done its work by starting a batch.
+		// The timer's purpose was to start a batch.
 	case ShardTrafficReport, ShardAssigned, ShardEntry, HealthCheckResult, PeerMessageReceived:
-		// Nothing decides by these yet.
+		// No rule uses these; both wires carry them.
 	}
 }
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -1,68 +1,233 @@
 package assign
 
-import "slices"
+import (
+	"cmp"
+	"math"
+	"slices"
 
-// neverAssessed is the time of the last assessment of a record that had none: before any clock's start, s.
-const neverAssessed = -10.0
+	"madderhollow/assign/membership"
+	"madderhollow/assign/numeric"
+	"madderhollow/assign/outlier"
+	"madderhollow/assign/overload"
+	"madderhollow/assign/slowstart"
+	"madderhollow/assign/subset"
+	"madderhollow/assign/timing"
+)
 
-// endpoint is the record of a server. It outlives the endpoint's listing, as proxies may hold it still.
+// endpoint is the record of a server. It outlives the endpoint's listing, because proxies may still hold it in their tables.
 type endpoint struct {
-	name           string
-	zone           string
-	state          EndpointState
-	dealOrder      float64       // drawn at random: the order in which endpoints of equal rank are dealt
-	listedWeight   float64       // capacity relative to other endpoints
-	startedAt      float64       // s; 0: long ago
-	delisted       bool          // the list has dropped it, which does not bind (Config.RemovalIsAdvisory)
-	lastListedAt   float64       // s
-	lastAnsweredAt float64       // when a successful attempt was last reported, s; 0: never
-	busy           float64       // by its own load reports, which count the requests of all proxies; 1 is full
-	reported       attemptTotals // since the last tick
-	lastPeriod     attemptTotals // of the period before the last tick, per second
-	health         []*zoneHealth
-}
-
-// zoneHealth is an endpoint's health as the proxies of one zone meet it: a network cut between zones is no fault of the
-// endpoint.
-type zoneHealth struct {
+	// Written by newEndpoint only.
+	name     string
+	tieBreak float64 // drawn at random: the order of endpoints of equal rank in tables
+
+	// Written by applyListing.
 	zone         string
-	attempts     float64 // not yet assessed, as the two sums below
-	failed       float64
-	latencySum   float64 // of the successful attempts, s
-	assessedAt   float64 // s
-	failureRatio float64 // at the last assessment
-	late         bool    // successful attempts took too long then
-	weight       float64 // factor on the listed weight, 0 to 1
-	nextChange   float64 // earliest time at which the weight may move again, s
+	listedWeight float64 // capacity relative to other endpoints
+	startedAt    float64 // s; 0: long ago
+	lastListedAt float64 // s
+
+	status membership.Status // written by setStatus
+
+	// Written by recordLoad; cleared by applyListing at the start of a new process.
+	busy   float64       // fraction of its capacity in use by requests of all proxies, as it reports; 1 is full
+	health []*zoneHealth // one per zone whose proxies report on it
+
+	lastAnsweredAt float64 // time of the last report of a successful attempt, s; 0: never; written by recordLoad
+
+	reported   overload.Attempts // since the last tick; written by recordLoad and cleared by closePeriod
+	lastPeriod overload.Attempts // of the period before the last tick, per second; written by closePeriod
 }
 
-// healthIn returns the health as met by the proxies of a zone.
+// zoneHealth is an endpoint's health as the proxies of one zone observe it.
+type zoneHealth struct {
+	zone string
+	outlier.Health
+}
+
+// healthIn returns the health as observed by the proxies of a zone.
 func (e *endpoint) healthIn(zone string) *zoneHealth {
 	i := slices.IndexFunc(e.health, func(h *zoneHealth) bool { return h.zone == zone })
 	if i < 0 {
 		i = len(e.health)
-		e.health = append(e.health, &zoneHealth{zone: zone, weight: 1, assessedAt: neverAssessed})
+		e.health = append(e.health, &zoneHealth{zone, outlier.NewHealth()})
 	}
 	return e.health[i]
 }
 
-// resetAttempts starts the next assessment.
-func (h *zoneHealth) resetAttempts() { h.attempts, h.failed, h.latencySum = 0, 0, 0 }
+// ready reports whether the endpoint takes requests.
+func (e *endpoint) ready() bool { return e.status.State == Ready }
+
+// updateEndpoints applies an endpoint update: a message to each endpoint that it names or drops.
+func (a *Assigner) updateEndpoints(update EndpointUpdate) {
+	if update.Failed {
+		a.order(WatchEndpoints{Enabled: true})
+		return
+	}
+	listed := map[string]bool{}
+	firstUpdate := len(a.endpointList) == 0
+	for _, entry := range update.Endpoints {
+		listed[entry.Name] = true
+		a.send(endpointListed{a.endpoint(entry, firstUpdate), entry})
+	}
+	for _, e := range a.endpointList {
+		if update.Full && !listed[e.name] {
+			a.send(endpointDropped{e})
+		}
+	}
+	a.deleteExpiredEndpoints()
+}
+
+// endpoint returns the record of a listed endpoint, a new one where there is none.
+func (a *Assigner) endpoint(entry Endpoint, firstUpdate bool) *endpoint {
+	if e := a.endpoints[entry.Name]; e != nil {
+		return e
+	}
+	record := a.newEndpoint(entry, firstUpdate)
+	a.endpoints[record.name] = record
+	a.endpointList = append(a.endpointList, record)
+	return record
+}
+
+// newEndpoint returns a record that is removed until its entry is applied. An endpoint of the first update counts as one
+// that has answered, because the assigner cannot know which endpoints served before its own start.
+func (a *Assigner) newEndpoint(entry Endpoint, firstUpdate bool) *endpoint {
+	record := &endpoint{
+		name:         entry.Name,
+		status:       membership.Status{State: Removed},
+		lastListedAt: a.now,
+		tieBreak:     a.random.ExpFloat64() / math.Max(entry.Weight, numeric.MinDivisor),
+	}
+	if firstUpdate {
+		record.lastAnsweredAt = a.now
+	}
+	return record
+}
+
+// deleteExpiredEndpoints deletes the records of endpoints removed long ago. Default tables may still hold such an endpoint,
+// so every default table has to be replaced from then on.
+func (a *Assigner) deleteExpiredEndpoints() {
+	a.endpointList = slices.DeleteFunc(a.endpointList, func(e *endpoint) bool {
+		expired := membership.Expired(e.status.State, a.now, e.lastAnsweredAt, e.lastListedAt)
+		if expired {
+			delete(a.endpoints, e.name)
+			a.expiredEndpoints = true
+		}
+		return expired
+	})
+}
+
+// setStatus is the only writer of the status.
+func (e *endpoint) setStatus(status membership.Status) { e.status = status }
+
+// applyListing applies the endpoint's entry of an update.
+func (e *endpoint) applyListing(assigner *Assigner, entry Endpoint) {
+	if entry.State == Removed {
+		assigner.send(endpointDropped{e})
+		return
+	}
+	if entry.StartedAt > 0 && entry.StartedAt != e.startedAt { // a new process: reports on the former one do not apply to it
+		e.health = nil
+		e.busy = 0
+	}
+	e.zone = entry.Zone
+	e.startedAt = entry.StartedAt
+	e.listedWeight = cmp.Or(math.Max(entry.Weight, 0), 1)
+	e.lastListedAt = assigner.now
+	e.setStatus(membership.Status{State: entry.State})
+	assigner.zone(e.zone)
+}
+
+// applyDrop applies an update that no longer names the endpoint.
+func (e *endpoint) applyDrop(assigner *Assigner) {
+	e.setStatus(membership.AfterDrop(e.status, membership.Drop{
+		RemovalIsAdvisory: assigner.config.RemovalIsAdvisory,
+		LastAnsweredAt:    e.lastAnsweredAt,
+		Now:               assigner.now,
+	}))
+}
 
-// attemptTotals counts attempts, or attempts per second.
-type attemptTotals struct {
-	attempts float64
-	failed   float64
-	inTime   float64 // successful ones, those that came late counted in part
+// recordLoad records what the proxies of one zone observed of the endpoint.
+func (e *endpoint) recordLoad(assigner *Assigner, report EndpointLoadReport) {
+	if assigner.busyColumn >= 0 && assigner.busyColumn < len(report.Load) {
+		e.busy = report.Load[assigner.busyColumn]
+	}
+	e.healthIn(report.Zone).Record(report.Attempts, report.Failed, report.MeanLatency)
+	successful := float64(report.Attempts - report.Failed)
+	e.reported.Add(overload.Attempts{
+		Attempts: float64(report.Attempts),
+		Failed:   float64(report.Failed),
+		InTime:   successful * outlier.InTimeCredit(report.MeanLatency, assigner.lateThreshold()),
+	})
+	if report.Attempts > report.Failed {
+		e.lastAnsweredAt = assigner.now
+		e.setStatus(membership.AfterAnswer(e.status))
+	}
 }
 
-func (t *attemptTotals) add(other attemptTotals) {
-	t.attempts += other.attempts
-	t.failed += other.failed
-	t.inTime += other.inTime
+// lateThreshold returns the mean latency above which answers count as late, over all request classes, s.
+func (a *Assigner) lateThreshold() float64 {
+	objective := 0.0
+	for _, class := range a.classes {
+		objective += class.LatencyObjective * class.trafficFraction
+	}
+	return outlier.LateThreshold(objective)
 }
 
-// perSecond returns the totals of an interval in seconds as rates.
-func (t attemptTotals) perSecond(interval float64) attemptTotals {
-	return attemptTotals{t.attempts / interval, t.failed / interval, t.inTime / interval}
+// closePeriod closes the totals of the period and assesses the endpoint's health in each zone.
+func (e *endpoint) closePeriod(assigner *Assigner) {
+	e.lastPeriod = e.reported.PerSecond(timing.TickInterval)
+	e.reported = overload.Attempts{}
+	if e.status.Delisted { // it may have fallen silent since
+		assigner.send(endpointDropped{e})
+	}
+	for _, health := range e.health {
+		health.Health = outlier.Assess(health.Health, assigner.lateThreshold(), assigner.now)
+	}
+}
+
+// decreaseWeight decreases the health weight of an endpoint that the proxies of a zone found unhealthy.
+func (e *endpoint) decreaseWeight(assigner *Assigner, health *zoneHealth) {
+	next, probation := outlier.Decrease(health.Health, assigner.meanFailureRatio, assigner.now)
+	health.Health = next
+	if probation {
+		assigner.log("endpoint on probation", LogField{"endpoint", e.name}, LogField{"zone", health.zone},
+			LogField{"failed_percent", math.Round(100 * health.FailureRatio)})
+	}
+}
+
+// capacityFraction returns the fraction of its capacity that the endpoint has while it warms up, 1 after that.
+func (e *endpoint) capacityFraction(assigner *Assigner) float64 {
+	return slowstart.CapacityFraction(assigner.config.WarmUp, slowstart.Start{
+		StartedAt:         e.startedAt,
+		Now:               assigner.now,
+		RateLimitsIgnored: assigner.config.Admission == AdmissionIgnored,
+	})
+}
+
+// warming reports whether the endpoint is not yet at full speed.
+func (e *endpoint) warming(assigner *Assigner) bool { return e.capacityFraction(assigner) < 1 }
+
+// condition is what the rules need to know of an endpoint for the proxies of one zone.
+type condition struct {
+	health       *zoneHealth
+	warming      bool
+	unverified   bool    // it still has to prove itself
+	usableWeight float64 // that tables may give it; 0 unless it is ready
+}
+
+// conditionIn returns the endpoint's condition for the proxies of a zone, at the time of the batch.
+func (e *endpoint) conditionIn(assigner *Assigner, zone string) condition {
+	health := e.healthIn(zone)
+	capacityFraction := e.capacityFraction(assigner)
+	result := condition{health: health, warming: capacityFraction < 1}
+	result.unverified = outlier.Unverified(outlier.Proof{
+		LastAnsweredAt: e.lastAnsweredAt,
+		Now:            assigner.now,
+		Warming:        capacityFraction != 1,
+		Failing:        health.Failing(),
+	})
+	if e.ready() {
+		result.usableWeight = subset.UsableWeight(e.listedWeight, health.Weight, capacityFraction)
+	}
+	return result
 }
--- a/assign/events.go
+++ b/assign/events.go
@@ -1,38 +1,40 @@
 package assign
 
+import "madderhollow/assign/membership"
+
 // EndpointState is what the endpoint list says of an endpoint.
-type EndpointState int
+type EndpointState = membership.State
 
 // The states of a listed endpoint.
 const (
-	Ready    EndpointState = iota // takes requests
-	Draining                      // takes no new requests; its entries have to go within the drain's grace
-	Removed                       // no longer listed
+	Ready    = membership.Ready    // takes requests
+	Draining = membership.Draining // takes no new requests; its entries have to go within the drain's grace period
+	Removed  = membership.Removed  // no longer listed
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Zone        string
-	Group       int // of machines; nothing decides by it, it keeps the translation of the list total
+	Group       int // of machines; no rule uses it
 	Name        string
 	Weight      float64 // listed capacity relative to other endpoints
 	State       EndpointState
 	StartedAt   float64 // s; 0: long ago
-	MachineType string  // nothing decides by it, it keeps the translation of the list total
+	MachineType string  // no rule uses it
 }
 
-// Event is one of the event types of this package. A host hands events to Handle in batches.
+// Event is one of the event types of this package. A host passes events to Handle in batches.
 type Event interface{ isEvent() }
 
 // EndpointUpdate is an update of the endpoint list, whole or in part.
 type EndpointUpdate struct {
 	Version   int
 	Full      bool // endpoints not named are no longer listed
-	Failed    bool // the list could not be had; nothing else is set
+	Failed    bool // the list could not be fetched; no other field is set
 	Endpoints []Endpoint
 }
 
-// EndpointLoadReport sums up what the proxies of one zone met at an endpoint.
+// EndpointLoadReport sums up what the proxies of one zone observed of an endpoint.
 type EndpointLoadReport struct {
 	Zone        string
 	Endpoint    string
@@ -40,7 +42,7 @@
 	MeanLatency float64 // of the successful attempts, s; 0 if there are none
 	Attempts    int
 	Failed      int
-	Load        []float64 // by the endpoint itself, in the order of ReportConfig.LoadMetrics; nil if none came
+	Load        []float64 // reported by the endpoint itself, in the order of ReportConfig.LoadMetrics; nil if it reported none
 }
 
 // ProxyTrafficReport sums up the requests of one class that reached a proxy, those it rejected included.
@@ -52,7 +54,7 @@
 	Failed       int
 }
 
-// ShardTrafficReport is a ProxyTrafficReport for a shard. Nothing decides by it: tables are not assigned by shard yet.
+// ShardTrafficReport is a ProxyTrafficReport for a shard. No rule uses it: tables are not assigned by shard.
 type ShardTrafficReport struct {
 	Shard        int
 	RequestClass string
@@ -61,38 +63,38 @@
 	Failed       int
 }
 
-// ProxyConnected tells that a proxy's stream is open.
+// ProxyConnected reports that a proxy's stream is open.
 type ProxyConnected struct {
 	Proxy       int
 	Zone        string
-	TypicalRate float64 // of requests that it usually gets, 1/s
-	Fresh       bool    // it holds its default tables only
+	TypicalRate float64 // of requests that it receives on a usual day, 1/s
+	Fresh       bool    // it holds only its default tables
 }
 
-// ProxyDisconnected tells that a proxy's stream has ended.
+// ProxyDisconnected reports that a proxy's stream has ended.
 type ProxyDisconnected struct{ Proxy int }
 
-// Acknowledged tells that a proxy has applied the message with this sequence number and all earlier ones.
+// Acknowledged reports that a proxy has applied the message with this sequence number and all earlier ones.
 type Acknowledged struct {
 	Proxy    int
 	Sequence int
 	Latency  float64 // from the order to its effect, s
 }
 
-// ShardAssigned tells that a shard came into this assigner's charge or left it. Nothing decides by it.
+// ShardAssigned reports that a shard was assigned to this assigner or taken from it. No rule uses it.
 type ShardAssigned struct {
 	Shard    int
 	Assigned bool
 }
 
-// ShardEntry is one entry of the table that an assigned shard holds. Nothing decides by it.
+// ShardEntry is one entry of the table that an assigned shard holds. No rule uses it.
 type ShardEntry struct {
 	Shard    int
 	Endpoint string
 	Weight   float64
 }
 
-// HealthCheckResult answers HealthCheck. Nothing decides by it: the module orders no health checks.
+// HealthCheckResult answers HealthCheck. No rule uses it: the module orders no health checks.
 type HealthCheckResult struct {
 	Endpoint string
 	Code     string
@@ -100,13 +102,13 @@
 	Load     []float64
 }
 
-// PeerMessageReceived is a message from another assigner. Nothing decides by it.
+// PeerMessageReceived is a message from another assigner. No rule uses it.
 type PeerMessageReceived struct {
 	From int
 	Data []byte
 }
 
-// TimerFired tells that a timer of SetTimer is due.
+// TimerFired reports that a timer of SetTimer is due.
 type TimerFired struct{ ID int }
 
 func (EndpointUpdate) isEvent()      {}
--- a/assign/health_test.go
+++ b/assign/health_test.go
@@ -3,6 +3,9 @@
 import (
 	"fmt"
 	"testing"
+
+	"madderhollow/assign/membership"
+	"madderhollow/assign/outlier"
 )
 
 // newEndpoints are ready endpoints of zone x.
@@ -22,20 +25,20 @@
 		minWeight, maxWeight          float64
 	}{
 		{meanLatency: 2, meanFailureRatio: 0.1, failed: 25, minWeight: 0.5, maxWeight: 0.9},
-		{meanLatency: 0.2, meanFailureRatio: 0.1, failed: 25, minWeight: probationWeight, maxWeight: probationWeight},
-		{meanLatency: 0, meanFailureRatio: 0.1, failed: 40, minWeight: probationWeight, maxWeight: probationWeight},
+		{meanLatency: 0.2, meanFailureRatio: 0.1, failed: 25, minWeight: outlier.ProbationWeight, maxWeight: outlier.ProbationWeight},
+		{meanLatency: 0, meanFailureRatio: 0.1, failed: 40, minWeight: outlier.ProbationWeight, maxWeight: outlier.ProbationWeight},
 		{meanLatency: 0, meanFailureRatio: 0.9, failed: 40, minWeight: 0.5, maxWeight: 0.9},
 	} {
 		sim := calmModel(t)
 		e := sim.assigner.endpoints["t0"]
 		health := e.healthIn("x")
-		e.addReport(sim.assigner, EndpointLoadReport{Zone: "x", Endpoint: "t0", Interval: 1, MeanLatency: test.meanLatency, Attempts: 40, Failed: test.failed})
-		health.assess(sim.assigner)
-		sim.assigner.split.meanFailureRatio = test.meanFailureRatio
-		health.nextChange = 0
-		e.reduceWeight(sim.assigner, health)
-		if health.weight < test.minWeight || health.weight > test.maxWeight {
-			t.Errorf("%+v: weight %v", test, health.weight)
+		e.recordLoad(sim.assigner, EndpointLoadReport{Zone: "x", Endpoint: "t0", Interval: 1, MeanLatency: test.meanLatency, Attempts: 40, Failed: test.failed})
+		health.Health = outlier.Assess(health.Health, sim.assigner.lateThreshold(), sim.now)
+		sim.assigner.meanFailureRatio = test.meanFailureRatio
+		health.NextChange = 0
+		e.decreaseWeight(sim.assigner, health)
+		if health.Weight < test.minWeight || health.Weight > test.maxWeight {
+			t.Errorf("%+v: weight %v", test, health.Weight)
 		}
 	}
 }
@@ -57,14 +60,14 @@
 	}
 	sim.run(12, 0.4)
 	for i, e := range sim.endpoints {
-		got, want := sim.assigner.endpoints[e.Name].state == Ready, i != 0 && i != 3
+		got, want := sim.assigner.endpoints[e.Name].ready(), i != 0 && i != 3
 		if got != want {
 			t.Errorf("endpoint %d: in tables: %v", i, got)
 		}
 	}
 	sim.endpoints[3].StartedAt = sim.now - 30
 	sim.update(sim.endpoints[3])
-	if e := sim.assigner.endpoints["t3"]; e.state != Ready || e.delisted {
+	if e := sim.assigner.endpoints["t3"]; !e.ready() || e.status.Delisted {
 		t.Error("an endpoint that the list calls ready again stays out")
 	}
 }
@@ -81,13 +84,13 @@
 		listed[i%12].Name, listed[i%12].StartedAt = fmt.Sprint("n", i), now-20
 		assigner.Handle(now, []Event{TimerFired{0}, EndpointUpdate{Endpoints: []Endpoint{removed, listed[i%12]}},
 			Acknowledged{Proxy: 1, Sequence: assigner.scheduler.sequence}})
-		if len(assigner.endpointList) > 12+2*endpointRetention || len(assigner.endpoints) != len(assigner.endpointList) {
+		if len(assigner.endpointList) > 12+2*membership.Retention || len(assigner.endpoints) != len(assigner.endpointList) {
 			t.Fatalf("%d records, %d names of 12 endpoints", len(assigner.endpointList), len(assigner.endpoints))
 		}
 	}
-	assigner.Handle(now+2*endpointRetention, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+	assigner.Handle(now+2*membership.Retention, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
 	attached := false
-	for _, order := range assigner.Handle(now+2*endpointRetention+1, []Event{ProxyConnected{Proxy: 2, Zone: "x", TypicalRate: 5, Fresh: true}}) {
+	for _, order := range assigner.Handle(now+2*membership.Retention+1, []Event{ProxyConnected{Proxy: 2, Zone: "x", TypicalRate: 5, Fresh: true}}) {
 		o, ok := order.(AttachTable)
 		attached = attached || ok && o.Proxy == 2
 	}
--- a/assign/model_rules_test.go
+++ b/assign/model_rules_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"slices"
+
+	"madderhollow/assign/timing"
 )
 
 // fail keeps the first broken rule.
@@ -57,7 +59,7 @@
 func (m *model) checkRules(seconds float64) {
 	sum := 0.0
 	for _, p := range m.assigner.proxies {
-		if m.now-p.lastReportAt <= silenceTimeout {
+		if m.now-p.lastReportAt <= timing.SilenceTimeout {
 			sum += p.quota
 		}
 	}
@@ -99,7 +101,7 @@
 	for _, e := range m.endpoints {
 		hasPick = hasPick || held[e.Name] > 0
 		record := m.assigner.endpoints[e.Name]
-		usable := record != nil && record.state == Ready && record.warmFraction(m.assigner) == 1
+		usable := record != nil && record.status.State == Ready && record.capacityFraction(m.assigner) == 1
 		couldHave = couldHave || usable && m.allows(class, e.Zone)
 	}
 	proxy.withoutPick[class] += seconds
@@ -126,7 +128,7 @@
 		if !warmLeft || !known || held[e.Name] <= 0 {
 			continue
 		}
-		fraction := record.warmFraction(m.assigner)
+		fraction := record.capacityFraction(m.assigner)
 		if fraction < 1 && held[e.Name]/sum > 1.6*fraction*e.Weight/usual {
 			excess = proxy.overBudget[class] + seconds
 		}
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -7,6 +7,8 @@
 	"math"
 	"math/rand"
 	"slices"
+
+	"madderhollow/assign/subset"
 )
 
 // What the model's deployment is like. Its classes share two tables a proxy, see modelConfig.
@@ -381,4 +383,6 @@
 func (m *model) signGroup() *tableGroup { return m.assigner.groups[1] }
 
 // signTable drafts the first proxy's table for the class "sign".
-func (m *model) signTable() *draft { return m.record(0).buildTable(m.assigner, m.signGroup()) }
+func (m *model) signTable() subset.Table[*endpoint] {
+	return m.record(0).buildTable(m.assigner, m.signGroup())
+}
--- a/assign/orders.go
+++ b/assign/orders.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// AllProxies stands for the tables of all connected proxies in SetRateLimit.
+// AllProxies is the table number that stands for the tables of all connected proxies in SetRateLimit.
 const AllProxies = 65535
 
 // Order is one of the order types of this package.
@@ -21,14 +21,14 @@
 // ClearTable removes all entries and rate limits of a table.
 type ClearTable struct{ Table int }
 
-// AttachTable makes a proxy use a table for some request classes, given by position; none stands for all.
+// AttachTable makes a proxy use a table for some request classes, by position; none stands for all.
 type AttachTable struct {
 	Proxy          int
 	Table          int
 	RequestClasses []int
 }
 
-// SetRateLimit sets how much of some request classes the users of a table let in.
+// SetRateLimit sets how much of some request classes the proxies that use a table admit.
 type SetRateLimit struct {
 	Table          int // or AllProxies
 	RequestClasses []int
@@ -36,17 +36,17 @@
 	Retries        int     // further attempts that proxies make
 }
 
-// EjectEndpoint takes an endpoint out of all tables of connected proxies, or lets it back in. The module never orders
-// it; both wires know it.
+// EjectEndpoint takes an endpoint out of all tables of connected proxies, or restores it. The module never orders
+// it; both wires carry it.
 type EjectEndpoint struct {
 	Endpoint string
 	Ejected  bool
 }
 
-// AcknowledgmentRequest asks the proxies that get a message of this batch to acknowledge it.
+// AcknowledgmentRequest asks the proxies that receive a message of this batch to acknowledge it.
 type AcknowledgmentRequest struct {
 	Sequence   int  // 0 to 65535
-	AllProxies bool // also those that get no other order
+	AllProxies bool // also those that receive no other order
 }
 
 // SetTimer asks for TimerFired with the same ID.
@@ -77,11 +77,11 @@
 	return text.String()
 }
 
-// HealthCheck asks for a health check of an endpoint. The module never orders it; the simulator's wire knows it.
+// HealthCheck asks for a health check of an endpoint. The module never orders it; the simulator's wire carries it.
 type HealthCheck struct{ Endpoint string }
 
 // SendPeerMessage sends bytes to another assigner, by its number, or to all where To is -1. The module never orders it;
-// both wires know it.
+// both wires carry it.
 type SendPeerMessage struct {
 	To   int
 	Data []byte
@@ -90,7 +90,7 @@
 // WatchEndpoints subscribes to endpoint updates, or ends the subscription.
 type WatchEndpoints struct{ Enabled bool }
 
-// FetchEndpoints asks once for the full endpoint list. The module never orders it; both wires know it.
+// FetchEndpoints asks once for the full endpoint list. The module never orders it; both wires carry it.
 type FetchEndpoints struct{}
 
 func (SetWeight) isOrder()             {}
--- a/assign/overload_test.go
+++ b/assign/overload_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"madderhollow/assign/subset"
 )
 
 // Answers that fail or come late while the endpoints are idle on the whole are no overload, however many, and what a few
@@ -27,7 +29,7 @@
 		for range 5 {
 			sim.reportAll(test.endpoints, 0.8, EndpointLoadReport{MeanLatency: test.meanLatency, Attempts: test.attempts, Failed: test.failed, Load: []float64{test.busy}})
 		}
-		if got := sim.assigner.split.total > 0; got != test.want {
+		if got := sim.assigner.totalRate > 0; got != test.want {
 			t.Errorf("%+v: a total is set: %v", test, got)
 		}
 	}
@@ -36,11 +38,11 @@
 // A total set in a jam is far too low: once endpoints answer well and stay idle, it must not take a tenth a second back.
 func TestTotalRecoversFromAJam(t *testing.T) {
 	sim := calmModel(t)
-	sim.assigner.split.total = 2
+	sim.assigner.totalRate = 2
 	for range 4 {
 		sim.reportAll(15, 1, EndpointLoadReport{MeanLatency: 0.1, Attempts: 2, Load: []float64{0.3}})
 	}
-	if total := sim.assigner.split.total; total > 0 && total < 50 {
+	if total := sim.assigner.totalRate; total > 0 && total < 50 {
 		t.Errorf("endpoints three tenths busy with 30 requests a second get a total of %.1f", total)
 	}
 }
@@ -60,10 +62,10 @@
 		}
 		sim.recomputeZoneX()
 		table := sim.signTable()
-		if has := entryWeight(table.entries, sim.assigner.endpoints["t0"]) > 0; has != (failed == 0) {
+		if has := subset.WeightOf(table.Entries, sim.assigner.endpoints["t0"]) > 0; has != (failed == 0) {
 			t.Errorf("%d of 9 fail: a warming endpoint has an entry: %v", failed, has)
 		}
-		return len(table.entries)
+		return len(table.Entries)
 	}
 	if all, few, back := sizeAfter(0), sizeAfter(6), sizeAfter(0); few > all/2 || few < 2 || back != all {
 		t.Errorf("%d entries, %d while attempts fail, %d after", all, few, back)
@@ -96,11 +98,11 @@
 			}
 			assigner.Handle(1000+float64(second), events)
 			events = nil
-			if second < lateFrom && assigner.split.total > 0 {
+			if second < lateFrom && assigner.totalRate > 0 {
 				t.Fatalf("%d drain: at %d s a total is set while all is well", draining, second)
 			}
 		}
-		if total, ready := assigner.split.total, float64(48-draining); total < ready/2 || total > ready {
+		if total, ready := assigner.totalRate, float64(48-draining); total < ready/2 || total > ready {
 			t.Errorf("%d drain: after 4 s of late answers the total is %g of 44/s", draining, total)
 		}
 	}
--- a/assign/proxies_test.go
+++ b/assign/proxies_test.go
@@ -97,8 +97,10 @@
 	p := sim.record(0)
 	p.rates = []float64{0.5, 0.5, 0.5}
 	p.typicalRate = 1.5
-	if orders := p.limitOrders(sim.assigner, sim.signGroup(), 0, 1); orders[0].Limit < 2 {
-		t.Errorf("the limit is %g/s", orders[0].Limit)
+	var update tableUpdate
+	p.updateLimits(sim.assigner, sim.signGroup(), 1, &update)
+	if order, ok := update.orders[0].(SetRateLimit); !ok || order.Limit < 2 {
+		t.Errorf("the limit is %g/s", order.Limit)
 	}
 }
 
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -4,53 +4,57 @@
 	"cmp"
 	"math"
 	"slices"
-)
 
-// unlimited is the rate limit that means none, 1/s.
-const unlimited = 1e9
+	"madderhollow/assign/admission"
+	"madderhollow/assign/assignment"
+	"madderhollow/assign/ordering"
+	"madderhollow/assign/subset"
+	"madderhollow/assign/timing"
+)
 
 // tableEntry is one weighted endpoint of a routing table.
-type tableEntry struct {
-	endpoint *endpoint
-	weight   float64
-}
+type tableEntry = subset.Entry[*endpoint]
 
-// entryWeight returns the weight of an endpoint in a table, 0 if it is not there.
-func entryWeight(table []tableEntry, e *endpoint) float64 {
-	i := slices.IndexFunc(table, func(entry tableEntry) bool { return entry.endpoint == e })
-	if i < 0 {
-		return 0
-	}
-	return table[i].weight
-}
+// tablePlan builds the tables of a zone for one table group.
+type tablePlan = subset.Plan[*endpoint]
 
-// unacknowledgedBatch is a message whose acknowledgment has not come.
-type unacknowledgedBatch struct {
+// unacknowledgedMessage is a message in flight.
+type unacknowledgedMessage struct {
 	sequence int
 	lines    float64 // that it takes in the channel
 }
 
 // proxy is the record of a proxy. It outlives the connection.
 type proxy struct {
-	id                int
-	zone              string
-	connected         bool
-	localDefaultTable bool // its default tables can hold only endpoints of its zone
-	hasAssignedTables bool // it uses the tables that are assigned to it
-	hasUnknownTables  bool // it may hold entries that nobody here knows
-	typicalRate       float64
-	rates             []float64 // by request class, 1/s
-	lastReportAt      float64   // s
-	quota             float64   // fraction of the total rate; the design page calls it share
-	rateLimit         float64   // 1/s; 0: none; the design page calls it level
-
-	tables       [][]tableEntry // as ordered, by table group
-	classLimits  []float64      // as ordered, by request class; unlimited if none
-	messageTimes []float64      // of the messages to it within the window, s
-	inFlight     []unacknowledgedBatch
-}
-
-// proxy finds or makes the record of a proxy. Records are kept by number, so that no order depends on who came first.
+	id int // written by Assigner.proxy only
+
+	// Written by connect.
+	zone        string
+	typicalRate float64             // of requests on a usual day, 1/s
+	contents    assignment.Contents // of the tables that it held when it connected
+
+	connected         bool // written by connect and disconnect
+	hasAssignedTables bool // it uses the tables assigned to it; set by recordOrder, cleared by connect
+
+	// Written by recordTraffic; set by connect and forgetTraffic.
+	rates        []float64 // by request class, 1/s
+	lastReportAt float64   // s
+
+	// Written by assignQuota.
+	quota     float64 // fraction of the total rate; the design page calls it share
+	rateLimit float64 // 1/s; 0: none; the design page calls it level
+
+	// What the proxy holds by the orders sent to it; written by recordOrder, emptied by connect.
+	tables      [][]tableEntry // by table group
+	classLimits []float64      // by request class; admission.Unlimited if none
+
+	// Written by recordSent; reduced by acknowledge, emptied by disconnect.
+	messageTimes []float64 // of the messages to it within the message window, s
+	inFlight     []unacknowledgedMessage
+}
+
+// proxy returns the record of a proxy, a new one where there is none. Records are kept by number, so that no order depends
+// on which proxy connected first.
 func (a *Assigner) proxy(id int) *proxy {
 	i, found := slices.BinarySearchFunc(a.proxies, id, func(p *proxy, id int) int { return cmp.Compare(p.id, id) })
 	if !found {
@@ -59,7 +63,13 @@
 	return a.proxies[i]
 }
 
-// totalRate is that of all classes, 1/s.
+// sortedWithoutQuota returns the proxies that have no quota yet, each once and by number.
+func sortedWithoutQuota(proxies []*proxy) []*proxy {
+	slices.SortFunc(proxies, func(x, y *proxy) int { return cmp.Compare(x.id, y.id) })
+	return slices.DeleteFunc(slices.Compact(proxies), func(p *proxy) bool { return p.quota > 0 })
+}
+
+// totalRate returns the rate of all classes, 1/s.
 func (p *proxy) totalRate() (sum float64) {
 	for _, rate := range p.rates {
 		sum += rate
@@ -67,7 +77,7 @@
 	return sum
 }
 
-// lastMessageAt is when the last message went to it, s; 0: none within the window.
+// lastMessageAt returns the time of the last message to the proxy, s; 0: none within the message window.
 func (p *proxy) lastMessageAt() float64 {
 	if len(p.messageTimes) == 0 {
 		return 0
@@ -75,58 +85,100 @@
 	return p.messageTimes[len(p.messageTimes)-1]
 }
 
-// disconnect ends its stream. What is in flight counts no more. A proxy that connects again without it may have had its
-// stream all along, so connect leaves these counts alone.
+// connect records that the proxy's stream is open. Its assigned tables, if it had any, are lost. Messages in flight still
+// count: a proxy that connects again without ProxyDisconnected may have had its stream all along.
+func (p *proxy) connect(assigner *Assigner, event ProxyConnected) {
+	p.connected = true
+	p.zone = event.Zone
+	p.typicalRate = event.TypicalRate
+	p.lastReportAt = assigner.now
+	p.assignQuota(p.quota, 0)
+	p.hasAssignedTables = false
+	p.tables = make([][]tableEntry, len(assigner.groups))
+	p.classLimits = slices.Repeat([]float64{admission.Unlimited}, len(assigner.classes))
+	assigner.zone(p.zone) // a zone may have proxies and no endpoints
+	p.contents = assignment.ContentsAtConnect(event.Fresh, p.supplies(assigner))
+	for i, rate := range p.rates { // until it is reported
+		p.rates[i] = cmp.Or(rate, p.typicalRate/float64(len(p.rates)))
+	}
+	if p.quota == 0 {
+		assigner.send(joinRequested{p})
+	}
+}
+
+// supplies returns what the proxy's zone has for each of its tables.
+func (p *proxy) supplies(assigner *Assigner) []assignment.Supply {
+	supplies := make([]assignment.Supply, len(assigner.groups))
+	for i, group := range assigner.groups {
+		supplies[i].Closed = group.policy.ClosedIn(p.zone)
+		for _, e := range assigner.endpointList {
+			if e.ready() && e.zone == p.zone && group.policy.Allows(e.zone, p.zone) {
+				supplies[i].Ready++
+			}
+		}
+	}
+	return supplies
+}
+
+// disconnect records that the proxy's stream has ended. What was in flight on it is lost.
 func (p *proxy) disconnect() {
 	p.connected = false
 	p.inFlight = nil
 	p.messageTimes = nil
 }
 
-// addReport takes in a report on one request class, weighted by the part of a tick that it covers.
-func (p *proxy) addReport(assigner *Assigner, report ProxyTrafficReport) {
+// recordTraffic records a report on one request class, weighted by the part of a tick that it covers.
+func (p *proxy) recordTraffic(assigner *Assigner, report ProxyTrafficReport) {
 	for _, class := range assigner.classes {
 		if class.Name == report.RequestClass && report.Interval > 0 {
 			rate := float64(report.Requests) / report.Interval
-			p.rates[class.index] += (rate - p.rates[class.index]) * math.Min(1, report.Interval/tickInterval)
+			weight := math.Min(1, report.Interval/timing.TickInterval)
+			p.rates[class.index] += (rate - p.rates[class.index]) * weight
 			p.lastReportAt = assigner.now
 		}
 	}
 	if p.quota == 0 && p.connected {
-		assigner.send(proxyAdmitted{p})
+		assigner.send(joinRequested{p})
 	}
 }
 
-// acknowledge takes the batch with a sequence number, and all before it, out of flight.
+// acknowledge removes the message with a sequence number, and all earlier ones, from those in flight.
 func (p *proxy) acknowledge(sequence int) {
-	i := slices.IndexFunc(p.inFlight, func(b unacknowledgedBatch) bool { return b.sequence == sequence })
+	i := slices.IndexFunc(p.inFlight, func(m unacknowledgedMessage) bool { return m.sequence == sequence })
 	p.inFlight = p.inFlight[i+1:]
 }
 
-// forgetTraffic takes the proxy out of the split.
+// assignQuota sets the proxy's part of the total rate, and its rate limit in requests per second; 0 is none.
+func (p *proxy) assignQuota(quota, rateLimit float64) {
+	p.quota = quota
+	p.rateLimit = rateLimit
+}
+
+// forgetTraffic removes a silent proxy from the split. Its rate limit stays.
 func (p *proxy) forgetTraffic(assigner *Assigner) {
-	p.quota = 0
+	p.assignQuota(0, p.rateLimit)
 	p.rates = make([]float64, len(assigner.classes))
 }
 
-// recordSent keeps what a message to the proxy sets and what it takes in the channel.
-func (p *proxy) recordSent(assigner *Assigner, orders []Order, batch unacknowledgedBatch) {
+// recordSent records what a message to the proxy sets and what it takes in the channel.
+func (p *proxy) recordSent(assigner *Assigner, orders []Order, message unacknowledgedMessage) {
 	for _, order := range orders {
 		p.recordOrder(assigner, order)
 	}
 	window := assigner.config.Channel.MessageWindow
 	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at float64) bool { return assigner.now-at > window })
 	p.messageTimes = append(p.messageTimes, assigner.now)
-	p.inFlight = append(p.inFlight, batch)
+	p.inFlight = append(p.inFlight, message)
 }
 
+// recordOrder records what one order sets.
 func (p *proxy) recordOrder(assigner *Assigner, order Order) {
 	switch o := order.(type) {
 	case SetWeight:
 		table := &p.tables[o.Table%len(assigner.groups)]
-		*table = slices.DeleteFunc(*table, func(entry tableEntry) bool { return entry.endpoint.name == o.Endpoint })
+		*table = slices.DeleteFunc(*table, func(entry tableEntry) bool { return entry.Endpoint.name == o.Endpoint })
 		if o.Weight > 0 {
-			*table = append(*table, tableEntry{assigner.endpoints[o.Endpoint], o.Weight})
+			*table = append(*table, tableEntry{Endpoint: assigner.endpoints[o.Endpoint], Weight: o.Weight})
 		}
 	case SetRateLimit:
 		p.classLimits[o.RequestClasses[0]] = o.Limit
@@ -134,3 +186,12 @@
 		p.hasAssignedTables = true
 	}
 }
+
+// history returns what the proxy has been sent.
+func (p *proxy) history(assigner *Assigner) ordering.History {
+	return ordering.History{
+		Recent:        ordering.CountRecent(p.messageTimes, assigner.now, assigner.config.Channel.MessageWindow),
+		LastMessageAt: p.lastMessageAt(),
+		Now:           assigner.now,
+	}
+}
--- a/assign/ratesplit_test.go
+++ b/assign/ratesplit_test.go
@@ -3,19 +3,21 @@
 import (
 	"math"
 	"testing"
+
+	"madderhollow/assign/admission"
 )
 
 func TestWideOverloadSplitsATotal(t *testing.T) {
 	sim := calmModel(t)
 	sim.run(12, 2.5)
-	split := sim.assigner.split
-	if split.total == 0 {
+	total := sim.assigner.totalRate
+	if total == 0 {
 		t.Fatal("no total under overload")
 	}
 	sum := 0.0
-	for _, p := range split.members(sim.assigner) {
+	for _, p := range sim.assigner.splitMembers() {
 		sum += p.quota
-		if math.Abs(p.rateLimit-p.quota*split.total) > 1e-9 {
+		if math.Abs(p.rateLimit-p.quota*total) > 1e-9 {
 			t.Errorf("rate limit %v is not quota %v of the total", p.rateLimit, p.quota)
 		}
 	}
@@ -23,26 +25,26 @@
 		t.Errorf("quotas sum to %v", sum)
 	}
 	limits := sim.record(0).classLimits
-	if limits == nil || limits[0] >= limits[2] && limits[2] < unlimited {
+	if limits == nil || limits[0] >= limits[2] && limits[2] < admission.Unlimited {
 		t.Errorf("limits %v: the lowest priority is not rejected first", limits)
 	}
 	sim.run(60, 0.3)
-	if split.total != 0 || sim.record(0).classLimits[0] != unlimited {
+	if sim.assigner.totalRate != 0 || sim.record(0).classLimits[0] != admission.Unlimited {
 		t.Error("limits not removed after the overload")
 	}
 }
 
 func TestUnusedQuotaMovesInEqualPieces(t *testing.T) {
 	sim := calmModel(t)
-	members := sim.assigner.split.members(sim.assigner)
-	sim.assigner.split.total = 80
+	members := sim.assigner.splitMembers()
+	sim.assigner.totalRate = 80
 	for i, p := range members {
 		p.quota, p.rates = 1/float64(len(members)), []float64{4, 0, 0}
 		if i < 2 {
 			p.rates[0] = 30
 		}
 	}
-	sim.assigner.send(splitTick{})
+	sim.assigner.send(periodEnded{})
 	sim.assigner.drain()
 	if math.Abs(members[0].quota-members[1].quota) > 1e-9 || members[0].quota < 0.3 || members[5].quota > 0.08 {
 		t.Errorf("quotas %v, %v and %v", members[0].quota, members[1].quota, members[5].quota)
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -1,25 +1,31 @@
 package assign
 
 import (
-	"cmp"
 	"slices"
+
+	"madderhollow/assign/ordering"
 )
 
-// orderScheduler decides which proxies get their orders in a batch. By the acknowledgments it keeps the
-// channel short also on days when that is slow.
+// maxSequence bounds the sequence numbers of acknowledgment requests; they wrap around.
+const maxSequence = 65536
+
+// orderScheduler is the record of the proxies whose tables have to be computed. By the acknowledgments it keeps the channel
+// short, also while the channel is slower than configured.
 type orderScheduler struct {
+	// Written by newOrderScheduler only.
 	channel     ChannelConfig
-	maxMessages int      // to one proxy within the channel's message window; 0: no limit
-	sequence    int      // of the last batch that asked for acknowledgments
-	pending     []*proxy // whose tables may need orders
-	retryAt     float64  // when those that had to wait are tried again, s
+	maxMessages int // to one proxy within the channel's message window; 0: no limit
+
+	sequence int      // of the last batch that asked for acknowledgments; written by run
+	pending  []*proxy // whose tables may have to change; written by request and run
+	retryAt  float64  // when the proxies are tried again that had to wait, s; written by request and run
 }
 
 func newOrderScheduler(channel ChannelConfig) *orderScheduler {
 	return &orderScheduler{channel: channel, maxMessages: int(channel.MessageLimit)}
 }
 
-// request has the tables of a proxy looked at, or those of all.
+// request has the tables of a proxy computed at the end of the batch; nil stands for all proxies.
 func (s *orderScheduler) request(assigner *Assigner, p *proxy) {
 	s.retryAt = 0
 	if p == nil {
@@ -29,89 +35,69 @@
 	}
 }
 
-// isDue tells whether there is anything to look at.
+// isDue reports whether there are proxies whose tables have to be computed now.
 func (s *orderScheduler) isDue(now float64) bool { return len(s.pending) > 0 && now >= s.retryAt }
 
-// delivery is the message that a proxy is to get.
+// delivery is the message that a proxy should receive.
 type delivery struct {
-	proxy  *proxy
-	orders []Order
-	lines  float64 // that it takes in the channel
-	urgent bool
-}
-
-// window is the part of the channel's queue that such a message may fill.
-func (d *delivery) window() float64 {
-	if d.urgent {
-		return urgentWindow
-	}
-	return ordinaryWindow
+	proxy   *proxy
+	orders  []Order
+	message ordering.Message
 }
 
-// run sends the orders of the pending proxies as far as the channel takes them; the others wait.
+// run sends the orders of the pending proxies as far as the channel takes them; the others stay pending.
 func (s *orderScheduler) run(assigner *Assigner) {
 	for _, z := range assigner.zones {
 		z.recompute(assigner)
 	}
 	deliveries := s.deliveries(assigner)
-	queued := linesInFlight(assigner.proxies)
+	inFlight := linesInFlight(assigner.proxies)
 	sequence := (s.sequence + 1) % maxSequence
 	for _, d := range deliveries {
-		if queued+d.lines > d.window()*s.channel.QueueLimit || !s.mayMessage(assigner, d.proxy, d.urgent) {
+		fits := ordering.Fits(d.message, inFlight, s.channel.QueueLimit)
+		if !fits || !ordering.Allowed(d.proxy.history(assigner), d.message.Urgent, s.maxMessages) {
 			s.pending = append(s.pending, d.proxy)
 			continue
 		}
 		s.sequence = sequence
-		queued += d.lines
+		inFlight += d.message.Lines
 		assigner.order(d.orders...)
-		assigner.send(ordersSent{d.proxy, d.orders, unacknowledgedBatch{sequence, d.lines}})
+		assigner.send(ordersSent{d.proxy, d.orders, unacknowledgedMessage{sequence, d.message.Lines}})
 	}
 	if s.sequence == sequence {
 		assigner.order(AcknowledgmentRequest{Sequence: sequence})
 	}
 	if len(s.pending) > 0 {
-		s.retryAt = assigner.now + retryDelay
-		assigner.order(SetTimer{Delay: retryDelay})
+		s.retryAt = assigner.now + ordering.RetryDelay
+		assigner.order(SetTimer{Delay: ordering.RetryDelay})
 	}
 }
 
-// deliveries works out the messages of the pending proxies: urgent ones first, and among equals the proxy
-// that waits longest, lest any starve.
+// deliveries returns the messages of the pending proxies in the order in which they are sent.
 func (s *orderScheduler) deliveries(assigner *Assigner) (deliveries []*delivery) {
 	for _, p := range s.pending {
-		orders, urgent := p.reconcile(assigner)
-		if len(orders) == 0 {
+		update := p.updateTables(assigner)
+		if len(update.orders) == 0 {
 			continue
 		}
-		lines := float64(len(orders)) + s.channel.MessageOverhead + 1 // one asks for the acknowledgment
-		deliveries = append(deliveries, &delivery{p, orders, lines, urgent})
+		message := ordering.Message{
+			Lines:         ordering.Lines(len(update.orders), s.channel.MessageOverhead),
+			Urgent:        update.urgent,
+			LastMessageAt: p.lastMessageAt(),
+		}
+		deliveries = append(deliveries, &delivery{p, update.orders, message})
 	}
 	s.pending = nil
-	slices.SortStableFunc(deliveries, func(x, y *delivery) int {
-		byLastMessage := cmp.Compare(x.proxy.lastMessageAt(), y.proxy.lastMessageAt())
-		return cmp.Or(cmp.Compare(y.window(), x.window()), byLastMessage)
-	})
+	slices.SortStableFunc(deliveries, func(x, y *delivery) int { return ordering.Compare(x.message, y.message) })
 	return deliveries
 }
 
-// linesInFlight counts what the channel may still hold.
+// linesInFlight returns the number of lines that the channel may still hold.
 func linesInFlight(proxies []*proxy) (lines float64) {
 	for _, p := range proxies {
-		for _, batch := range p.inFlight {
-			lines += batch.lines
+		for _, message := range p.inFlight {
+			lines += message.lines
 		}
 	}
 	return lines
 }
-
-// mayMessage tells whether a proxy may get another message. A third of the limit is kept for urgent ones.
-func (s *orderScheduler) mayMessage(assigner *Assigner, p *proxy, urgent bool) bool {
-	expired, _ := slices.BinarySearch(p.messageTimes, assigner.now-s.channel.MessageWindow)
-	recent := len(p.messageTimes) - expired
-	noLimit := s.maxMessages == 0
-	if urgent && (noLimit || recent < s.maxMessages-1) {
-		return true
-	}
-	tooSoon := recent > 0 && assigner.now-p.lastMessageAt() < minMessageInterval
-	return !tooSoon && (noLimit || recent < s.maxMessages*2/3)
-}
--- a/assign/tables_test.go
+++ b/assign/tables_test.go
@@ -1,6 +1,11 @@
 package assign
 
-import "testing"
+import (
+	"testing"
+
+	"madderhollow/assign/outlier"
+	"madderhollow/assign/subset"
+)
 
 // singleZoneModel is an assigner with sixty proxies and forty endpoints in one zone, all tables assigned; the function
 // tells how much each endpoint gets of what the proxies typically bring, for its listed weight.
@@ -19,10 +24,10 @@
 		for _, p := range assigner.proxies {
 			sum := 0.0
 			for _, entry := range p.tables[0] {
-				sum += entry.weight
+				sum += entry.Weight
 			}
 			for _, entry := range p.tables[0] {
-				loads[entry.endpoint] += p.typicalRate * entry.weight / sum / entry.endpoint.listedWeight
+				loads[entry.Endpoint] += p.typicalRate * entry.Weight / sum / entry.Endpoint.listedWeight
 			}
 		}
 		return loads
@@ -63,7 +68,7 @@
 		}
 		return known, added
 	}
-	if known, added := means(); added == 0 || added > 2*probationWeight*known {
+	if known, added := means(); added == 0 || added > 2*outlier.ProbationWeight*known {
 		t.Errorf("unverified endpoints get %.3f, others %.3f", added, known)
 	}
 	var events []Event
@@ -77,7 +82,7 @@
 			assigner.Handle(now+i+0.5, []Event{Acknowledged{Proxy: p.id, Sequence: assigner.scheduler.sequence}})
 		}
 	}
-	if known, added := means(); added < known/reassignmentRatio {
+	if known, added := means(); added < known/subset.ReassignmentRatio {
 		t.Errorf("proven endpoints get %.3f, others %.3f", added, known)
 	}
 }
--- a/assign/warmup_test.go
+++ b/assign/warmup_test.go
@@ -1,6 +1,11 @@
 package assign
 
-import "testing"
+import (
+	"testing"
+
+	"madderhollow/assign/outlier"
+	"madderhollow/assign/subset"
+)
 
 // Where rate limits are ignored nothing keeps a burst from a warming endpoint: it stays out until it is warm.
 func TestWarmingEndpointsStayOutWhereLimitsAreIgnored(t *testing.T) {
@@ -10,7 +15,7 @@
 		config.WarmUp = WarmUpConfig{InitialFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2}
 		a := New(1, config)
 		a.Handle(5, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{{Name: "a", Zone: "x", StartedAt: 1}}}})
-		if got := a.endpoints["a"].weightFraction(a, "x") > 0; got != want {
+		if got := a.endpoints["a"].conditionIn(a, "x").usableWeight > 0; got != want {
 			t.Errorf("admission mode %d: has a weight: %v", mode, got)
 		}
 	}
@@ -48,20 +53,20 @@
 				continue
 			}
 			health := sim.assigner.endpoints[e.Name].healthIn("x")
-			health.weight, health.failureRatio = probationWeight, failureRatio
+			health.Weight, health.FailureRatio = outlier.ProbationWeight, failureRatio
 		}
 		sim.update(sim.endpoints[0], sim.endpoints[3], sim.endpoints[6], sim.endpoints[9], sim.endpoints[12])
 		sim.recomputeZoneX()
 		table := sim.signTable()
 		warming, sum := 0.0, 0.0
-		for _, entry := range table.entries {
-			sum += entry.weight
-			if entry.endpoint.warming(sim.assigner) {
-				warming += entry.weight
+		for _, entry := range table.Entries {
+			sum += entry.Weight
+			if entry.Endpoint.warming(sim.assigner) {
+				warming += entry.Weight
 			}
 		}
-		if warming/sum > maxShare || len(table.entries) < 2 || maxShare > 0 && (warming == 0 || table.capacity > 0.5) {
-			t.Errorf("%.1f fail: warming endpoints take %.2f of a table that carries %.2f", failureRatio, warming/sum, table.capacity)
+		if warming/sum > maxShare || len(table.Entries) < 2 || maxShare > 0 && (warming == 0 || table.WarmingCapacity > 0.5) {
+			t.Errorf("%.1f fail: warming endpoints take %.2f of a table that carries %.2f", failureRatio, warming/sum, table.WarmingCapacity)
 		}
 	}
 }
@@ -75,14 +80,14 @@
 		sim.step(0.01, EndpointUpdate{Endpoints: []Endpoint{entry}})
 	}
 	table := sim.signTable()
-	if len(table.entries) > tableSize || table.capacity < 0.5 {
-		t.Errorf("%d entries carry %.2f", len(table.entries), table.capacity)
+	if len(table.Entries) > subset.FullTableSize || table.WarmingCapacity < 0.5 {
+		t.Errorf("%d entries carry %.2f", len(table.Entries), table.WarmingCapacity)
 	}
 	for _, e := range sim.assigner.endpointList {
-		e.healthIn("x").failureRatio = 0.9
+		e.healthIn("x").FailureRatio = 0.9
 	}
 	sim.recomputeZoneX()
-	if failing := sim.signTable(); failing.capacity > table.capacity/5 {
-		t.Errorf("entries that fail nine attempts in ten carry %.2f of %.2f", failing.capacity, table.capacity)
+	if failing := sim.signTable(); failing.WarmingCapacity > table.WarmingCapacity/5 {
+		t.Errorf("entries that fail nine attempts in ten carry %.2f of %.2f", failing.WarmingCapacity, table.WarmingCapacity)
 	}
 }
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -1,36 +1,37 @@
 package assign
 
-import "slices"
+import (
+	"math"
+	"slices"
 
-// careLevel says what the endpoints that a default table may hold need.
-type careLevel int
-
-const (
-	careNone   careLevel = iota // the default table may stay
-	careWanted                  // an endpoint should weigh less than listed
-	careUrgent                  // a rule depends on the default table's going
+	"madderhollow/assign/assignment"
+	"madderhollow/assign/locality"
+	"madderhollow/assign/subset"
 )
 
 // zone is the record of a zone in which endpoints or proxies were seen.
 type zone struct {
-	name        string
-	overloaded  bool    // its endpoints are nearly full
-	unhealthy   bool    // most of its warmed-up endpoints fail its proxies
-	readyWeight float64 // listed weight of its ready endpoints
-	peakWeight  float64 // the highest ever seen, against which what is left is measured
-	busy        float64 // mean busy fraction of its ready endpoints
+	name string // written by Assigner.zone only
+
+	// Written by recompute.
+	overloaded     bool
+	excludeWarming bool            // see subset.ExcludeWarming
+	busy           float64         // mean busy fraction of its ready endpoints; 1 is full
+	readyWeight    float64         // listed weight of its ready endpoints
+	peakWeight     float64         // the highest readyWeight so far
+	needAnywhere   assignment.Need // of a default table that may hold any endpoint
+	needLocal      assignment.Need // of a default table that holds only endpoints of the zone
 
-	trafficFraction  float64 // that its reporting proxies bring, of the rate of all reporting proxies
-	reportingProxies float64
-	spillover        float64 // fraction of its traffic that is shifted to other zones
-	feltSpillover    float64 // the part of that which reports show already
+	plans map[*tableGroup]*tablePlan // written by plan, discarded by recompute
 
-	careAnywhere careLevel // of a default table that may hold any endpoint
-	careLocal    careLevel // of one that holds only endpoints of the zone
-	plans        map[*tableGroup]*tablePlan
+	// Written by measureTraffic.
+	trafficFraction  float64 // of the rate of all reporting proxies that its own bring
+	reportingProxies float64 // above 0
+
+	spillover locality.Spillover // written by adjustSpillover
 }
 
-// zone finds or makes the record of a zone.
+// zone returns the record of a zone, a new one where there is none.
 func (a *Assigner) zone(name string) *zone {
 	i := slices.IndexFunc(a.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
@@ -40,10 +41,124 @@
 	return a.zones[i]
 }
 
-// careFor returns what a default table needs, local if it holds only endpoints of the zone.
-func (z *zone) careFor(local bool) careLevel {
+// recompute sums up the endpoints for the zone's proxies and discards the plans made before.
+func (z *zone) recompute(assigner *Assigner) {
+	z.plans = map[*tableGroup]*tablePlan{}
+	z.needAnywhere = assignment.KeepDefault
+	if assigner.expiredEndpoints {
+		z.needAnywhere = assignment.ReplaceUrgently
+	}
+	z.needLocal = z.needAnywhere
+	var summary locality.Summary
+	for _, record := range assigner.endpointList {
+		condition := record.conditionIn(assigner, z.name)
+		local := record.zone == z.name
+		summary.Add(locality.Endpoint{
+			Local:        local,
+			Ready:        record.ready(),
+			Warming:      condition.warming,
+			Unverified:   condition.unverified,
+			ListedWeight: record.listedWeight,
+			Busy:         record.busy,
+			FailureRatio: condition.health.FailureRatio,
+		})
+		need := assignment.NeedFor(record.ready(), condition.warming, condition.health.Weight)
+		z.needAnywhere = max(z.needAnywhere, need)
+		if local {
+			z.needLocal = max(z.needLocal, need)
+		}
+	}
+	z.readyWeight = summary.ReadyWeight
+	z.peakWeight = math.Max(z.peakWeight, summary.ReadyWeight)
+	z.busy = summary.Busy()
+	z.overloaded = locality.Overloaded(z.busy, z.overloaded)
+	z.excludeWarming = subset.ExcludeWarming(summary.MostWarmFail(), assigner.tableSize.Entries)
+}
+
+// defaultTableNeed returns what a default table needs, local if it holds only endpoints of the zone.
+func (z *zone) defaultTableNeed(local bool) assignment.Need {
 	if local {
-		return z.careLocal
+		return z.needLocal
+	}
+	return z.needAnywhere
+}
+
+// adjustSpillover moves the zone's spill-over by a step.
+func (z *zone) adjustSpillover(assigner *Assigner) {
+	inputs := locality.Zone{Overloaded: z.overloaded, Busy: z.busy, ReadyWeight: z.readyWeight}
+	if z.overloaded {
+		inputs.Remote = z.sumRemote(assigner)
+	}
+	z.spillover = locality.AdjustSpillover(z.spillover, inputs)
+}
+
+// sumRemote sums up the endpoints of other zones that the zone's proxies could use.
+func (z *zone) sumRemote(assigner *Assigner) locality.Remote {
+	remote := locality.NewRemote()
+	for _, e := range assigner.endpointList {
+		if e.zone != z.name {
+			remote.Add(e.busy, e.conditionIn(assigner, z.name).usableWeight)
+		}
+	}
+	return remote
+}
+
+// plan returns the plan of a group's tables in the zone, made on first use after each recompute.
+func (z *zone) plan(assigner *Assigner, group *tableGroup) *tablePlan {
+	if plan := z.plans[group]; plan != nil {
+		return plan
+	}
+	plan := subset.NewPlan(z.subsetZone(group), assigner.subsetFleet(), z.candidates(assigner, group))
+	for _, p := range assigner.proxies {
+		if p.hasAssignedTables && p.connected {
+			plan.AddLoad(p.tables[group.index], p.typicalRate)
+		}
+	}
+	z.plans[group] = plan
+	return plan
+}
+
+// candidates returns the endpoints that the group's classes may use from the zone.
+func (z *zone) candidates(assigner *Assigner, group *tableGroup) []subset.Candidate[*endpoint] {
+	candidates := make([]subset.Candidate[*endpoint], 0, len(assigner.endpointList))
+	for _, record := range assigner.endpointList {
+		condition := record.conditionIn(assigner, z.name)
+		if condition.usableWeight <= 0 || !group.policy.Allows(record.zone, z.name) {
+			continue
+		}
+		candidates = append(candidates, subset.Candidate[*endpoint]{
+			Endpoint:     record,
+			Weight:       condition.usableWeight,
+			ListedWeight: record.listedWeight,
+			Remote:       record.zone != z.name,
+			Warming:      condition.warming,
+			Unverified:   condition.unverified,
+			FailureRatio: condition.health.FailureRatio,
+			TieBreak:     record.tieBreak,
+		})
+	}
+	return candidates
+}
+
+// subsetZone returns what a plan of a group needs to know of the zone.
+func (z *zone) subsetZone(group *tableGroup) subset.Zone {
+	return subset.Zone{
+		Overloaded:       z.overloaded,
+		PeakWeight:       z.peakWeight,
+		Spillover:        z.spillover.Fraction,
+		TrafficFraction:  z.trafficFraction,
+		ReportingProxies: z.reportingProxies,
+		ExcludeWarming:   z.excludeWarming,
+		Closed:           group.policy.ClosedIn(z.name),
+	}
+}
+
+// subsetFleet returns what a plan needs to know of all zones.
+func (a *Assigner) subsetFleet() subset.Fleet {
+	fleet := subset.Fleet{Zones: len(a.zones), ConfiguredProxies: a.config.ProxyCount}
+	for _, z := range a.zones {
+		fleet.PeakWeight += z.peakWeight
+		fleet.ReportingProxies += z.reportingProxies
 	}
-	return z.careAnywhere
+	return fleet
 }
--- a/assign/zones_test.go
+++ b/assign/zones_test.go
@@ -8,7 +8,7 @@
 	sim := calmModel(t)
 	zone, traffic, spillovers := sim.assigner.zone("x"), 1.6, []float64{0, 0, 0, 0}
 	for range 60 {
-		spillovers = append(spillovers, zone.spillover)
+		spillovers = append(spillovers, zone.spillover.Fraction)
 		reported := spillovers[len(spillovers)-4]
 		for _, e := range sim.assigner.endpointList {
 			e.busy = 0.4 + traffic*reported/2
@@ -31,7 +31,7 @@
 		zone.recompute(sim.assigner)
 		zone.adjustSpillover(sim.assigner)
 	}
-	if zone.spillover > 0 {
-		t.Errorf("an idle zone still sends %.2f of its requests to others", zone.spillover)
+	if zone.spillover.Fraction > 0 {
+		t.Errorf("an idle zone still sends %.2f of its requests to others", zone.spillover.Fraction)
 	}
 }
