--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -6,7 +6,8 @@
 	"madderhollow/assign/subset"
 )
 
-// minRelativeChange is the change of a weight or limit, as a fraction of the greater value, from which it is worth a message.
+// minRelativeChange is the change of a weight or limit, as a fraction of the greater value, from which it is worth a
+// message.
 const minRelativeChange = 0.1
 
 // WorthSending reports whether the change from one weight or limit to another is worth a message.
@@ -14,8 +15,8 @@
 	return math.Abs(to-from) > minRelativeChange*math.Max(to, from)
 }
 
-// Changes returns the entries of a wanted table that the held one lacks or has at a weight that is worth changing, and an
-// entry of weight 0 for each that has to go.
+// Changes returns the entries of a wanted table that the held one lacks or has at a weight that is worth changing,
+// and an entry of weight 0 for each that has to go.
 func Changes[E comparable](held, wanted []subset.Entry[E]) (changes []subset.Entry[E]) {
 	for _, entry := range held {
 		if subset.WeightOf(wanted, entry.Endpoint) == 0 {
@@ -37,17 +38,18 @@
 	Warming  bool    // the endpoint is not yet at full speed
 }
 
-// UrgentEntry reports whether a rule depends on the change: it takes load from an endpoint that drains, was removed or warms
-// up.
+// UrgentEntry reports whether a rule depends on the change: it takes load from an endpoint that drains, was removed
+// or warms up.
 func UrgentEntry(change EntryChange) bool {
 	return change.To < change.From && (!change.Ready || change.Warming)
 }
 
-// urgentLimitFactor is the factor by which a rate limit has to fall to be urgent: the reserve that a slow-start cap has.
+// urgentLimitFactor is the factor by which a rate limit has to fall to be urgent: the reserve that a slow-start cap
+// has.
 const urgentLimitFactor = 2
 
-// UrgentLimit reports whether a rule depends on the change of a rate limit: it protects warming endpoints of the table and
-// falls by more than the cap's reserve.
+// UrgentLimit reports whether a rule depends on the change of a rate limit: it protects warming endpoints of the
+// table and falls by more than the cap's reserve.
 func UrgentLimit(from, to float64, tableHasWarming bool) bool {
 	return tableHasWarming && to < from/urgentLimitFactor
 }
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -1,8 +1,9 @@
-// Package assignment decides whether a proxy's default table has to be replaced by an assigned one, which changes of an
-// assigned table are worth a message, and which of them are urgent.
+// Package assignment decides whether a proxy's default table has to be replaced by an assigned one, which changes of
+// an assigned table are worth a message, and which of them are urgent.
 //
-// It acts when a proxy connects and whenever the proxy's tables are computed. Inputs are the states of endpoints, weights,
-// and rate limits in requests per second. See docs/design.md, "What was changed", 2 (assigned tables before a limit).
+// It acts when a proxy connects and whenever the proxy's tables are computed. Inputs are the states of endpoints,
+// weights, and rate limits in requests per second. See docs/design.md, "What was changed", 2 (assigned tables before
+// a limit).
 package assignment
 
 // Need says what the endpoints that a default table may hold require of it. Higher values take precedence.
@@ -15,8 +16,8 @@
 	ReplaceUrgently             // a rule depends on the default table's replacement
 )
 
-// NeedFor returns what a default table needs that may hold an endpoint of this state. HealthWeight is a factor on the listed
-// weight, 0 to 1.
+// NeedFor returns what a default table needs that may hold an endpoint of this state. HealthWeight is a factor on the
+// listed weight, 0 to 1.
 func NeedFor(ready, warming bool, healthWeight float64) Need {
 	switch {
 	case !ready || warming:
@@ -42,9 +43,9 @@
 	Unknown bool // they may hold endpoints that the assigner does not know
 }
 
-// ContentsAtConnect returns what a proxy's tables may hold when it connects, with the supply of each of its tables. A proxy
-// that is not fresh holds tables of another assigner. Default tables of a closed class hold endpoints of other zones; in a
-// zone with few ready endpoints, which is being lost or regained, the contents are unknown.
+// ContentsAtConnect returns what a proxy's tables may hold when it connects, with the supply of each of its tables. A
+// proxy that is not fresh holds tables of another assigner. Default tables of a closed class hold endpoints of other
+// zones; in a zone with few ready endpoints, which is being lost or regained, the contents are unknown.
 func ContentsAtConnect(fresh bool, supplies []Supply) Contents {
 	contents := Contents{Local: true, Unknown: !fresh}
 	for _, supply := range supplies {
@@ -66,8 +67,8 @@
 	DefaultTableHas Need // what the endpoints that its default table may hold require
 }
 
-// NeedsTables reports whether the proxy's assigned tables have to be computed. A default table is replaced at the first
-// problem, because its contents are unknown.
+// NeedsTables reports whether the proxy's assigned tables have to be computed. A default table is replaced at the
+// first problem, because its contents are unknown.
 func NeedsTables(proxy Proxy) bool {
 	if !proxy.Connected || proxy.TablesByShard {
 		return false
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -1,8 +1,9 @@
-// Package locality decides whether a zone is overloaded and which fraction of its traffic goes to other zones' endpoints.
+// Package locality decides whether a zone is overloaded and which fraction of its traffic goes to other zones'
+// endpoints.
 //
-// Summary acts whenever tables are computed, AdjustSpillover once a tick. Inputs are busy fractions (1 is full), listed
-// weights and failure ratios; the results are fractions of the zone's traffic. See docs/design.md, "What was changed", 3
-// (subsetting and spill-over).
+// Summary acts whenever tables are computed, AdjustSpillover once a tick. Inputs are busy fractions (1 is full),
+// listed weights and failure ratios; the results are fractions of the zone's traffic. See docs/design.md, "What was
+// changed", 3 (subsetting and spill-over).
 package locality
 
 import (
@@ -52,8 +53,8 @@
 // MostWarmFail reports whether the warm endpoints fail more than half of the zone's attempts.
 func (s *Summary) MostWarmFail() bool { return 2*s.soundWeight < s.warmWeight }
 
-// busyRecovered is the mean busy fraction below which a zone is no longer overloaded. The gap to overload.BusyThreshold keeps
-// tables from flapping.
+// busyRecovered is the mean busy fraction below which a zone is no longer overloaded. The gap to
+// overload.BusyThreshold keeps tables from flapping.
 const busyRecovered = 0.5
 
 // Overloaded reports whether a zone with this mean busy fraction is overloaded, given whether it was before.
@@ -102,9 +103,9 @@
 	maxSpillover = 1 - 1.0/subset.FullTableSize
 )
 
-// AdjustSpillover returns the spill-over after a tick: it moves by a part of the gap in busy fractions, as the rate split moves
-// unused quota between proxies. An assigner may have no reports of other zones' proxies, but endpoints report how busy all
-// proxies make them.
+// AdjustSpillover returns the spill-over after a tick: it moves by a part of the gap in busy fractions, as the rate
+// split moves unused quota between proxies. An assigner may have no reports of other zones' proxies, but endpoints
+// report how busy all proxies make them.
 func AdjustSpillover(spillover Spillover, zone Zone) Spillover {
 	gap := spillover.gap(zone)
 	spillover.Observed += (spillover.Fraction - spillover.Observed) * timing.TickInterval / timing.FeedbackDelay
@@ -115,14 +116,17 @@
 const (
 	// crossZoneCost is the busy fraction that crossing zones has to gain, because it is charged for.
 	crossZoneCost = 0.1
-	// minRemoteKnown is the remote weight, as a fraction of the zone's own, below which too little is known of other zones.
+	// minRemoteKnown is the remote weight, as a fraction of the zone's own, below which too little is known of other
+	// zones.
 	minRemoteKnown = 0.1
-	// exploratoryEntries is the number of entries of a full table that go to other zones then, to obtain reports on them.
+	// exploratoryEntries is the number of entries of a full table that go to other zones then, to obtain reports on
+	// them.
 	exploratoryEntries = 0.6
 )
 
-// gap returns how much busier the zone's endpoints are than those that it could use elsewhere. Traffic that was shifted
-// shows in reports only after several ticks; until then the gap counts it as shifted, so that it is not shifted again.
+// gap returns how much busier the zone's endpoints are than those that it could use elsewhere. Traffic that was
+// shifted shows in reports only after several ticks; until then the gap counts it as shifted, so that it is not
+// shifted again.
 func (s Spillover) gap(zone Zone) float64 {
 	if !zone.Overloaded {
 		return -spilloverDecay
--- a/assign/membership/membership.go
+++ b/assign/membership/membership.go
@@ -1,9 +1,9 @@
-// Package membership decides whether an endpoint is ready, draining or removed, from the endpoint list and from its own
-// answers, and when the record of a removed endpoint expires.
+// Package membership decides whether an endpoint is ready, draining or removed, from the endpoint list and from its
+// own answers, and when the record of a removed endpoint expires.
 //
-// It acts on each entry of an endpoint update, on each endpoint that an update drops, and once a tick on endpoints that
-// the list dropped although their removal is advisory. Times are in seconds. It returns the endpoint's next Status. See
-// docs/design.md, "What was changed", 1.
+// It acts on each entry of an endpoint update, on each endpoint that an update drops, and once a tick on endpoints
+// that the list dropped although their removal is advisory. Times are in seconds. It returns the endpoint's next
+// Status. See docs/design.md, "What was changed", 1.
 //
 // The transitions:
 //
@@ -45,9 +45,9 @@
 	Now               float64 // s
 }
 
-// AfterDrop returns the status of an endpoint that the list no longer names. Where removal is advisory, the list is one of
-// two sources: an endpoint that still answers stays in use, so that a wrong list cannot remove the fleet. Late answers from
-// a dead endpoint can delay its removal by one report interval.
+// AfterDrop returns the status of an endpoint that the list no longer names. Where removal is advisory, the list is
+// one of two sources: an endpoint that still answers stays in use, so that a wrong list cannot remove the fleet. Late
+// answers from a dead endpoint can delay its removal by one report interval.
 func AfterDrop(status Status, drop Drop) Status {
 	status.Delisted = status.Delisted || drop.RemovalIsAdvisory && status.State == Ready
 	if !status.Delisted || timing.Silent(drop.Now, drop.LastAnsweredAt) {
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -1,5 +1,5 @@
-// Package ordering decides in which order messages go to the proxies, and which of them have to wait because the channel is
-// full or their proxy has received enough messages.
+// Package ordering decides in which order messages go to the proxies, and which of them have to wait because the
+// channel is full or their proxy has received enough messages.
 //
 // It acts in every batch in which tables are computed. Sizes are in lines of the channel, times in seconds. See
 // docs/design.md, "What was changed", 4 (in-flight window).
@@ -15,7 +15,8 @@
 const (
 	// ordinaryWindow is the part of the channel's queue limit that ordinary orders may fill.
 	ordinaryWindow = 0.5
-	// urgentWindow is the part that orders may fill on which a rule depends, so that they do not wait behind the others.
+	// urgentWindow is the part that orders may fill on which a rule depends, so that they do not wait behind the
+	// others.
 	urgentWindow = 0.9
 )
 
@@ -29,8 +30,8 @@
 // acknowledgmentLines is what the request for an acknowledgment adds to a message.
 const acknowledgmentLines = 1
 
-// Lines returns the lines that a message with a number of orders takes in the channel. Overhead is the channel's own, per
-// message.
+// Lines returns the lines that a message with a number of orders takes in the channel. Overhead is the channel's own,
+// per message.
 func Lines(orders int, overhead float64) float64 {
 	return float64(orders) + overhead + acknowledgmentLines
 }
@@ -43,15 +44,15 @@
 	return ordinaryWindow
 }
 
-// Compare orders messages for slices.SortStableFunc: urgent ones first, and among equals the proxy that has waited longest, so
-// that none starves.
+// Compare orders messages for slices.SortStableFunc: urgent ones first, and among equals the proxy that has waited
+// longest, so that none starves.
 func Compare(x, y Message) int {
 	byLastMessage := cmp.Compare(x.LastMessageAt, y.LastMessageAt)
 	return cmp.Or(cmp.Compare(y.window(), x.window()), byLastMessage)
 }
 
-// Fits reports whether the channel takes the message. InFlight is the number of lines that have not been acknowledged,
-// queueLimit the number that may be queued.
+// Fits reports whether the channel takes the message. InFlight is the number of lines that have not been
+// acknowledged, queueLimit the number that may be queued.
 func Fits(message Message, inFlight, queueLimit float64) bool {
 	return inFlight+message.Lines <= message.window()*queueLimit
 }
@@ -72,8 +73,8 @@
 	Now           float64 // s
 }
 
-// Allowed reports whether a proxy may receive another message. MaxMessages is the limit within the message window; 0 means
-// none. One message of the limit stays free, for what the assigner does not know of.
+// Allowed reports whether a proxy may receive another message. MaxMessages is the limit within the message window; 0
+// means none. One message of the limit stays free, for what the assigner does not know of.
 func Allowed(history History, urgent bool, maxMessages int) bool {
 	noLimit := maxMessages == 0
 	if urgent && (noLimit || history.Recent < maxMessages-1) {
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier assesses endpoints by the attempts that the proxies of one zone report, and decides the health weight of
-// each: a factor from ProbationWeight to 1 on its listed weight.
+// Package outlier assesses endpoints by the attempts that the proxies of one zone report, and decides the health
+// weight of each: a factor from ProbationWeight to 1 on its listed weight.
 //
-// Assess acts once a tick on every endpoint; Decrease acts once a tick on unhealthy endpoints while there is no overload.
-// Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Both return the next Health. Each
-// zone has a Health of its own, because a network partition between zones is no fault of the endpoint. See docs/design.md,
-// "What was changed", 1 (health weights).
+// Assess acts once a tick on every endpoint; Decrease acts once a tick on unhealthy endpoints while there is no
+// overload. Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Both return the
+// next Health. Each zone has a Health of its own, because a network partition between zones is no fault of the
+// endpoint. See docs/design.md, "What was changed", 1 (health weights).
 package outlier
 
 import (
@@ -52,8 +52,9 @@
 	weightGain = 0.1
 )
 
-// Assess returns the health after an assessment at a time in seconds, or the same health while there are too few attempts.
-// LateThreshold is the mean latency in seconds above which answers are late. A healthy endpoint regains weight.
+// Assess returns the health after an assessment at a time in seconds, or the same health while there are too few
+// attempts. LateThreshold is the mean latency in seconds above which answers are late. A healthy endpoint regains
+// weight.
 func Assess(health Health, lateThreshold, now float64) Health {
 	tooFew := health.Attempts < minAttempts && health.Weight >= lowWeight
 	if health.Attempts < minAttemptsAtLowWeight || tooFew {
@@ -73,7 +74,8 @@
 	return health
 }
 
-// FailureThreshold is the failure ratio from which an endpoint is unhealthy: more than the rejections of a busy endpoint.
+// FailureThreshold is the failure ratio from which an endpoint is unhealthy: more than the rejections of a busy
+// endpoint.
 const FailureThreshold = 0.4
 
 // Failing reports whether the failure ratio of the last assessment reached FailureThreshold.
@@ -103,10 +105,10 @@
 // Decrease returns the health after an unhealthy assessment, and whether the endpoint went on probation now. The mean
 // failure ratio is that of all endpoints.
 //
-// An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned off, and
-// goes on probation at once. One that fails and answers late is overloaded: its weight decays step by step, because moving
-// all its load would overload the next endpoint. Decrease waits for the feedback delay between two steps. It is wrong where
-// the reporting proxies are at fault.
+// An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned
+// off, and goes on probation at once. One that fails and answers late is overloaded: its weight decays step by step,
+// because moving all its load would overload the next endpoint. Decrease waits for the feedback delay between two
+// steps. It is wrong where the reporting proxies are at fault.
 func Decrease(health Health, meanFailureRatio, now float64) (next Health, probation bool) {
 	isOutlier := health.Failing() && !health.Late && health.FailureRatio > outlierFactor*meanFailureRatio
 	switch {
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -1,9 +1,9 @@
-// Package overload decides whether the endpoints as a whole are overloaded, which total rate the proxies may admit then,
-// and how many entries tables hold while connections are scarce.
+// Package overload decides whether the endpoints as a whole are overloaded, which total rate the proxies may admit
+// then, and how many entries tables hold while connections are scarce.
 //
-// It acts once a tick on the sums of the last period. Inputs are attempts per second, busy fractions (1 is full) and rates in
-// requests per second. It returns a total rate, or 0 for none, and a table size in entries. See docs/design.md, "How the page
-// was read where it is open" and "What was changed", 5 (narrow tables).
+// It acts once a tick on the sums of the last period. Inputs are attempts per second, busy fractions (1 is full) and
+// rates in requests per second. It returns a total rate, or 0 for none, and a table size in entries. See
+// docs/design.md, "How the page was read where it is open" and "What was changed", 5 (narrow tables).
 package overload
 
 import (
@@ -66,7 +66,8 @@
 	}
 }
 
-// Add adds an endpoint. The busy fraction counts only while the endpoint answers: an older one describes a former overload.
+// Add adds an endpoint. The busy fraction counts only while the endpoint answers: an older one describes a former
+// overload.
 func (p *Period) Add(endpoint Endpoint) {
 	if endpoint.Assessed {
 		p.Assessed++
@@ -101,16 +102,16 @@
 	BusyReported bool    // endpoints report how busy they are
 }
 
-// nearlyFull reports whether the endpoints are busy on the whole, or report nothing of it. Late or failed answers of idle
-// endpoints come from uneven tables, connections or errors: a lower rate mends none of these and leaves fewer attempts from
-// which to set a total.
+// nearlyFull reports whether the endpoints are busy on the whole, or report nothing of it. Late or failed answers of
+// idle endpoints come from uneven tables, connections or errors: a lower rate mends none of these and leaves fewer
+// attempts from which to set a total.
 func (p *Period) nearlyFull(busyReported bool) bool {
 	return p.busyWeight > BusyThreshold*p.reportedWeight || !busyReported
 }
 
-// Detected reports whether there is an overload: the endpoints are nearly full, most of those assessed are unhealthy, and
-// the reported attempts are half of what the proxies admit. The last condition holds back an assigner that has just started
-// and has few reports.
+// Detected reports whether there is an overload: the endpoints are nearly full, most of those assessed are unhealthy,
+// and the reported attempts are half of what the proxies admit. The last condition holds back an assigner that has
+// just started and has few reports.
 func (p *Period) Detected(traffic Traffic) bool {
 	admitted := traffic.Observed
 	if traffic.Total != 0 {
@@ -139,8 +140,8 @@
 	Removed bool    // it exceeds the observed rate by enough that no limit is needed
 }
 
-// TotalAfter returns the total rate after a period without an overload. The total that was set during an overload can be
-// far too low for steps of a tenth, so that the endpoints' busy fraction shows how far it may rise.
+// TotalAfter returns the total rate after a period without an overload. The total that was set during an overload can
+// be far too low for steps of a tenth, so that the endpoints' busy fraction shows how far it may rise.
 func (p *Period) TotalAfter(traffic Traffic) Growth {
 	byBusy := p.successful * BusyThreshold * p.reportedWeight / p.busyWeight
 	total := math.Max(traffic.Total*totalGrowth, byBusy)
--- a/assign/overload/tablesize.go
+++ b/assign/overload/tablesize.go
@@ -24,9 +24,9 @@
 // NewTableSize returns the size of a full table.
 func NewTableSize() TableSize { return TableSize{Entries: subset.FullTableSize} }
 
-// Adjust returns the table size after a period. Tables shrink by the failure ratio while connections are scarce: endpoints
-// that are idle on the whole fail many attempts and answer the others quickly. They grow by an entry at a time once few
-// attempts fail.
+// Adjust returns the table size after a period. Tables shrink by the failure ratio while connections are scarce:
+// endpoints that are idle on the whole fail many attempts and answer the others quickly. They grow by an entry at a
+// time once few attempts fail.
 func (s TableSize) Adjust(period *Period, busyReported bool) TableSize {
 	if period.now < s.NextChange {
 		return s
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota splits one total rate among the proxies as stored proportions, called quotas: the mechanism of the design
-// page, "Surplus-shifting rate shares".
+// Package quota splits one total rate among the proxies as stored proportions, called quotas: the mechanism of the
+// design page, "Surplus-shifting rate shares".
 //
-// Join acts when proxies join the split, Redistribute once a tick. Inputs are quotas (fractions of the total rate) and rates
-// in requests per second; both return quotas that sum to 1. A proxy leaves the split when timing.Silent says so. See
-// docs/design.md, "What was kept".
+// Join acts when proxies join the split, Redistribute once a tick. Inputs are quotas (fractions of the total rate)
+// and rates in requests per second; both return quotas that sum to 1. A proxy leaves the split when timing.Silent
+// says so. See docs/design.md, "What was kept".
 package quota
 
 import "math"
@@ -14,8 +14,8 @@
 	Quota float64 // of each proxy that joins
 }
 
-// Join gives each of a number of joining proxies an equal quota, and scales the members' quotas down to match. Joining must
-// be at least 1.
+// Join gives each of a number of joining proxies an equal quota, and scales the members' quotas down to match.
+// Joining must be at least 1.
 func Join(members, joining int) JoinResult {
 	all := float64(members) + float64(joining)
 	return JoinResult{Scale: 1 - float64(joining)/all, Quota: 1 / all}
@@ -40,9 +40,9 @@
 	minQuota = 1e-6
 )
 
-// Redistribute moves unused quota and returns the new quotas in the order of the members. The quota of a member that uses
-// less than its own falls to its use; what that frees goes in equal pieces to the members that use all of theirs. Without a
-// total every quota follows the use.
+// Redistribute moves unused quota and returns the new quotas in the order of the members. The quota of a member that
+// uses less than its own falls to its use; what that frees goes in equal pieces to the members that use all of
+// theirs. Without a total every quota follows the use.
 func Redistribute(split Split, members []Member) []float64 {
 	var freed, fullUsers, sum float64
 	for _, m := range members {
--- a/assign/slowstart/slowstart.go
+++ b/assign/slowstart/slowstart.go
@@ -1,9 +1,9 @@
-// Package slowstart decides how much an endpoint may be given while it warms up after its start, and how much a proxy may
-// admit while its table holds such endpoints.
+// Package slowstart decides how much an endpoint may be given while it warms up after its start, and how much a proxy
+// may admit while its table holds such endpoints.
 //
-// It acts from the start of an endpoint's process until Config.Duration has passed. Its inputs are times in seconds on the
-// assigner's clock and rates in requests per second. It returns fractions of a listed weight and rate caps. See
-// docs/design.md, "What was changed", 1 (health weights) and 6 (slow-start rate cap).
+// It acts from the start of an endpoint's process until Config.Duration has passed. Its inputs are times in seconds
+// on the assigner's clock and rates in requests per second. It returns fractions of a listed weight and rate caps.
+// See docs/design.md, "What was changed", 1 (health weights) and 6 (slow-start rate cap).
 package slowstart
 
 import "math"
@@ -23,10 +23,10 @@
 	RateLimitsIgnored bool    // proxies admit all requests, whatever their rate limit
 }
 
-// CapacityFraction returns the fraction of its capacity that an endpoint has for certain, 0 to 1, by the slowest curve that
-// the configuration allows. It is 0 within the first overload window, because proxies with outdated tables may have spent
-// that window's budget before the assigner was notified of the start. It stays 0 until the end of the warm-up where rate
-// limits are ignored, because nothing else protects the endpoint from a burst.
+// CapacityFraction returns the fraction of its capacity that an endpoint has for certain, 0 to 1, by the slowest
+// curve that the configuration allows. It is 0 within the first overload window, because proxies with outdated tables
+// may have spent that window's budget before the assigner was notified of the start. It stays 0 until the end of the
+// warm-up where rate limits are ignored, because nothing else protects the endpoint from a burst.
 func CapacityFraction(config Config, start Start) float64 {
 	age := start.Now - start.StartedAt
 	if start.StartedAt == 0 || age >= config.Duration {
@@ -40,7 +40,8 @@
 }
 
 const (
-	// burstFraction is the part of the overload multiple that a cap uses, because proxies bring more before a report shows it.
+	// burstFraction is the part of the overload multiple that a cap uses, because proxies bring more before a report
+	// shows it.
 	burstFraction = 0.5
 	// deviations is the number of standard deviations of a rate that a cap leaves room for.
 	deviations = 2
@@ -53,9 +54,9 @@
 	TableCapacity float64 // fraction of its usual weight that the table can serve, 0 to 1
 }
 
-// RateCap returns the rate in requests per second that the proxy may admit of the class. Reports arrive too late to stop a
-// burst on a warming endpoint, so the cap acts before one. It leaves room for the deviation of a Poisson process, because a
-// rate of one request per second varies by chance alone.
+// RateCap returns the rate in requests per second that the proxy may admit of the class. Reports arrive too late to
+// stop a burst on a warming endpoint, so the cap acts before one. It leaves room for the deviation of a Poisson
+// process, because a rate of one request per second varies by chance alone.
 func RateCap(config Config, demand Demand) float64 {
 	expected := math.Max(demand.ReportedRate, demand.TypicalRate)
 	withDeviations := expected + deviations*math.Sqrt(expected)
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -6,8 +6,8 @@
 	"madderhollow/assign/outlier"
 )
 
-// UsableWeight returns the weight that tables may give a ready endpoint: its listed weight times the lower of its health
-// weight and of the capacity fraction that it has while it warms up.
+// UsableWeight returns the weight that tables may give a ready endpoint: its listed weight times the lower of its
+// health weight and of the capacity fraction that it has while it warms up.
 func UsableWeight(listedWeight, healthWeight, capacityFraction float64) float64 {
 	return listedWeight * math.Min(healthWeight, capacityFraction)
 }
@@ -27,8 +27,8 @@
 	rank float64 // for the next table; the lowest is chosen first
 }
 
-// penalizeWeight lowers the weight of an unverified candidate. Its penalty is that of probation: one square root of it by a
-// lower weight, the other by fewer tables.
+// penalizeWeight lowers the weight of an unverified candidate. Its penalty is that of probation: one square root of
+// it by a lower weight, the other by fewer tables.
 func (c *Candidate[E]) penalizeWeight() {
 	if c.Unverified {
 		c.Weight = math.Min(c.Weight, math.Sqrt(outlier.ProbationWeight)*c.ListedWeight)
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -1,10 +1,10 @@
 // Package subset decides which endpoints the assigned tables of a zone's proxies hold, and at which weights.
 //
-// NewPlan acts once for each zone and set of request classes whenever tables are computed, Plan.Build for each proxy whose
-// table is computed. Inputs are candidates with their weights, sums of weights over zones, and rates in requests per second.
-// The results are the entries of a table and the fraction of its usual weight that the table can serve. The plan keeps the
-// load that its tables bring, so that the order of the calls matters. See docs/design.md, "What was changed", 3 (subsetting
-// and spill-over).
+// NewPlan acts once for each zone and set of request classes whenever tables are computed, Plan.Build for each proxy
+// whose table is computed. Inputs are candidates with their weights, sums of weights over zones, and rates in
+// requests per second. The results are the entries of a table and the fraction of its usual weight that the table can
+// serve. The plan keeps the load that its tables bring, so that the order of the calls matters. See docs/design.md,
+// "What was changed", 3 (subsetting and spill-over).
 package subset
 
 import (
@@ -27,41 +27,42 @@
 	Closed           bool    // the request classes may use no endpoint of the zone
 }
 
-// Fleet is what a plan needs to know of all zones.
-type Fleet struct {
+// Deployment is what a plan needs to know of all zones.
+type Deployment struct {
 	PeakWeight        float64 // sum over the zones
 	Zones             int
 	ReportingProxies  float64 // sum over the zones
 	ConfiguredProxies float64 // proxies of the deployment; negative if not stated
 }
 
-// ExcludeWarming reports whether warming endpoints get no entries in a zone: while its warm endpoints fail most attempts, or
-// tables are narrow. Proxies avoid what fails, so that all their load would go to the few warming endpoints.
+// ExcludeWarming reports whether warming endpoints get no entries in a zone: while its warm endpoints fail most
+// attempts, or tables are narrow. Proxies avoid what fails, so that all their load would go to the few warming
+// endpoints.
 func ExcludeWarming(mostWarmFail bool, tableSize float64) bool {
 	return mostWarmFail || tableSize < FullTableSize
 }
 
-// Plan builds the tables of a zone for the request classes that share them. It is made once for each state of the zone and
-// serves all its proxies, because a large fleet would cost too much CPU otherwise.
+// Plan builds the tables of a zone for the request classes that share them. It is made once for each state of the
+// zone and serves all its proxies, because a large fleet would cost too much CPU otherwise.
 type Plan[E comparable] struct {
 	candidates        []*Candidate[E]
 	byEndpoint        map[E]*Candidate[E]
 	remoteFraction    float64 // of a table's entries
-	remainingCapacity float64 // weight of all candidates, as a fraction of the fleet's peak
+	remainingCapacity float64 // weight of all candidates, as a fraction of the deployment's peak
 	fullTableWeight   float64 // the most that a table carries
 }
 
 // NewPlan returns the plan for the candidates that the request classes may use, in a fixed order. It modifies them.
-func NewPlan[E comparable](zone Zone, fleet Fleet, usable []Candidate[E]) *Plan[E] {
+func NewPlan[E comparable](zone Zone, deployment Deployment, usable []Candidate[E]) *Plan[E] {
 	plan := &Plan[E]{remoteFraction: 1, byEndpoint: make(map[E]*Candidate[E], len(usable))}
 	supply := plan.choose(zone, usable)
-	plan.remainingCapacity = supply.total / math.Max(fleet.PeakWeight, numeric.MinDivisor)
-	usualWeight := fleet.PeakWeight / math.Max(1, float64(fleet.Zones))
+	plan.remainingCapacity = supply.total / math.Max(deployment.PeakWeight, numeric.MinDivisor)
+	usualWeight := deployment.PeakWeight / math.Max(1, float64(deployment.Zones))
 	if supply.local > 0 {
 		if zone.PeakWeight > usualWeight/2 { // otherwise the zone is returning and was never seen whole
 			usualWeight = zone.PeakWeight
 		}
-		demand := plan.demand(zone, fleet, supply, usualWeight)
+		demand := plan.demand(zone, deployment, supply, usualWeight)
 		plan.remoteFraction = math.Max(zone.Spillover, 1-supply.local/demand)
 	}
 	plan.index(usualWeight)
@@ -75,8 +76,9 @@
 	warming bool    // some of those are warming up
 }
 
-// choose keeps the candidates that tables may hold. A warming endpoint serves only proxies of its own zone, which know what
-// they bring to it, and none where Zone.ExcludeWarming holds. Those set aside are used where there is nothing else.
+// choose keeps the candidates that tables may hold. A warming endpoint serves only proxies of its own zone, which
+// know what they bring to it, and none where Zone.ExcludeWarming holds. Those set aside are used where there is
+// nothing else.
 func (plan *Plan[E]) choose(zone Zone, usable []Candidate[E]) (found supply) {
 	var lastResort []*Candidate[E]
 	for i := range usable {
@@ -100,10 +102,11 @@
 	return found
 }
 
-// demand returns the weight that the zone's proxies need: what they usually have, less what the fleet has lost, and in an
-// overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count, because warm endpoints
-// have to carry the load next to them, however unhealthy. Proxies that do not report here bring as much as those that do.
-func (plan *Plan[E]) demand(zone Zone, fleet Fleet, found supply, usualWeight float64) float64 {
+// demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost, and
+// in an overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count, because
+// warm endpoints have to carry the load next to them, however unhealthy. Proxies that do not report here bring as
+// much as those that do.
+func (plan *Plan[E]) demand(zone Zone, deployment Deployment, found supply, usualWeight float64) float64 {
 	demand := usualWeight
 	if !found.warming {
 		demand *= math.Min(1, plan.remainingCapacity)
@@ -111,14 +114,14 @@
 	if !zone.Overloaded {
 		return demand
 	}
-	proxies := math.Max(fleet.ReportingProxies, fleet.ConfiguredProxies)
-	perZone := proxies / float64(fleet.Zones)
+	proxies := math.Max(deployment.ReportingProxies, deployment.ConfiguredProxies)
+	perZone := proxies / float64(deployment.Zones)
 	unreported := math.Max(1, perZone/zone.ReportingProxies)
-	return math.Max(demand, found.total*zone.TrafficFraction*fleet.ReportingProxies/proxies*unreported)
+	return math.Max(demand, found.total*zone.TrafficFraction*deployment.ReportingProxies/proxies*unreported)
 }
 
-// index sets byEndpoint, and the most that a table carries: the zone's usual weight, or that of a full table where there are
-// more endpoints.
+// index sets byEndpoint, and the most that a table carries: the zone's usual weight, or that of a full table where
+// there are more endpoints.
 func (plan *Plan[E]) index(usualWeight float64) {
 	for _, c := range plan.candidates {
 		plan.fullTableWeight += c.ListedWeight * FullTableSize / float64(len(plan.candidates))
@@ -127,7 +130,8 @@
 	plan.fullTableWeight = math.Min(usualWeight, plan.fullTableWeight)
 }
 
-// AddLoad adds the load that a table with a rate in requests per second brings to its endpoints; a negative rate removes it.
+// AddLoad adds the load that a table with a rate in requests per second brings to its endpoints; a negative rate
+// removes it.
 func (plan *Plan[E]) AddLoad(table []Entry[E], rate float64) {
 	sum := 0.0
 	for _, entry := range table {
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -25,8 +25,8 @@
 // Table is a routing table that a proxy should hold.
 type Table[E comparable] struct {
 	Entries []Entry[E]
-	// WarmingCapacity is the fraction of its usual weight that the table can serve while some of its entries are warming
-	// up, 0 to 1; 0 if none is.
+	// WarmingCapacity is the fraction of its usual weight that the table can serve while some of its entries are
+	// warming up, 0 to 1; 0 if none is.
 	WarmingCapacity float64
 }
 
@@ -53,9 +53,9 @@
 	return weight, listedWeight
 }
 
-// Build returns the table that a proxy should hold, given the one that it holds, the rate in requests per second that it
-// brings, and the table size in entries. It prefers endpoints of the proxy's zone, because crossing zones is charged for, and
-// adds remote ones until the table carries what tables of the zone usually do.
+// Build returns the table that a proxy should hold, given the one that it holds, the rate in requests per second that
+// it brings, and the table size in entries. It prefers endpoints of the proxy's zone, because crossing zones is
+// charged for, and adds remote ones until the table carries what tables of the zone usually do.
 func (plan *Plan[E]) Build(held []Entry[E], rate, tableSize float64) Table[E] {
 	plan.AddLoad(held, -rate)
 	plan.rank(held)
@@ -81,8 +81,8 @@
 }
 
 const (
-	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry moves: a
-	// new connection is expensive.
+	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry
+	// moves: a new connection is expensive.
 	ReassignmentRatio = 3.0
 	// stickinessMargin keeps an entry among candidates of equal rank.
 	stickinessMargin = 1e-9
@@ -101,8 +101,8 @@
 	}
 }
 
-// lowestRanked returns the local or remote candidates of lowest rank, as many as the size says. Sorting all of them for each
-// proxy would cost too much CPU in a large fleet.
+// lowestRanked returns the local or remote candidates of lowest rank, as many as the size says. Sorting all of them
+// for each proxy would cost too much CPU in a large fleet.
 func (plan *Plan[E]) lowestRanked(remote bool, size int) []*Candidate[E] {
 	chosen := make([]*Candidate[E], 0, size+1)
 	if size <= 0 {
@@ -127,8 +127,9 @@
 // maxWarmingShare is the most that warming endpoints may have of a table's weight.
 const maxWarmingShare = 0.9
 
-// capWarming limits the warming endpoints of a table to the part that a full table would give them, even if warm ones are
-// missing. It returns the fraction of its usual weight that the table can serve, 0 if none of its entries is warming up.
+// capWarming limits the warming endpoints of a table to the part that a full table would give them, even if warm ones
+// are missing. It returns the fraction of its usual weight that the table can serve, 0 if none of its entries is
+// warming up.
 func (plan *Plan[E]) capWarming(table *draft[E]) float64 {
 	if table.warming == 0 {
 		return 0
--- a/assign/timing/timing.go
+++ b/assign/timing/timing.go
@@ -2,8 +2,8 @@
 package timing
 
 const (
-	// TickInterval is the time between two ticks: the period of the rate split and of health assessment, s. The design page
-	// calls it period.
+	// TickInterval is the time between two ticks: the period of the rate split and of health assessment, s. The
+	// design page calls it period.
 	TickInterval = 1.0
 	// FeedbackDelay is the time for which reports may still describe the state before a change, s.
 	FeedbackDelay = 3.0
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -108,7 +108,7 @@
 	if plan := z.plans[group]; plan != nil {
 		return plan
 	}
-	plan := subset.NewPlan(z.subsetZone(group), assigner.subsetFleet(), z.candidates(assigner, group))
+	plan := subset.NewPlan(z.subsetZone(group), assigner.subsetDeployment(), z.candidates(assigner, group))
 	for _, p := range assigner.proxies {
 		if p.hasAssignedTables && p.connected {
 			plan.AddLoad(p.tables[group.index], p.typicalRate)
@@ -153,12 +153,12 @@
 	}
 }
 
-// subsetFleet returns what a plan needs to know of all zones.
-func (a *Assigner) subsetFleet() subset.Fleet {
-	fleet := subset.Fleet{Zones: len(a.zones), ConfiguredProxies: a.config.ProxyCount}
+// subsetDeployment returns what a plan needs to know of all zones.
+func (a *Assigner) subsetDeployment() subset.Deployment {
+	deployment := subset.Deployment{Zones: len(a.zones), ConfiguredProxies: a.config.ProxyCount}
 	for _, z := range a.zones {
-		fleet.PeakWeight += z.peakWeight
-		fleet.ReportingProxies += z.reportingProxies
+		deployment.PeakWeight += z.peakWeight
+		deployment.ReportingProxies += z.reportingProxies
 	}
-	return fleet
+	return deployment
 }
