--- a/assign/digest_test.go
+++ b/assign/digest_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// playZonesDay reports busy endpoints in one zone, quick failures at idle endpoints, and then idle ones that answer.
+// playZonesDay runs a day that reports busy endpoints in one zone, quick failures at idle endpoints, and then idle ones that answer.
 func playZonesDay(t *testing.T) *model {
 	t.Helper()
 	sim := calmModel(t)
@@ -69,7 +69,7 @@
 	return sim
 }
 
-// playOverloadDay brings a wide overload and its end.
+// playOverloadDay runs a day with a wide overload and its end.
 func playOverloadDay(t *testing.T) *model {
 	t.Helper()
 	sim := calmModel(t)
@@ -97,7 +97,7 @@
 	play func(t *testing.T) hash.Hash
 }
 
-// roughDays are rough days of so many seeds, with another configuration.
+// roughDays returns rough days of a number of seeds, with another configuration.
 func roughDays(name string, seeds int64, change func(*Config)) (days []digestedDay) {
 	for seed := range seeds {
 		days = append(days, digestedDay{fmt.Sprintf("%s-%d", name, seed), func(*testing.T) hash.Hash {
@@ -107,7 +107,7 @@
 	return days
 }
 
-// digestedDays are the days in the order of the file in testdata.
+// digestedDays returns the days in the order of the file in testdata.
 func digestedDays() []digestedDay {
 	return slices.Concat(
 		roughDays("rough", 40, func(*Config) {}),
@@ -122,8 +122,8 @@
 			config.Retries = 0
 		}),
 		[]digestedDay{
-			{"zones", func(t *testing.T) hash.Hash { return playZonesDay(t).digest }},
-			{"overload", func(t *testing.T) hash.Hash { return playOverloadDay(t).digest }},
+			{"zones", func(t *testing.T) hash.Hash { t.Helper(); return playZonesDay(t).digest }},
+			{"overload", func(t *testing.T) hash.Hash { t.Helper(); return playOverloadDay(t).digest }},
 			{"release", playReleaseDay},
 		},
 	)
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -190,7 +190,7 @@
 	next, probation := outlier.Decrease(health.Health, assigner.meanFailureRatio, assigner.now)
 	health.Health = next
 	if probation {
-		assigner.log("endpoint on probation", LogField{"endpoint", e.name}, LogField{"zone", health.zone},
+		assigner.log("endpoint put on probation", LogField{"endpoint", e.name}, LogField{"zone", health.zone},
 			LogField{"failed_percent", math.Round(100 * health.FailureRatio)})
 	}
 }
--- a/assign/health_test.go
+++ b/assign/endpoint_test.go
@@ -8,7 +8,7 @@
 	"madderhollow/assign/outlier"
 )
 
-// newEndpoints are ready endpoints of zone x.
+// newEndpoints returns a number of ready endpoints of zone x.
 func newEndpoints(name string, n int) (endpoints []Endpoint) {
 	for i := range n {
 		endpoints = append(endpoints, Endpoint{Zone: "x", Name: fmt.Sprint(name, i), Weight: 1 + float64(i%2)})
@@ -16,9 +16,9 @@
 	return endpoints
 }
 
-// An endpoint that fails and answers late is overloaded: taking all from it would push the next one over. One that fails
-// without late answers is an outlier; and where all fail alike, none is.
-func TestOverloadedEndpointIsReducedAndOutlierPutOnProbation(t *testing.T) {
+// An endpoint that fails and answers late is overloaded: moving all its load would overload the next one. One that fails
+// without late answers is an outlier. Where all endpoints fail alike, none is an outlier.
+func TestDecreaseWeightByOverloadAndOutlier(t *testing.T) {
 	for _, test := range []struct {
 		meanLatency, meanFailureRatio float64
 		failed                        int
@@ -38,13 +38,13 @@
 		health.NextChange = 0
 		e.decreaseWeight(sim.assigner, health)
 		if health.Weight < test.minWeight || health.Weight > test.maxWeight {
-			t.Errorf("%+v: weight %v", test, health.Weight)
+			t.Errorf("%+v: got weight %v, want %v to %v", test, health.Weight, test.minWeight, test.maxWeight)
 		}
 	}
 }
 
-// Where removal is advisory, a list that drops most endpoints takes nothing from the tables while they answer; one that
-// fell silent, or was seen draining, leaves all the same.
+// Where removal is advisory, a list that drops most endpoints removes none from the tables that still answers. An endpoint
+// that is silent, or was listed as draining, leaves.
 func TestDelistedEndpointsStayWhileTheyAnswer(t *testing.T) {
 	sim := calmModel(t)
 	sim.config.RemovalIsAdvisory = true
@@ -56,25 +56,25 @@
 	}
 	sim.update(sim.endpoints...)
 	for _, e := range sim.endpoints {
-		e.State = Ready // they run all the same
+		e.State = Ready // they still run
 	}
 	sim.run(12, 0.4)
 	for i, e := range sim.endpoints {
 		got, want := sim.assigner.endpoints[e.Name].ready(), i != 0 && i != 3
 		if got != want {
-			t.Errorf("endpoint %d: in tables: %v", i, got)
+			t.Errorf("endpoint %d: got in tables %v, want %v", i, got, want)
 		}
 	}
 	sim.endpoints[3].StartedAt = sim.now - 30
 	sim.update(sim.endpoints[3])
 	if e := sim.assigner.endpoints["t3"]; !e.ready() || e.status.Delisted {
-		t.Error("an endpoint that the list calls ready again stays out")
+		t.Errorf("got status %+v of an endpoint that is listed as ready again, want ready", e.status)
 	}
 }
 
-// Names that are used once do not pile up, and a proxy that connects later leaves its default table, which may hold an
-// endpoint that nobody here remembers.
-func TestReplacedEndpointsAreForgotten(t *testing.T) {
+// Records of names that are used once expire. A proxy that connects after that has its default table replaced, because the
+// table may hold an expired endpoint.
+func TestReplacedEndpointsExpire(t *testing.T) {
 	assigner, now, listed := New(1, modelConfig()), 1000.0, newEndpoints("x", 12)
 	assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listed}, ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 5, Fresh: true}})
 	for i := range 2000 {
@@ -85,7 +85,8 @@
 		assigner.Handle(now, []Event{TimerFired{0}, EndpointUpdate{Endpoints: []Endpoint{removed, listed[i%12]}},
 			Acknowledged{Proxy: 1, Sequence: assigner.scheduler.sequence}})
 		if len(assigner.endpointList) > 12+2*membership.Retention || len(assigner.endpoints) != len(assigner.endpointList) {
-			t.Fatalf("%d records, %d names of 12 endpoints", len(assigner.endpointList), len(assigner.endpoints))
+			t.Fatalf("got %d records and %d names, want as many, and at most %g more than the 12 endpoints",
+				len(assigner.endpointList), len(assigner.endpoints), 2*membership.Retention)
 		}
 	}
 	assigner.Handle(now+2*membership.Retention, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
@@ -95,6 +96,6 @@
 		attached = attached || ok && o.Proxy == 2
 	}
 	if !attached || len(assigner.endpointList) != 12 {
-		t.Errorf("%d records; the late proxy keeps its default table: %v", len(assigner.endpointList), !attached)
+		t.Errorf("got %d records and the late proxy attached %v, want 12 and true", len(assigner.endpointList), attached)
 	}
 }
--- a/assign/model_rules_test.go
+++ b/assign/model_rules_test.go
@@ -8,17 +8,17 @@
 	"madderhollow/assign/timing"
 )
 
-// fail keeps the first broken rule.
+// fail records the first broken rule.
 func (m *model) fail(format string, values ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf("at %.2f s: ", m.now-modelStart) + fmt.Sprintf(format, values...)
 	}
 }
 
-// slowness is how much longer than stated the channel takes, the worst of what the rules allow for.
+// slowness returns how many times longer than configured the channel takes; the rules allow for that.
 func (m *model) slowness() float64 { return modelNominalRate / m.channelRate }
 
-// checkOrder checks what can be told of an order alone.
+// checkOrder checks what an order alone shows.
 func (m *model) checkOrder(order Order) {
 	switch order := order.(type) {
 	case SetWeight:
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkChannel checks rule 5: what waits in the channel, and the messages to each proxy.
+// checkChannel checks rule 5: the lines queued in the channel, and the messages to each proxy.
 func (m *model) checkChannel() {
 	queued := 0
 	for _, message := range m.inTransit {
@@ -55,7 +55,7 @@
 	}
 }
 
-// checkRules checks what the proxies hold, after some seconds of holding it.
+// checkRules checks the tables that the proxies have held for some seconds.
 func (m *model) checkRules(seconds float64) {
 	sum := 0.0
 	for _, p := range m.assigner.proxies {
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -11,7 +11,7 @@
 	"madderhollow/assign/subset"
 )
 
-// What the model's deployment is like. Its classes share two tables a proxy, see modelConfig.
+// The model's deployment. Its request classes share two tables per proxy, see modelConfig.
 const (
 	modelStart         = 1000.0 // s
 	modelClasses       = 3
@@ -38,7 +38,7 @@
 	timers          []float64
 	inTransit       []modelMessage
 	acknowledgments []Event            // for the next batch
-	goneSince       map[string]float64 // when the assigner was told that an endpoint drains or is removed
+	goneSince       map[string]float64 // when the assigner was notified that an endpoint drains or is removed
 	log             []string           // every order, to compare two runs
 	digest          hash.Hash          // of every order, to compare with an earlier build
 	violation       string             // the first broken rule
@@ -91,7 +91,7 @@
 	return config
 }
 
-// zoneOf deals zones by number.
+// zoneOf returns the zone of an endpoint or proxy by number.
 func zoneOf(i int) string { return string("xyz"[i%3]) }
 
 func newModel(seed int64) *model {
@@ -112,7 +112,7 @@
 	return &modelProxy{id: i, zone: zoneOf(i), withoutPick: make([]float64, modelClasses), overBudget: make([]float64, modelClasses)}
 }
 
-// start begins a new incarnation of the assigner with the list as it is.
+// start begins a new incarnation of the assigner with the current endpoint list.
 func (m *model) start() {
 	m.assigner = New(m.random.Int63(), m.config)
 	m.inTransit, m.timers = nil, nil
@@ -130,7 +130,7 @@
 	m.handle(EndpointUpdate{Full: true, Endpoints: listed})
 }
 
-// connect opens a proxy's stream, at times with its default tables only.
+// connect opens a proxy's stream, sometimes with its default tables only.
 func (m *model) connect(p *modelProxy) {
 	p.connected, p.connectedAt, p.messageTimes = true, m.now, nil
 	fresh := p.tables == nil || m.random.Intn(3) == 0
@@ -144,7 +144,7 @@
 	m.handle(ProxyConnected{Proxy: p.id, Zone: p.zone, TypicalRate: 10, Fresh: fresh})
 }
 
-// newDefaultTable draws endpoints of the zone, and of other zones where these are few.
+// newDefaultTable draws endpoints of the zone at random, and of other zones where the zone has few.
 func (m *model) newDefaultTable(class int, zone string) (table []string) {
 	for _, local := range []bool{true, false} {
 		for _, i := range m.random.Perm(len(m.endpoints)) {
@@ -165,11 +165,11 @@
 	return len(allowed) == 0 || slices.Contains(allowed, zone)
 }
 
-// handle hands events over and puts the orders into the channel, one message a proxy.
+// handle passes events to the assigner and puts its orders into the channel, one message per proxy.
 func (m *model) handle(events ...Event) {
 	for _, event := range events {
 		if update, ok := event.(EndpointUpdate); ok {
-			m.noteGone(update.Endpoints)
+			m.recordGone(update.Endpoints)
 		}
 	}
 	orders := m.assigner.Handle(m.now, events)
@@ -201,8 +201,8 @@
 	m.checkChannel()
 }
 
-// noteGone keeps since when the assigner knows that endpoints have to leave the tables.
-func (m *model) noteGone(listed []Endpoint) {
+// recordGone records when the assigner was notified that endpoints have to leave the tables.
+func (m *model) recordGone(listed []Endpoint) {
 	for _, e := range listed {
 		binds := e.State == Draining || !m.config.RemovalIsAdvisory
 		if e.State == Ready {
@@ -228,7 +228,7 @@
 	proxy.messageTimes = append(proxy.messageTimes, m.now)
 }
 
-// step moves the clock, applies what arrives, hands over events and checks the rules.
+// step advances the clock, applies the messages that arrive, passes events to the assigner and checks the rules.
 func (m *model) step(seconds float64, events ...Event) {
 	m.now += seconds
 	m.deliver()
@@ -291,7 +291,7 @@
 	return fired
 }
 
-// held is the table that a proxy uses for a class.
+// held returns the table that a proxy uses for a class.
 func (m *model) held(p *modelProxy, class int) map[string]float64 {
 	if table := p.tables[class]; table != defaultTable {
 		return p.entries[table]
@@ -303,7 +303,7 @@
 	return held
 }
 
-// reports gives what proxies would report. Failing endpoints answer nothing; busy says how full the others are.
+// reports returns the reports of one second. Failing endpoints answer nothing; busy is the busy fraction of the others.
 func (m *model) reports(busy float64) (reports []Event) {
 	for _, e := range m.endpoints {
 		for zone := range 3 {
@@ -329,7 +329,7 @@
 	return reports
 }
 
-// run lets seconds pass with reports.
+// run advances the clock by seconds with reports.
 func (m *model) run(seconds int, busy float64) {
 	for range seconds {
 		m.step(0.25, m.reports(busy)...)
@@ -338,14 +338,14 @@
 	}
 }
 
-// idle lets seconds pass without reports.
+// idle advances the clock by seconds without reports.
 func (m *model) idle(seconds float64) {
 	for passed := 0.0; passed < seconds; passed += 0.1 {
 		m.step(0.1)
 	}
 }
 
-// update lists endpoints as they are.
+// update passes an endpoint update with the current state of some endpoints.
 func (m *model) update(changed ...*modelEndpoint) {
 	var listed []Endpoint
 	for _, e := range changed {
@@ -354,7 +354,7 @@
 	m.step(0.01, EndpointUpdate{Endpoints: listed})
 }
 
-// reportAll reports the same of the first n endpoints, each from its own zone, and lets time pass.
+// reportAll reports the same of the first n endpoints, each from its own zone, and advances the clock.
 func (m *model) reportAll(n int, seconds float64, report EndpointLoadReport) {
 	for _, e := range m.endpoints[:n] {
 		report.Zone, report.Endpoint, report.Interval = e.Zone, e.Name, 1
@@ -373,16 +373,16 @@
 	return n
 }
 
-// record is the assigner's record of a proxy.
+// record returns the assigner's record of a proxy.
 func (m *model) record(id int) *proxy { return m.assigner.proxy(id) }
 
-// recomputeZoneX has the assigner take stock of the zone x anew.
+// recomputeZoneX recomputes the assigner's record of the zone x.
 func (m *model) recomputeZoneX() { m.assigner.zone("x").recompute(m.assigner) }
 
-// signGroup is the group of the class "sign", which may use the zones x and y.
+// signGroup returns the table group of the class "sign", which may use the zones x and y.
 func (m *model) signGroup() *tableGroup { return m.assigner.groups[1] }
 
-// signTable drafts the first proxy's table for the class "sign".
+// signTable builds the first proxy's table for the class "sign".
 func (m *model) signTable() subset.Table[*endpoint] {
 	return m.record(0).buildTable(m.assigner, m.signGroup())
 }
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -22,7 +22,7 @@
 
 // Message is what the place of a message in the channel depends on.
 type Message struct {
-	Lines         float64 // that it takes in the channel
+	Lines         float64 // that it occupies in the channel
 	Urgent        bool    // a rule depends on its orders
 	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none within the message window
 }
@@ -30,7 +30,7 @@
 // acknowledgmentLines is what the request for an acknowledgment adds to a message.
 const acknowledgmentLines = 1
 
-// Lines returns the lines that a message with a number of orders takes in the channel. Overhead is the channel's own,
+// Lines returns the lines that a message with a number of orders occupies in the channel. Overhead is the channel's own,
 // per message.
 func Lines(orders int, overhead float64) float64 {
 	return float64(orders) + overhead + acknowledgmentLines
@@ -90,5 +90,5 @@
 	return len(times) - expired
 }
 
-// RetryDelay is the time after which messages that had to wait are tried again, s.
+// RetryDelay is the time after which deferred messages are tried again, s.
 const RetryDelay = timing.TickInterval / 10
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -102,11 +102,11 @@
 	weightDecay = 0.8
 )
 
-// Decrease returns the health after an unhealthy assessment, and whether the endpoint went on probation now. The mean
+// Decrease returns the health after an unhealthy assessment, and whether it was put on probation now. The mean
 // failure ratio is that of all endpoints.
 //
 // An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned
-// off, and goes on probation at once. One that fails and answers late is overloaded: its weight decays step by step,
+// off, and is put on probation at once. One that fails and answers late is overloaded: its weight decays step by step,
 // because moving all its load would overload the next endpoint. Decrease waits for the feedback delay between two
 // steps. It is wrong where the reporting proxies are at fault.
 func Decrease(health Health, meanFailureRatio, now float64) (next Health, probation bool) {
--- a/assign/overload_test.go
+++ b/assign/overload_test.go
@@ -7,9 +7,9 @@
 	"madderhollow/assign/subset"
 )
 
-// Answers that fail or come late while the endpoints are idle on the whole are no overload, however many, and what a few
-// endpoints answer is no total for all: set by the few good answers it would shrink with them, down to nothing.
-func TestIdleOrFewEndpointsSetNoTotal(t *testing.T) {
+// Failed or late answers of endpoints that are idle on the whole are no overload, however many. The answers of a few endpoints
+// are no total for all: a total set by them would shrink with them, down to nothing.
+func TestNoTotalIsSetForIdleOrFewEndpoints(t *testing.T) {
 	for _, test := range []struct {
 		endpoints, attempts, failed int
 		meanLatency, busy           float64
@@ -30,52 +30,53 @@
 			sim.reportAll(test.endpoints, 0.8, EndpointLoadReport{MeanLatency: test.meanLatency, Attempts: test.attempts, Failed: test.failed, Load: []float64{test.busy}})
 		}
 		if got := sim.assigner.totalRate > 0; got != test.want {
-			t.Errorf("%+v: a total is set: %v", test, got)
+			t.Errorf("%+v: got a total %v, want %v", test, got, test.want)
 		}
 	}
 }
 
-// A total set in a jam is far too low: once endpoints answer well and stay idle, it must not take a tenth a second back.
-func TestTotalRecoversFromAJam(t *testing.T) {
+// A total set during a severe overload is far too low: once endpoints answer in time and stay idle, it must rise faster than
+// by a tenth a second.
+func TestTotalRecoversFromASevereOverload(t *testing.T) {
 	sim := calmModel(t)
 	sim.assigner.totalRate = 2
 	for range 4 {
 		sim.reportAll(15, 1, EndpointLoadReport{MeanLatency: 0.1, Attempts: 2, Load: []float64{0.3}})
 	}
 	if total := sim.assigner.totalRate; total > 0 && total < 50 {
-		t.Errorf("endpoints three tenths busy with 30 requests a second get a total of %.1f", total)
+		t.Errorf("got a total of %.1f/s for endpoints three tenths busy at 30 requests a second, want none or at least 50/s", total)
 	}
 }
 
-// Where connections are scarce most attempts fail at idle endpoints and the rest are answered quickly: tables hold fewer
-// entries, and all again when the failures end.
-func TestScarceConnectionsMakeTablesNarrow(t *testing.T) {
+// Where connections are scarce, most attempts fail at idle endpoints and the rest are answered quickly: tables hold fewer
+// entries, and all of them again when the failures end.
+func TestTablesShrinkWhileConnectionsAreScarce(t *testing.T) {
 	sim := calmModel(t)
 	sizeAfter := func(failed int) int {
 		for range 40 {
 			sim.reportAll(15, 0.8, EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: failed, Load: []float64{0.3}})
 		}
-		sim.endpoints[0].StartedAt = sim.now - 4 // warming: of two entries one is soon avoided, and all presses on the other
+		sim.endpoints[0].StartedAt = sim.now - 4 // warming: of two entries proxies soon avoid one, and all load goes to the other
 		sim.update(sim.endpoints[0])
-		for _, e := range sim.assigner.endpointList { // of this zone's proxies nothing is known yet
+		for _, e := range sim.assigner.endpointList { // without reports of this zone's proxies
 			e.health = nil
 		}
 		sim.recomputeZoneX()
 		table := sim.signTable()
 		if has := subset.WeightOf(table.Entries, sim.assigner.endpoints["t0"]) > 0; has != (failed == 0) {
-			t.Errorf("%d of 9 fail: a warming endpoint has an entry: %v", failed, has)
+			t.Errorf("%d of 9 fail: got an entry of a warming endpoint %v, want %v", failed, has, failed == 0)
 		}
 		return len(table.Entries)
 	}
 	if all, few, back := sizeAfter(0), sizeAfter(6), sizeAfter(0); few > all/2 || few < 2 || back != all {
-		t.Errorf("%d entries, %d while attempts fail, %d after", all, few, back)
+		t.Errorf("got %d entries, %d while attempts fail, %d after; want at most half, at least 2, then all", all, few, back)
 	}
 }
 
 // Where a fleet is large for what one assigner's proxies bring, an endpoint is assessed only every few seconds. An
-// overload is recognized from all reports, also of endpoints that drain, not from the endpoints just assessed, and its
+// overload is detected from all reports, also of endpoints that drain, not from the endpoints just assessed, and its
 // total is the rate that the ready ones answer in time.
-func TestOverloadOfALargeFleetIsRecognizedInTime(t *testing.T) {
+func TestOverloadOfALargeFleetIsDetectedInTime(t *testing.T) {
 	const lateFrom = 24 // s
 	for _, draining := range []int{0, 32} {
 		config := DefaultConfig()
@@ -99,11 +100,11 @@
 			assigner.Handle(1000+float64(second), events)
 			events = nil
 			if second < lateFrom && assigner.totalRate > 0 {
-				t.Fatalf("%d drain: at %d s a total is set while all is well", draining, second)
+				t.Fatalf("%d drain: got a total at %d s, want none before the overload", draining, second)
 			}
 		}
 		if total, ready := assigner.totalRate, float64(48-draining); total < ready/2 || total > ready {
-			t.Errorf("%d drain: after 4 s of late answers the total is %g of 44/s", draining, total)
+			t.Errorf("%d drain: got a total of %g/s after 4 s of late answers, want %g to %g/s", draining, total, ready/2, ready)
 		}
 	}
 }
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -21,7 +21,7 @@
 // unacknowledgedMessage is a message in flight.
 type unacknowledgedMessage struct {
 	sequence int
-	lines    float64 // that it takes in the channel
+	lines    float64 // that it occupies in the channel
 }
 
 // proxy is the record of a proxy. It outlives the connection.
@@ -160,7 +160,7 @@
 	p.rates = make([]float64, len(assigner.classes))
 }
 
-// recordSent records what a message to the proxy sets and what it takes in the channel.
+// recordSent records what a message to the proxy sets and the lines that it occupies in the channel.
 func (p *proxy) recordSent(assigner *Assigner, orders []Order, message unacknowledgedMessage) {
 	for _, order := range orders {
 		p.recordOrder(assigner, order)
--- a/assign/proxies_test.go
+++ b/assign/proxy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// calmModel is a model in which all proxies have connected with their default tables only and all is well.
+// calmModel returns a model without faults in which all proxies have connected with their default tables only.
 func calmModel(t *testing.T) *model {
 	t.Helper()
 	sim := newModel(1)
@@ -21,16 +21,16 @@
 	return sim
 }
 
-func TestDefaultTablesStayWhileAllIsWell(t *testing.T) {
+func TestDefaultTablesStayWithoutFaults(t *testing.T) {
 	sim := calmModel(t)
 	for _, p := range sim.proxies {
 		if p.zone != "z" && sim.record(p.id).hasAssignedTables {
-			t.Errorf("proxy %d left its default table", p.id)
+			t.Errorf("proxy %d: got assigned tables, want its default table", p.id)
 		}
 	}
 }
 
-// A class that is closed in a zone has its default table elsewhere; a drain there must reach it.
+// The default table of a class that is closed in a zone holds endpoints of other zones; a drain there must reach it.
 func TestDrainReachesRemoteDefaultTables(t *testing.T) {
 	sim := calmModel(t)
 	sim.endpoints[0].State = Draining // in x; proxies of z send "sign" to x or y
@@ -40,9 +40,9 @@
 	}
 }
 
-// A host that lost its stream of events tells of connected proxies anew, without ProxyDisconnected: the messages that
-// went to them still count.
-func TestProxiesConnectedAnewKeepTheirMessageCount(t *testing.T) {
+// A host that lost its event stream reports connected proxies again, without ProxyDisconnected: the messages sent to them
+// before still count.
+func TestReconnectedProxyKeepsItsMessageCount(t *testing.T) {
 	a := New(1, modelConfig())
 	a.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: newEndpoints("x", 12)}})
 	var messageTimes []float64
@@ -58,12 +58,12 @@
 			messageTimes = messageTimes[1:]
 		}
 		if len(messageTimes) == 0 || len(messageTimes) > 20 {
-			t.Fatalf("%d messages within 10 s", len(messageTimes))
+			t.Fatalf("got %d messages within 10 s, want 1 to 20", len(messageTimes))
 		}
 	}
 }
 
-// TestOddConfigurationsGiveLegalOrders hands over events of every type, and endpoints and proxies that nobody knows.
+// The events are of every type, and name unknown endpoints and proxies too.
 func TestOddConfigurationsGiveLegalOrders(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"nothing stated": func(*Config) {},
@@ -84,15 +84,15 @@
 		a.Handle(2, []Event{EndpointUpdate{Failed: true}, EndpointUpdate{Endpoints: []Endpoint{{Name: "a", State: Removed}}}})
 		for _, order := range a.Handle(9, []Event{TimerFired{1}}) {
 			if o, ok := order.(SetWeight); ok && o.Weight > 0 && o.Endpoint != "b" {
-				t.Errorf("%s: %+v", name, o)
+				t.Errorf("%s: got %+v, want entries of b only", name, o)
 			}
 		}
 	}
 }
 
-// Beside warming endpoints a rate of one request in a second or two is mostly chance: a limit close to it would reject a
-// third of them.
-func TestLimitBesideWarmingEndpointsLeavesRoomForChance(t *testing.T) {
+// A rate of one request in a second or two varies by chance: a slow-start cap close to it would reject a third of the
+// requests.
+func TestRateCapLeavesRoomForRandomVariation(t *testing.T) {
 	sim := calmModel(t)
 	p := sim.record(0)
 	p.rates = []float64{0.5, 0.5, 0.5}
@@ -100,12 +100,12 @@
 	var update tableUpdate
 	p.updateLimits(sim.assigner, sim.signGroup(), 1, &update)
 	if order, ok := update.orders[0].(SetRateLimit); !ok || order.Limit < 2 {
-		t.Errorf("the limit is %g/s", order.Limit)
+		t.Errorf("got a limit of %g/s, want at least 2/s", order.Limit)
 	}
 }
 
-// After a restart a lost zone comes back endpoint by endpoint: the first must not be taken for the whole zone.
-func TestReturningZoneIsNotTakenForItsFirstEndpoint(t *testing.T) {
+// After a restart a lost zone returns endpoint by endpoint: the first one must not count as the whole zone.
+func TestFirstEndpointOfAReturningZoneGetsASmallShare(t *testing.T) {
 	sim := newModel(1)
 	for _, e := range sim.endpoints {
 		if e.Zone == "x" {
@@ -122,10 +122,10 @@
 		sum += weight
 	}
 	if fraction := held["t0"] / sum; fraction == 0 || fraction > 0.1 {
-		t.Errorf("the first endpoint back takes %.2f of the table", fraction)
+		t.Errorf("got a share of %.2f of the table for the first endpoint, want above 0 and at most 0.1", fraction)
 	}
 	limits := sim.record(0).classLimits
 	if limits == nil || limits[0] > 1.25*(10/3+2*math.Sqrt(10.0/3))+1 {
-		t.Errorf("limits %v: a burst could push it over before it is reported", limits)
+		t.Errorf("got limits %v, want a first one low enough that a burst before the first report does not overload it", limits)
 	}
 }
--- a/assign/roughday_test.go
+++ b/assign/roughday_test.go
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// roughDay is a day of the model on which anything happens in any mix: proxies connect, disconnect and stall, endpoints
+// roughDay is a day of the model with random faults in any mix: proxies connect, disconnect and stall, endpoints
 // drain, start and fail, lists are stale, lose endpoints or name unverified ones, reports are capped and lost, the
 // assigner restarts and is overloaded.
 type roughDay struct {
 	*model
 	busy    float64
-	reports []Event // that wait, since only some come in each batch
+	reports []Event // pending, since each batch has only some of them
 	step    int
 }
 
-// playRoughDay plays a rough day with few proxies or many.
+// playRoughDay runs a rough day with few proxies or many.
 func playRoughDay(seed int64) *model { return playRoughDayWith(seed, func(*Config) {}) }
 
 // playRoughDayWith is playRoughDay with another configuration.
@@ -41,7 +41,7 @@
 	return sim
 }
 
-// happening draws what happens next, and gives the events that tell the assigner of it.
+// happening draws the next fault or change at random and returns the events that notify the assigner of it.
 func (d *roughDay) happening() []Event {
 	endpoint := d.endpoints[d.random.Intn(len(d.endpoints))]
 	proxy := d.proxies[d.random.Intn(len(d.proxies))]
@@ -99,7 +99,7 @@
 	return listOf(e)
 }
 
-// wrongList calls most endpoints removed while they run, or names one as ready that is not.
+// wrongList returns a list that names running endpoints as removed, or one as ready that does not run.
 func (d *roughDay) wrongList(zone string) []Event {
 	var listed []Endpoint
 	for _, e := range d.endpoints {
@@ -116,8 +116,8 @@
 	return []Event{EndpointUpdate{Endpoints: listed}}
 }
 
-// forRoughSeeds runs a test for each of a hundred seeds, side by side: under the race detector a day takes a tenth of a
-// second of CPU.
+// forRoughSeeds runs a test for each of a hundred seeds in parallel: under the race detector a day takes a tenth of a second
+// of CPU.
 func forRoughSeeds(t *testing.T, test func(t *testing.T, seed int64)) {
 	t.Helper()
 	random := rand.New(rand.NewSource(7))
@@ -132,6 +132,7 @@
 
 func TestRulesOnRoughDays(t *testing.T) {
 	forRoughSeeds(t, func(t *testing.T, seed int64) {
+		t.Helper()
 		if sim := playRoughDay(seed); sim.violation != "" {
 			t.Error(sim.violation)
 		}
@@ -140,8 +141,9 @@
 
 func TestEqualInputGivesEqualOrders(t *testing.T) {
 	forRoughSeeds(t, func(t *testing.T, seed int64) {
+		t.Helper()
 		if !reflect.DeepEqual(playRoughDay(seed).log, playRoughDay(seed).log) {
-			t.Error("the second play gave other orders")
+			t.Error("got other orders in the second run, want the same")
 		}
 	})
 }
--- a/assign/scheduler_test.go
+++ b/assign/scheduler_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// releaseModel is an assigner at which so many proxies are connected that hold what nobody knows, so that each gets
-// assigned tables. The function passes time, hands over events and acknowledges all orders.
+// releaseModel returns an assigner with a number of connected proxies whose tables are unknown, so that each gets assigned
+// tables, and a function that advances the clock, handles events and acknowledges all orders.
 func releaseModel(tb testing.TB, proxies, endpoints int) (assigner *Assigner, batch func(seconds float64, events ...Event)) {
 	tb.Helper()
 	config := modelConfig()
@@ -33,7 +33,7 @@
 	return assigner, batch
 }
 
-// acknowledgmentsFor are those of the proxies, by number, whose tables a batch of orders changes.
+// acknowledgmentsFor returns those of the proxies, by number, whose tables a batch of orders changes.
 func acknowledgmentsFor(assigner *Assigner, orders []Order) (events []Event) {
 	var proxies []int
 	sequence := 0
@@ -52,8 +52,8 @@
 	return events
 }
 
-// releaseEvents are those of one batch of a release at so many proxies and 200 endpoints: reports, an endpoint that
-// drains and one that starts.
+// releaseEvents returns the events of one batch of a release with a number of proxies and 200 endpoints: reports, an
+// endpoint that drains and one that starts.
 func releaseEvents(step, proxies int) []Event {
 	var events []Event
 	for i := range 40 {
@@ -70,7 +70,7 @@
 	}})
 }
 
-// BenchmarkSecondOfARelease plays a second of a large fleet amid a release: ten batches.
+// BenchmarkSecondOfARelease runs one second of a release in a large fleet: ten batches.
 func BenchmarkSecondOfARelease(b *testing.B) {
 	for _, proxies := range []int{480, 2400} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
@@ -86,15 +86,15 @@
 	}
 }
 
-// While the channel carries less than what is urgent, every proxy gets a turn: a release that goes on must not let the
-// proxies with the lowest numbers have all of it, and the last ones keep tables with endpoints long removed.
-func TestUrgentOrdersTakeTurns(t *testing.T) {
+// While the channel carries less than the urgent orders, every proxy gets a turn: during a long release the proxies with the
+// lowest numbers must not take all of it, or the last ones would keep tables with endpoints removed long ago.
+func TestUrgentOrdersReachEveryProxyInTurn(t *testing.T) {
 	config := modelConfig()
 	config.ProxyCount, config.Channel.QueueLimit, config.Channel.MessageLimit = 20, 60, 0
 	assigner := New(1, config)
 	listed := newEndpoints("t", 200)
 	events := []Event{EndpointUpdate{Full: true, Endpoints: listed}}
-	for i := range 20 { // they hold what nobody knows
+	for i := range 20 { // their tables are unknown
 		events = append(events, ProxyConnected{Proxy: i, Zone: "x", TypicalRate: 10})
 	}
 	now := 1000.0
@@ -108,7 +108,7 @@
 	}
 	for i := range 20 {
 		if !assigner.proxy(i).hasAssignedTables {
-			t.Errorf("proxy %d has never got a table", i)
+			t.Errorf("proxy %d: got no assigned table in 30 batches, want one", i)
 		}
 	}
 }
--- a/assign/tables_test.go
+++ b/assign/tables_test.go
@@ -7,8 +7,8 @@
 	"madderhollow/assign/subset"
 )
 
-// singleZoneModel is an assigner with sixty proxies and forty endpoints in one zone, all tables assigned; the function
-// tells how much each endpoint gets of what the proxies typically bring, for its listed weight.
+// singleZoneModel returns an assigner with sixty proxies and forty endpoints in one zone, all tables assigned, and a
+// function that returns the load of each endpoint per unit of its listed weight.
 func singleZoneModel() (assigner *Assigner, loads func() map[*endpoint]float64) {
 	config := DefaultConfig()
 	config.ProxyCount = 60
@@ -34,27 +34,27 @@
 	}
 }
 
-// Entries drawn by chance load some endpoints half as much again as others: in a fleet near its capacity those fail
-// first. Dealt, each endpoint of a zone gets its listed weight's part, and a later look moves nothing.
-func TestEntriesAreDealtEvenly(t *testing.T) {
+// Entries drawn at random load some endpoints half as much again as others: in a fleet near its capacity those fail first.
+// Assigned by least load, each endpoint of a zone gets the part of its listed weight, and a second run moves nothing.
+func TestEntriesAreAssignedByLeastLoad(t *testing.T) {
 	a, loads := singleZoneModel()
 	lowest, highest := 1e9, 0.0
 	for _, load := range loads() {
 		lowest, highest = min(lowest, load), max(highest, load)
 	}
 	if highest > 1.25*lowest || len(loads()) < 40 {
-		t.Errorf("endpoints get %.2f to %.2f for a unit of weight", lowest, highest)
+		t.Errorf("got loads per unit of weight from %.2f to %.2f at %d endpoints, want within a quarter at 40", lowest, highest, len(loads()))
 	}
 	for _, order := range a.Handle(2, []Event{TimerFired{1}}) {
 		if o, ok := order.(SetWeight); ok {
-			t.Errorf("%+v moves an entry without need", o)
+			t.Errorf("got %+v, want no change of an entry", o)
 		}
 	}
 }
 
-// A wrong list adds endpoints that claim to have run for long: they get attempts, but only probation's part, until they
-// answer.
-func TestUnverifiedEndpointsEarnTheirEntries(t *testing.T) {
+// A wrong list adds endpoints that claim to have run for long: they get attempts, but only those of an endpoint on
+// probation, until they answer.
+func TestUnverifiedEndpointsStayOnProbationUntilTheyAnswer(t *testing.T) {
 	assigner, loads := singleZoneModel()
 	now := 20.0
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: newEndpoints("s", 30)}})
@@ -69,7 +69,7 @@
 		return known, added
 	}
 	if known, added := means(); added == 0 || added > 2*outlier.ProbationWeight*known {
-		t.Errorf("unverified endpoints get %.3f, others %.3f", added, known)
+		t.Errorf("got load %.3f of unverified endpoints and %.3f of others, want more than 0 and at most twice probation", added, known)
 	}
 	var events []Event
 	for _, e := range newEndpoints("s", 30) {
@@ -83,6 +83,6 @@
 		}
 	}
 	if known, added := means(); added < known/subset.ReassignmentRatio {
-		t.Errorf("proven endpoints get %.3f, others %.3f", added, known)
+		t.Errorf("got load %.3f of verified endpoints and %.3f of others, want at least a part of %g", added, known, subset.ReassignmentRatio)
 	}
 }
--- a/assign/warmup_test.go
+++ b/assign/warming_test.go
@@ -7,8 +7,8 @@
 	"madderhollow/assign/subset"
 )
 
-// Where rate limits are ignored nothing keeps a burst from a warming endpoint: it stays out until it is warm.
-func TestWarmingEndpointsStayOutWhereLimitsAreIgnored(t *testing.T) {
+// Where rate limits are ignored, nothing protects a warming endpoint from a burst: tables hold it only once it is warm.
+func TestWarmingEndpointsGetNoWeightWhereLimitsAreIgnored(t *testing.T) {
 	for mode, want := range map[AdmissionMode]bool{AdmitByRate: true, AdmitByRatio: true, AdmissionIgnored: false} {
 		config := DefaultConfig()
 		config.Admission = mode
@@ -16,14 +16,14 @@
 		a := New(1, config)
 		a.Handle(5, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{{Name: "a", Zone: "x", StartedAt: 1}}}})
 		if got := a.endpoints["a"].conditionIn(a, "x").usableWeight > 0; got != want {
-			t.Errorf("admission mode %d: has a weight: %v", mode, got)
+			t.Errorf("admission mode %d: got a weight %v, want %v", mode, got, want)
 		}
 	}
 }
 
-// When all that a table held is removed and only warming endpoints are left, the removed ones must still leave it at
-// once, and what the proxies let in must shrink to what warming endpoints can do.
-func TestOnlyWarmingEndpointsLeft(t *testing.T) {
+// When everything that a table held is removed and only warming endpoints remain, the removed ones must still leave it at
+// once, and the proxies' rate limits must fall to what warming endpoints can serve.
+func TestTablesWithOnlyWarmingEndpointsAreRateCapped(t *testing.T) {
 	sim := calmModel(t)
 	for i, e := range sim.endpoints {
 		e.State = Removed
@@ -36,14 +36,15 @@
 	for _, p := range sim.proxies {
 		held, limits := sim.held(p, 0), sim.record(p.id).classLimits
 		if sim.violation != "" || held["t1"] == 0 || held["t4"] == 0 || limits == nil || limits[0] > 5 {
-			t.Errorf("proxy %d holds %v, lets in %v; %s", p.id, held, limits, sim.violation)
+			t.Errorf("proxy %d: got entries %v, limits %v, violation %q; want t1, t4 and a first limit of at most 5/s",
+				p.id, held, limits, sim.violation)
 		}
 	}
 }
 
-// Beside warming endpoints a table needs warm ones, however bad those look; but where they fail most attempts it gets
-// none of the warming ones: proxies keep away from what fails them, and all would press on the few.
-func TestWarmingEndpointsHaveSoundOnesBeside(t *testing.T) {
+// A table with warming endpoints needs warm ones too, however unhealthy. Where the warm ones fail most attempts it gets no
+// warming ones: proxies avoid what fails, so that all their load would go to the few.
+func TestWarmingEndpointsNeedWarmOnesInTheTable(t *testing.T) {
 	for failureRatio, maxShare := range map[float64]float64{0: 0.5, 0.8: 0} {
 		sim := calmModel(t)
 		for _, e := range sim.endpoints {
@@ -66,14 +67,15 @@
 			}
 		}
 		if warming/sum > maxShare || len(table.Entries) < 2 || maxShare > 0 && (warming == 0 || table.WarmingCapacity > 0.5) {
-			t.Errorf("%.1f fail: warming endpoints take %.2f of a table that carries %.2f", failureRatio, warming/sum, table.WarmingCapacity)
+			t.Errorf("failure ratio %.1f: got a warming share of %.2f and capacity %.2f, want a share of at most %.2f",
+				failureRatio, warming/sum, table.WarmingCapacity, maxShare)
 		}
 	}
 }
 
-// A zone with more endpoints than a table has entries carries what a full table does: while the fleet grows by warming
-// endpoints, proxies must not be held to a small part of what they bring.
-func TestGrowingZoneIsNotLimitedForItsSize(t *testing.T) {
+// A zone with more endpoints than a table has entries has the capacity of a full table: while the fleet grows by warming
+// endpoints, proxies must not be limited to a small part of what they bring.
+func TestWarmingCapacityIsIndependentOfZoneSize(t *testing.T) {
 	sim := calmModel(t)
 	for _, entry := range newEndpoints("n", 20) {
 		entry.StartedAt = sim.now - 6
@@ -81,13 +83,13 @@
 	}
 	table := sim.signTable()
 	if len(table.Entries) > subset.FullTableSize || table.WarmingCapacity < 0.5 {
-		t.Errorf("%d entries carry %.2f", len(table.Entries), table.WarmingCapacity)
+		t.Errorf("got %d entries and capacity %.2f, want at most %d and at least 0.5", len(table.Entries), table.WarmingCapacity, subset.FullTableSize)
 	}
 	for _, e := range sim.assigner.endpointList {
 		e.healthIn("x").FailureRatio = 0.9
 	}
 	sim.recomputeZoneX()
 	if failing := sim.signTable(); failing.WarmingCapacity > table.WarmingCapacity/5 {
-		t.Errorf("entries that fail nine attempts in ten carry %.2f of %.2f", failing.WarmingCapacity, table.WarmingCapacity)
+		t.Errorf("got capacity %.2f of entries that fail nine attempts in ten, want at most a fifth of %.2f", failing.WarmingCapacity, table.WarmingCapacity)
 	}
 }
--- a/assign/zones_test.go
+++ b/assign/zone_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// One assigner hears only its own zone's proxies. When the zone's endpoints are full and others are not, part of what
-// its proxies bring goes there, as much as evens them out and no more, though reports trail by seconds.
-func TestOverloadedZoneShiftsToOthers(t *testing.T) {
+// An assigner has reports of its own zone's proxies only. When the zone's endpoints are full and others are not, part of the
+// zone's traffic goes there: as much as evens them out and no more, although reports trail by seconds.
+func TestSpilloverEvensOutAnOverloadedZone(t *testing.T) {
 	sim := calmModel(t)
 	zone, traffic, spillovers := sim.assigner.zone("x"), 1.6, []float64{0, 0, 0, 0}
 	for range 60 {
@@ -21,7 +21,7 @@
 	}
 	for _, spillover := range spillovers[20:] {
 		if local, remote := traffic*(1-spillover), 0.4+traffic*spillover/2; local > 0.99 || local < remote-0.05 {
-			t.Fatalf("the zone's endpoints are %.2f busy and the others %.2f: %v", local, remote, spillovers)
+			t.Fatalf("got busy fractions %.2f in the zone and %.2f elsewhere, want below 0.99 and even; spill-over %v", local, remote, spillovers)
 		}
 	}
 	for _, e := range sim.assigner.endpointList {
@@ -32,6 +32,6 @@
 		zone.adjustSpillover(sim.assigner)
 	}
 	if zone.spillover.Fraction > 0 {
-		t.Errorf("an idle zone still sends %.2f of its requests to others", zone.spillover.Fraction)
+		t.Errorf("got spill-over %.2f of an idle zone, want 0", zone.spillover.Fraction)
 	}
 }
