--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -96,12 +96,16 @@
 	a.relayAt = handover.NewAddress(cfg.Relay)
 	a.events = eventqueue.New()
 	a.orders = orderqueue.New(cfg.Settings.Channel, a.codec, log)
-	a.watcher = discovery.New(a.discoveryAt, known, a.codec, a.events.Post, cfg.MemoryMB, a.random.Int63(), log)
+	var err error
+	a.watcher, err = discovery.New(discovery.Config{Address: a.discoveryAt, KnownVersion: known, Codec: a.codec,
+		Sink: a.events.Post, MemoryMB: cfg.MemoryMB, Seed: a.random.Int63(), Log: log})
+	if err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
 	a.client = relay.NewOrderClient(a.relayAt, a.orders, a.random.Int63(), log)
 	a.reader = relay.NewEventReader(a.relayAt, a.codec, a.events.Post, a.random.Int63(), log)
 	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
 	if cfg.MessagesPeers() {
-		var err error
 		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, a.events.Post, log); err != nil {
 			return err
 		}
@@ -109,7 +113,8 @@
 	inputs := eventloop.Inputs{Events: a.events.Events(), Reports: a.events.Reports(), Observe: a.orders.Observe}
 	outputs := eventloop.Outputs{Submit: a.orders.Submit, WatchEndpoints: a.watcher.Watch, FetchEndpoints: a.watcher.Fetch,
 		SendPeerMessage: a.sendPeerMessage}
-	a.loop = eventloop.New(cfg.Seed, cfg.Settings, inputs, outputs, a.startedAt, log)
+	a.loop = eventloop.New(eventloop.Config{Seed: cfg.Seed, Settings: cfg.Settings, Inputs: inputs, Outputs: outputs,
+		StartedAt: a.startedAt, Log: log})
 	return nil
 }
 
@@ -130,7 +135,7 @@
 	parts.add("relay events", a.reader.Run)
 	parts.add("relay calls", func(context.Context) { a.client.Run(loopEnded) })
 	parts.add("reload", func(ctx context.Context) {
-		configreload.New(a.config.Path, a.discoveryAt, a.relayAt, a.log).Run(ctx, reload)
+		configreload.New(configreload.Config{Path: a.config.Path, Discovery: a.discoveryAt, Relay: a.relayAt, Log: a.log}).Run(ctx, reload)
 	})
 	if a.peers != nil {
 		parts.add("peers", a.peers.Run)
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -31,9 +31,17 @@
 	lastError string         // that was logged
 }
 
-// New makes a reloader for the file that the program started with.
-func New(path string, discovery, relay *handover.Address, log zerolog.Logger) *Reloader {
-	return &Reloader{path: path, discovery: discovery, relay: relay, log: log}
+// Config describes a Reloader. Every field must be set.
+type Config struct {
+	Path      string            // of the configuration file that the program started with
+	Discovery *handover.Address // moved by the Reloader alone
+	Relay     *handover.Address // moved by the Reloader alone
+	Log       zerolog.Logger    // New adds the component
+}
+
+// New returns a reloader that does nothing until Run.
+func New(config Config) *Reloader {
+	return &Reloader{path: config.Path, discovery: config.Discovery, relay: config.Relay, log: config.Log}
 }
 
 // Run reads the file at each signal, until the context ends. Whatever cannot be read leaves the addresses as they are.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -29,12 +29,26 @@
 	minRegressionTime = 2 * time.Second
 )
 
+// ErrMemory is a Config without memory for an answer.
+var ErrMemory = errors.New("no memory for an answer")
+
 // Errors of answers that are not taken.
 var (
 	ErrVersionRegressed = errors.New("the version is lower than that of the list held")
 	ErrNotFull          = errors.New("changes where the full list was asked for")
 )
 
+// Config describes a Watcher. Every field must be set, but for Seed and KnownVersion.
+type Config struct {
+	Address      *handover.Address // of the agent; its owner may move it at any time
+	KnownVersion int               // of the list that the module starts with, from the configuration; 0: none
+	Codec        *wire.Codec
+	Sink         eventqueue.Sink // receives every assign.EndpointUpdate; called by the goroutine that calls Run
+	MemoryMB     int             // of the process; bounds the size of an answer
+	Seed         int64           // of the delays between attempts
+	Log          zerolog.Logger  // New adds the component
+}
+
 // Watcher follows one agent of discovery, or two while its address moves, over one connection each.
 type Watcher struct {
 	address      *handover.Address
@@ -52,11 +66,21 @@
 	regressedSince time.Time // when the first of them came
 }
 
-// New makes a watcher of the agent at an address, in so many MB of memory. Known is the version of the list that the
-// module starts with. The seed is for the delays.
-func New(address *handover.Address, known int, codec *wire.Codec, sink eventqueue.Sink, memoryMB int, seed int64, log zerolog.Logger) *Watcher {
-	return &Watcher{address: address, version: known, codec: codec, sink: sink, log: log, maxAnswer: maxAnswerSize(memoryMB),
-		delays: backoff.New(minRetryDelay, maxRetryDelay, seed)}
+// New returns a watcher that does nothing until Run. It returns ErrMemory where config.MemoryMB leaves no room for an
+// answer.
+func New(config Config) (*Watcher, error) {
+	if config.MemoryMB < 1 {
+		return nil, fmt.Errorf("%w: %d MB", ErrMemory, config.MemoryMB)
+	}
+	return &Watcher{
+		address:   config.Address,
+		version:   config.KnownVersion,
+		codec:     config.Codec,
+		sink:      config.Sink,
+		log:       config.Log,
+		maxAnswer: maxAnswerSize(config.MemoryMB),
+		delays:    backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+	}, nil
 }
 
 // Watch is the module's wish for changes. They are watched all the time, since the agent answers at no cost; the wish
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -57,7 +58,18 @@
 		setup.updates <- update
 		return nil
 	}
-	setup.watcher = New(setup.address, known, wire.NewCodec(assign.DefaultConfig(), time.Now()), sink, memoryMB, 1, zerolog.Nop())
+	setup.watcher, err = New(Config{
+		Address:      setup.address,
+		KnownVersion: known,
+		Codec:        wire.NewCodec(assign.DefaultConfig(), time.Now()),
+		Sink:         sink,
+		MemoryMB:     memoryMB,
+		Seed:         1,
+		Log:          zerolog.Nop(),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); setup.watcher.Run(ctx) }()
@@ -384,3 +396,12 @@
 		}
 	}
 }
+
+func TestNewRejectsConfigWithoutMemory(t *testing.T) {
+	t.Parallel()
+	for _, memoryMB := range []int{-1, 0} {
+		if _, err := New(Config{MemoryMB: memoryMB}); !errors.Is(err, ErrMemory) {
+			t.Errorf("New with %d MB: got error %v, want %v", memoryMB, err, ErrMemory)
+		}
+	}
+}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -35,6 +35,16 @@
 	Observe func(events []assign.Event) []assign.Event
 }
 
+// Config describes a Loop. Every field must be set.
+type Config struct {
+	Seed      int64         // of the module's random source
+	Settings  assign.Config // checked by its owner, internal/config
+	Inputs    Inputs
+	Outputs   Outputs
+	StartedAt time.Time      // the time at which the module's clock shows ClockStart
+	Log       zerolog.Logger // New adds the component
+}
+
 // Loop runs one Assigner.
 type Loop struct {
 	assigner    *assign.Assigner
@@ -48,10 +58,16 @@
 	events      atomic.Int64
 }
 
-// New makes a loop for a new incarnation of an assigner.
-func New(seed int64, config assign.Config, inputs Inputs, outputs Outputs, startedAt time.Time, log zerolog.Logger) *Loop {
-	return &Loop{assigner: assign.New(seed, config), inputs: inputs, outputs: outputs, log: log, startedAt: startedAt,
-		minInterval: config.MinBatchInterval}
+// New returns a loop that owns a new assign.Assigner. Run starts it.
+func New(config Config) *Loop {
+	return &Loop{
+		assigner:    assign.New(config.Seed, config.Settings),
+		inputs:      config.Inputs,
+		outputs:     config.Outputs,
+		log:         config.Log,
+		startedAt:   config.StartedAt,
+		minInterval: config.Settings.MinBatchInterval,
+	}
 }
 
 // Stats are for operators.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -46,9 +46,18 @@
 	config := testconfig.New([]string{"x"}, 1, "read")
 	config.MinBatchInterval, config.ListMode = minInterval, assign.ListOnRequest
 	queue, watches := eventqueue.New(), 0
-	loop := New(1, config,
-		Inputs{Events: queue.Events(), Reports: queue.Reports(), Observe: func(events []assign.Event) []assign.Event { return events }},
-		Outputs{Submit: func([]assign.Order) {}, WatchEndpoints: func(bool) { watches++ }}, time.Now(), zerolog.Nop())
+	loop := New(Config{
+		Seed:     1,
+		Settings: config,
+		Inputs: Inputs{
+			Events:  queue.Events(),
+			Reports: queue.Reports(),
+			Observe: func(events []assign.Event) []assign.Event { return events },
+		},
+		Outputs:   Outputs{Submit: func([]assign.Order) {}, WatchEndpoints: func(bool) { watches++ }},
+		StartedAt: time.Now(),
+		Log:       zerolog.Nop(),
+	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ready, ended := make(chan struct{}), make(chan struct{})
 	began := time.Now()
