--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop owns the decision module: one goroutine hands it batches of events, keeps its clock and its timers, and
-// sends its orders where they belong. Nobody that it hands anything to may make it wait.
+// Package eventloop runs the decision module, assign.Assigner, in one goroutine: it collects events into batches, keeps the
+// module's clock and timers, and dispatches the module's orders.
 package eventloop
 
 import (
@@ -12,29 +12,35 @@
 	"madderhollow/assign"
 )
 
-// ClockStart is what the module's clock shows at the beginning, s. Starts of endpoints lie before it and stay above 0, which
-// stands for long ago; a million seconds leave a float64 its microseconds.
+// ClockStart is the module's clock at Config.StartedAt, s. It leaves room for endpoints that started earlier, whose start
+// times must stay above 0, and is small enough for a float64 to resolve microseconds.
 const ClockStart = 1e6
 
-// longestSleep is how long the loop waits for events where no timer is set.
-const longestSleep = time.Hour
+// idleWait bounds the wait for events while no timer is set.
+const idleWait = time.Hour
 
-// Outputs are where orders go. None of them may block.
-type Outputs struct {
-	Submit          func(orders []assign.Order) // those of a batch for proxies
-	SendPeerMessage func(to int, data []byte)
-	WatchEndpoints  func(enabled bool)
-	FetchEndpoints  func()
-}
-
-// Inputs are where events come from. Observe is called with the events of each batch and returns them as the module is to
-// be told.
+// Inputs are the sources of events. The loop is the only receiver of both channels.
 type Inputs struct {
-	Events  <-chan assign.Event
-	Reports <-chan assign.Event
+	Events  <-chan assign.Event // everything but reports; precedes the reports in each batch
+	Reports <-chan assign.Event // load and traffic reports
+	// Observe sees the events of each batch before the module does and returns the events to pass to the module. It is
+	// called by the goroutine that calls Run and must not block.
 	Observe func(events []assign.Event) []assign.Event
 }
 
+// Outputs receive the module's orders. They are called by the goroutine that calls Run, in the order in which the module
+// returned the orders, except that Submit comes last in a batch. They must not block: no other goroutine runs timers.
+type Outputs struct {
+	// Submit queues a batch's orders to proxies and takes ownership of the slice. It is not called for a batch without any.
+	Submit func(orders []assign.Order)
+	// SendPeerMessage sends a datagram to the assigner of that number, or to all if it is -1. The module never orders it.
+	SendPeerMessage func(to int, data []byte)
+	// WatchEndpoints starts or stops the reporting of failures to read the endpoint list.
+	WatchEndpoints func(enabled bool)
+	// FetchEndpoints requests the full endpoint list. The module never orders it.
+	FetchEndpoints func()
+}
+
 // Config describes a Loop. Every field must be set.
 type Config struct {
 	Seed      int64         // of the module's random source
@@ -45,14 +51,15 @@
 	Log       zerolog.Logger // New adds the component
 }
 
-// Loop runs one Assigner.
+// Loop runs one Assigner. Only Stats may be called by several goroutines.
 type Loop struct {
 	assigner    *assign.Assigner
 	inputs      Inputs
 	outputs     Outputs
-	log         zerolog.Logger
-	startedAt   time.Time // when the clock showed ClockStart
-	minInterval float64   // between batches, s
+	log         zerolog.Logger // of the loop itself
+	moduleLog   zerolog.Logger // of lines that the module orders
+	startedAt   time.Time
+	minInterval float64 // between the starts of two batches, s
 	timers      timerQueue
 	batches     atomic.Int64
 	events      atomic.Int64
@@ -64,31 +71,34 @@
 		assigner:    assign.New(config.Seed, config.Settings),
 		inputs:      config.Inputs,
 		outputs:     config.Outputs,
-		log:         config.Log,
+		log:         config.Log.With().Str("component", "event_loop").Logger(),
+		moduleLog:   config.Log.With().Str("component", "assign").Logger(),
 		startedAt:   config.StartedAt,
 		minInterval: config.Settings.MinBatchInterval,
 	}
 }
 
-// Stats are for operators.
+// Stats are counters since the start.
 type Stats struct {
-	Batches int
-	Events  int
+	Batches int // batches handled, including the one in progress
+	Events  int // events in them, including fired timers
 }
 
-// Stats returns the counts. Any goroutine may call it.
-func (l *Loop) Stats() Stats { return Stats{int(l.batches.Load()), int(l.events.Load())} }
+// Stats returns the counters. Any goroutine may call it.
+func (l *Loop) Stats() Stats {
+	return Stats{Batches: int(l.batches.Load()), Events: int(l.events.Load())}
+}
 
-// now is the module's time, s.
+// now returns the module's time, s.
 func (l *Loop) now() float64 { return ClockStart + time.Since(l.startedAt).Seconds() }
 
-// Run hands over the first events at once and then what comes, until the context ends. Ready is called when the first batch
-// is done.
-func (l *Loop) Run(ctx context.Context, first []assign.Event, ready func()) {
+// Run handles the initial events at once and then batches of events, until the context ends. Events still queued then are
+// not handled. Run calls ready after the first batch. It must be called once.
+func (l *Loop) Run(ctx context.Context, initial []assign.Event, ready func()) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	lastBatch := l.now()
-	l.handle(lastBatch, first)
+	l.handle(lastBatch, initial)
 	ready()
 	for {
 		alarm.Reset(l.untilNextTimer())
@@ -105,11 +115,11 @@
 		if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
 			time.Sleep(roundUp(rest))
 		}
-		events = appendWaiting(events, l.inputs.Events)
+		events = appendQueued(events, l.inputs.Events)
 		events = append(events, reports...)
-		events = appendWaiting(events, l.inputs.Reports)
+		events = appendQueued(events, l.inputs.Reports)
 		now := l.now()
-		events = append(events, l.timers.takeDue(now)...)
+		events = append(events, l.timers.popDue(now)...)
 		if len(events) > 0 {
 			l.handle(now, events)
 			lastBatch = now
@@ -117,56 +127,56 @@
 	}
 }
 
-// untilNextTimer is how long the loop may wait for events.
+// untilNextTimer returns how long the loop may wait for events.
 func (l *Loop) untilNextTimer() time.Duration {
 	due, ok := l.timers.next()
 	if !ok {
-		return longestSleep
+		return idleWait
 	}
 	return roundUp(due - l.now())
 }
 
-// appendWaiting appends what waits now. What comes meanwhile is for the next batch.
-func appendWaiting(events []assign.Event, from <-chan assign.Event) []assign.Event {
-	for n := len(from); n > 0; n-- {
+// appendQueued appends the events that are queued when it is called. Later ones belong to the next batch.
+func appendQueued(events []assign.Event, queue <-chan assign.Event) []assign.Event {
+	for n := len(queue); n > 0; n-- {
 		select {
-		case event := <-from:
+		case event := <-queue:
 			events = append(events, event)
-		default: // the oldest report gave way to a newer one meanwhile
+		default: // a full queue drops its oldest report while a newer one is added
 		}
 	}
 	return events
 }
 
-// roundUp makes a duration of seconds, not below 0: a timer must not fire before it is due.
+// roundUp converts seconds to a duration of at least 0. It adds a microsecond so that a timer never fires before it is due.
 func roundUp(seconds float64) time.Duration {
 	return max(0, time.Duration(seconds*float64(time.Second))+time.Microsecond)
 }
 
-// handle hands over one batch and sends the orders on.
+// handle passes one batch to the module and dispatches the module's orders.
 func (l *Loop) handle(now float64, events []assign.Event) {
 	l.batches.Add(1)
 	l.events.Add(int64(len(events)))
-	var forProxies []assign.Order
+	var proxyOrders []assign.Order
 	for _, order := range l.assigner.Handle(now, l.inputs.Observe(events)) {
-		if !l.carryOut(now, order) {
-			forProxies = append(forProxies, order)
+		if !l.executeLocal(now, order) {
+			proxyOrders = append(proxyOrders, order)
 		}
 	}
-	if len(forProxies) > 0 {
-		l.outputs.Submit(forProxies)
+	if len(proxyOrders) > 0 {
+		l.outputs.Submit(proxyOrders)
 	}
 }
 
-// carryOut carries out an order that is not for proxies, and tells whether it was one.
-func (l *Loop) carryOut(now float64, order assign.Order) bool {
+// executeLocal executes an order that does not go to proxies, and reports whether the order was of that kind.
+func (l *Loop) executeLocal(now float64, order assign.Order) bool {
 	switch order := order.(type) {
 	case assign.SetTimer:
-		if !l.timers.set(timer{now + order.Delay, order.ID}) {
-			l.log.Error().Msg("too many timers: one dropped")
+		if !l.timers.set(timer{due: now + order.Delay, id: order.ID}) {
+			l.log.Error().Int("limit", maxTimers).Msg("timer limit reached; timer dropped")
 		}
 	case assign.Log:
-		line := l.log.Info()
+		line := l.moduleLog.Info()
 		for _, field := range order.Fields {
 			line.Interface(field.Name, field.Value)
 		}
@@ -177,8 +187,8 @@
 		l.outputs.WatchEndpoints(order.Enabled)
 	case assign.FetchEndpoints:
 		l.outputs.FetchEndpoints()
-	case assign.HealthCheck:
-		l.log.Error().Str("endpoint", order.Endpoint).Msg("health check ordered: the protocol has none")
+	case assign.HealthCheck: // only the simulator can run one; the module never orders it
+		l.log.Error().Str("endpoint", order.Endpoint).Msg("health check not supported; order dropped")
 	default:
 		return false
 	}
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,30 +1,29 @@
-// Package eventqueue keeps the events that wait for the decision module, in two bounded queues. Events on which rules
-// depend (endpoint updates, proxies, acknowledgments, peers) are never dropped: whoever brings one when the queue is full
-// waits. Load and traffic reports never make anyone wait: the oldest gives way to the newest.
-//
-// A Queue may be used by any number of goroutines; one, the event loop, receives.
+// Package eventqueue holds the events for the decision module in two bounded queues. Events that every rule depends on
+// (endpoint updates, proxies, acknowledgments, peer messages) are never dropped: Post blocks while their queue is full.
+// Load and traffic reports never block their sender: Report drops the oldest one while their queue is full.
 package eventqueue
 
 import (
 	"context"
+	"fmt"
 	"sync/atomic"
 
 	"madderhollow/assign"
 )
 
 const (
-	// maxEvents wait at the most: more than all proxies of a large fleet connecting at once.
+	// maxEvents bounds the queued events: more than all proxies of a large fleet connecting at once.
 	maxEvents = 4096
-	// maxReports wait at the most: ten seconds at 400 a second. A sender that is left unread is reset, so nobody waits, and
-	// newer reports tell more of what is.
+	// maxReports bounds the queued reports: ten seconds at 400 a second. Report drops reports instead of blocking because a
+	// collector's connection is reset if it is not read, and because newer reports are closer to the present load.
 	maxReports = 4096
 )
 
 // Sink accepts an event from a package that receives it from the network. It may block until the context ends, and
-// returns the context's error then. Queue.Post and Queue.Report are sinks.
+// returns an error that wraps the context's error then, the only one it returns. Queue.Post and Queue.Report are sinks.
 type Sink func(context.Context, assign.Event) error
 
-// Queue holds what waits for the event loop.
+// Queue holds the pending events. Any number of goroutines may add events; one, the event loop, receives them.
 type Queue struct {
 	events  chan assign.Event
 	reports chan assign.Event
@@ -36,37 +35,38 @@
 	return &Queue{events: make(chan assign.Event, maxEvents), reports: make(chan assign.Event, maxReports)}
 }
 
-// Post adds an event that is no report. It waits while the queue is full, and returns the context's error if that ends.
+// Post adds an event that is not a report. It blocks while the queue is full, and returns an error that wraps the
+// context's error if the context ends first.
 func (q *Queue) Post(ctx context.Context, event assign.Event) error {
 	select {
 	case q.events <- event:
 		return nil
 	case <-ctx.Done():
-		return ctx.Err()
+		return fmt.Errorf("post event: %w", ctx.Err())
 	}
 }
 
-// Report adds a report and never waits. Its error is always nil; it has one so that Report and Post fit the same sinks.
+// Report adds a report and never blocks. Its error is always nil; the signature is that of a Sink.
 func (q *Queue) Report(_ context.Context, report assign.Event) error {
 	for {
 		select {
 		case q.reports <- report:
 			return nil
-		default:
+		default: // full
 		}
 		select {
 		case <-q.reports:
 			q.dropped.Add(1)
-		default: // the event loop took it meanwhile
+		default: // the event loop has received the oldest one in the meantime
 		}
 	}
 }
 
-// Events is where the event loop receives what was posted.
+// Events returns the channel of posted events, for the event loop alone. It is never closed.
 func (q *Queue) Events() <-chan assign.Event { return q.events }
 
-// Reports is where the event loop receives reports.
+// Reports returns the channel of reports, for the event loop alone. It is never closed.
 func (q *Queue) Reports() <-chan assign.Event { return q.reports }
 
-// Dropped counts the reports that gave way to newer ones.
+// Dropped returns the number of reports dropped since the start. Any goroutine may call it.
 func (q *Queue) Dropped() int { return int(q.dropped.Load()) }
