--- /dev/null
+++ b/internal/eventloop/timers_test.go
@@ -0,0 +1,51 @@
+package eventloop
+
+import (
+	"math/rand"
+	"reflect"
+	"slices"
+	"testing"
+
+	"madderhollow/assign"
+	"madderhollow/internal/quickcheck"
+)
+
+func TestTimerQueueSortsByDueTimeThenInsertionOrder(t *testing.T) {
+	property := func(seed int64) bool {
+		random, queue := rand.New(rand.NewSource(seed)), timerQueue{}
+		for i := range 50 {
+			queue.set(timer{due: float64(random.Intn(10)), id: i})
+		}
+		return len(queue.timers) == 50 && slices.IsSortedFunc(queue.timers, func(x, y timer) int {
+			if x.due != y.due {
+				return int(x.due - y.due)
+			}
+			return x.id - y.id
+		})
+	}
+	quickcheck.Seeds(t, 100, property)
+}
+
+func TestTimerQueueRejectsTimerWhenFull(t *testing.T) {
+	queue := timerQueue{timers: make([]timer, maxTimers)}
+	if queue.set(timer{due: 1, id: 1}) || len(queue.timers) != maxTimers {
+		t.Errorf("a full queue accepted a timer: got %d timers, want %d", len(queue.timers), maxTimers)
+	}
+}
+
+func TestTimerQueuePopsOnlyDueTimers(t *testing.T) {
+	var queue timerQueue
+	if due, ok := queue.next(); ok {
+		t.Errorf("empty queue: got next timer due at %g, want none", due)
+	}
+	for _, set := range []timer{{due: 3, id: 1}, {due: 1, id: 2}, {due: 2, id: 3}} {
+		queue.set(set)
+	}
+	want := []assign.Event{assign.TimerFired{ID: 2}, assign.TimerFired{ID: 3}}
+	if got := queue.popDue(2); !reflect.DeepEqual(got, want) {
+		t.Errorf("popDue(2): got %v, want %v", got, want)
+	}
+	if due, ok := queue.next(); !ok || due != 3 {
+		t.Errorf("next: got %g, %t, want 3, true", due, ok)
+	}
+}
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -9,38 +9,41 @@
 	"madderhollow/assign"
 )
 
-// However many reports wait, nobody who brings one is held up, and events pass; the newest reports stay.
-func TestReportsHoldNothingUp(t *testing.T) {
+func TestReportDropsOldestWhenFullAndLeavesEvents(t *testing.T) {
+	const excess = 100
 	queue := New()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	for i := range maxReports + 100 {
+	for i := range maxReports + excess {
 		if err := queue.Report(ctx, assign.ProxyTrafficReport{Requests: i}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := queue.Post(ctx, assign.ProxyDisconnected{Proxy: 1}); err != nil {
+	posted := assign.ProxyDisconnected{Proxy: 1}
+	if err := queue.Post(ctx, posted); err != nil {
 		t.Fatal(err)
 	}
-	if event := <-queue.Events(); event != (assign.ProxyDisconnected{Proxy: 1}) {
-		t.Errorf("got %+v", event)
+	if got := <-queue.Events(); got != posted {
+		t.Errorf("got event %+v, want %+v", got, posted)
 	}
-	if report := <-queue.Reports(); report != (assign.ProxyTrafficReport{Requests: 100}) || queue.Dropped() != 100 {
-		t.Errorf("got %+v, %d dropped", report, queue.Dropped())
+	if got, want := <-queue.Reports(), (assign.ProxyTrafficReport{Requests: excess}); got != want {
+		t.Errorf("got oldest report %+v, want %+v", got, want)
+	}
+	if got := queue.Dropped(); got != excess {
+		t.Errorf("got %d reports dropped, want %d", got, excess)
 	}
 }
 
-// A full queue holds up whoever posts until the context ends.
-func TestPostWaitsWhileTheQueueIsFull(t *testing.T) {
-	q := New()
+func TestPostBlocksWhenFullUntilContextEnds(t *testing.T) {
+	queue := New()
 	for range maxEvents {
-		if err := q.Post(t.Context(), assign.TimerFired{}); err != nil {
+		if err := queue.Post(t.Context(), assign.TimerFired{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := q.Post(ctx, assign.TimerFired{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+	if err := queue.Post(ctx, assign.TimerFired{}); !errors.Is(err, context.Canceled) {
+		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
 }
