--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,9 +1,9 @@
-// Package backoff makes the delays between attempts that fail: each twice the one before, within bounds, and up to half of
-// it shorter or longer by chance, so that assigners which lost the same peer do not come back in step.
+// Package backoff computes the delays between failed attempts: exponential, within bounds, and with jitter, so that
+// assigners that lost the same peer do not retry in step.
 //
-// Well-kept libraries (github.com/cenkalti/backoff, k8s.io/apimachinery/pkg/util/wait) draw from the global random source
-// or own the retry loop. Here the seed has to come from the configuration, and the delays end a select among other events;
-// what is left of such a library would be the doubling.
+// Established libraries (github.com/cenkalti/backoff, k8s.io/apimachinery/pkg/util/wait) draw from the global random source
+// or own the retry loop. Here the seed comes from the configuration, and callers wait for a delay and for other events in
+// one select; only the doubling would remain of such a library.
 package backoff
 
 import (
@@ -12,33 +12,34 @@
 	"time"
 )
 
-// Backoff makes the delays of one kind of attempt. It must not be used by two goroutines at once.
+// Backoff computes the delays of one kind of attempt. It must not be used by several goroutines at once.
 type Backoff struct {
-	min, max time.Duration
+	min, max time.Duration // of a delay without its jitter
 	random   *rand.Rand
-	last     time.Duration // without its random part; 0: none since the last Reset
+	last     time.Duration // the last delay without its jitter; 0: none since the last Reset
 }
 
-// New makes a Backoff whose first delay is min and whose longest is max, give or take half of it.
+// New returns a Backoff whose delays double from minDelay, which must be above 0, to maxDelay, before jitter. The seed
+// determines the jitter.
 func New(minDelay, maxDelay time.Duration, seed int64) *Backoff {
 	return &Backoff{min: minDelay, max: maxDelay, random: rand.New(rand.NewSource(seed))}
 }
 
-// Reset starts over from the first delay: an attempt has succeeded.
+// Reset makes the next delay the shortest again. Callers call it after a successful attempt.
 func (b *Backoff) Reset() { b.last = 0 }
 
-// Next returns the next delay.
+// Next returns the next delay: twice the last one, within the bounds, with a jitter of up to half of it either way.
 func (b *Backoff) Next() time.Duration {
 	b.last = min(max(2*b.last, b.min), b.max)
 	return b.last/2 + time.Duration(b.random.Int63n(int64(b.last)))
 }
 
-// Wait sleeps for the next delay, or until the context ends.
+// Wait blocks for the next delay or until the context ends.
 func (b *Backoff) Wait(ctx context.Context) { Sleep(ctx, b.Next()) }
 
-// Sleep sleeps for a time, or until the context ends.
-func Sleep(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
+// Sleep blocks for a duration or until the context ends. Any goroutine may call it.
+func Sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/conditionlog/conditionlog.go
+++ b/internal/conditionlog/conditionlog.go
@@ -1,8 +1,14 @@
 // Package conditionlog logs a condition that lasts, such as an address that does not answer, without a line for each
-// failed attempt: one line when the condition begins, one every RepeatInterval with the number of attempts since the last
-// line, and one when it ends.
+// failed attempt. A condition begins with the first failed attempt and ends with the next successful one:
 //
-// A Condition must not be used by two goroutines at once. No call blocks longer than the logger does.
+//   - when it begins, a warning with the attempt's error;
+//   - while it lasts, the same warning at the first failed attempt after each RepeatInterval, with the last error and the
+//     number of attempts since the last line;
+//   - when it ends, an info line with the total of failed attempts and the duration.
+//
+// Attempts that succeed and fail in turn are a new condition each time, with both lines.
+//
+// A Condition must not be used by several goroutines at once. Calls block only as long as the logger does.
 package conditionlog
 
 import (
@@ -11,39 +17,40 @@
 	"github.com/rs/zerolog"
 )
 
-// RepeatInterval is the time between two lines of a condition that lasts.
+// RepeatInterval is the shortest time between two warnings of one condition.
 const RepeatInterval = 10 * time.Second
 
-// Config describes a condition. Failing and Recovered are constant messages in lower case.
+// Config describes a condition. The messages are constants in lower case, without values.
 type Config struct {
-	Log       zerolog.Logger
-	Failing   string // message of the lines while the condition lasts; level warn
-	Recovered string // message of the line at its end; level info
+	Log       zerolog.Logger // with the component of its owner
+	Failing   string         // message of the warnings; field attempts: failed attempts since the last line
+	Recovered string         // message of the info line; fields attempts: all failed attempts, lasted_ms: since the first
 }
 
-// Condition counts the failed attempts of one condition. Use New.
+// Condition is the state of one condition. New makes it.
 type Condition struct {
-	config   Config
-	now      func() time.Time
-	begunAt  time.Time // of the condition; zero while there is none
-	loggedAt time.Time // of the last line
-	attempts int       // since the last line
-	total    int       // since the condition began
+	config    Config
+	now       func() time.Time // time.Now, but for tests
+	startedAt time.Time        // zero: the condition has not begun, or has ended
+	loggedAt  time.Time        // of the last warning
+	attempts  int              // failed, since the last warning
+	total     int              // failed, since startedAt
 }
 
 // New returns a condition that has not begun.
 func New(config Config) *Condition { return &Condition{config: config, now: time.Now} }
 
-// Fail records a failed attempt. It logs the first one, and one every RepeatInterval after it, with the error and the
-// fields that addFields sets; addFields may be nil and is called only when a line is logged.
+// Fail records a failed attempt and logs a warning if one is due, with the error and with the fields that addFields adds.
+// addFields may be nil; it is called only if a line is logged.
 func (c *Condition) Fail(err error, addFields func(line *zerolog.Event)) {
 	now := c.now()
-	if c.begunAt.IsZero() {
-		c.begunAt = now
+	first := c.startedAt.IsZero()
+	if first {
+		c.startedAt = now
 	}
 	c.attempts++
 	c.total++
-	if c.total > 1 && now.Sub(c.loggedAt) < RepeatInterval {
+	if !first && now.Sub(c.loggedAt) < RepeatInterval {
 		return
 	}
 	line := c.config.Log.Warn().Err(err).Int("attempts", c.attempts)
@@ -55,14 +62,14 @@
 	c.attempts = 0
 }
 
-// Recover records a successful attempt. It logs a line if the condition had begun.
+// Recover records a successful attempt, which ends the condition. It does nothing if none has begun.
 func (c *Condition) Recover() {
-	if c.begunAt.IsZero() {
+	if c.startedAt.IsZero() {
 		return
 	}
-	lasted := c.now().Sub(c.begunAt)
+	lasted := c.now().Sub(c.startedAt)
 	c.config.Log.Info().Int("attempts", c.total).Dur("lasted_ms", lasted).Msg(c.config.Recovered)
-	c.begunAt = time.Time{}
+	c.startedAt = time.Time{}
 	c.attempts = 0
 	c.total = 0
 }
--- a/internal/conditionlog/conditionlog_test.go
+++ b/internal/conditionlog/conditionlog_test.go
@@ -12,31 +12,30 @@
 
 var errRefused = errors.New("connection refused")
 
-func TestConditionLogsBeginRepeatAndEnd(t *testing.T) {
+func TestConditionLogsBeginRepeatsAndEnd(t *testing.T) {
 	var output bytes.Buffer
 	now := time.Unix(1000, 0)
 	condition := New(Config{Log: zerolog.New(&output), Failing: "connect failed", Recovered: "connected"})
 	condition.now = func() time.Time { return now }
-	condition.Recover() // without a condition there is no line
+	condition.Recover() // logs nothing: no attempt has failed
 	for range 21 {
 		condition.Fail(errRefused, func(line *zerolog.Event) { line.Str("address", "a") })
 		now = now.Add(RepeatInterval / 10)
 	}
 	condition.Recover()
-	condition.Recover()
+	condition.Recover() // logs nothing: the condition has ended
 	want := []string{
 		`{"level":"warn","error":"connection refused","attempts":1,"address":"a","message":"connect failed"}`,
 		`{"level":"warn","error":"connection refused","attempts":10,"address":"a","message":"connect failed"}`,
 		`{"level":"warn","error":"connection refused","attempts":10,"address":"a","message":"connect failed"}`,
 		`{"level":"info","attempts":21,"lasted_ms":21000,"message":"connected"}`,
 	}
-	got := strings.Split(strings.TrimSpace(output.String()), "\n")
-	if strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	if got, want := strings.TrimSpace(output.String()), strings.Join(want, "\n"); got != want {
+		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
 
-func TestConditionBeginsAgainAfterItsEnd(t *testing.T) {
+func TestConditionBeginsAgainWhenAttemptFailsAfterRecovery(t *testing.T) {
 	var output bytes.Buffer
 	condition := New(Config{Log: zerolog.New(&output), Failing: "connect failed", Recovered: "connected"})
 	for range 2 {
