--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -7,69 +7,103 @@
 	"madderhollow/internal/backoff"
 )
 
-// Source is what is followed at an address. Open runs in a goroutine of its own; Receive and Failed are called one at a
-// time, by the goroutine that calls Follow.
+// Source is what Follow follows. All functions must be set. Receive and Failed are called one at a time, by the goroutine
+// that calls Follow, and hold it up while they block.
 type Source[T any] struct {
-	// Open reads from an address until that fails or the context ends, and gives back all it holds. Give returns true once
-	// an item was received, and false when no more is wanted.
-	Open func(ctx context.Context, address string, give func(item T) bool) error
-	// Receive takes an item. Beside: it is from a new address while the stream at the old one still stands. It tells
-	// whether the new one may now stand alone.
-	Receive func(item T, beside bool) (settled bool)
-	// Failed tells that a stream has ended.
-	Failed func(err error, beside bool)
+	// Open opens a stream at an address and reads items from it until reading fails or the context ends; it returns why.
+	// It runs in a goroutine of its own, and there may be two at a time. It must release all its resources before it
+	// returns.
+	//
+	// Open passes each item to deliver, which blocks until Receive has returned for the item and then returns true. It
+	// returns false if the context has ended; Open must return then. Receive owns the item while deliver blocks, Open before
+	// and after.
+	Open func(ctx context.Context, address string, deliver func(item T) bool) error
+	// Receive handles an item. During a handover the items of both streams arrive in turn: duringHandover is true for the
+	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
+	// replace the old one; its result is ignored while duringHandover is false.
+	Receive func(item T, duringHandover bool) (ready bool)
+	// Failed is called with the error of Open for each stream that Follow has not closed; the context may have ended by
+	// then. duringHandover is true if the stream was the new one of a handover, so that the old one continues.
+	Failed func(err error, duringHandover bool)
 }
 
-// stream is one run of Source.Open.
+// stream is one call of Source.Open and the goroutine that makes it.
 type stream[T any] struct {
-	address  string
-	items    chan T
-	received chan struct{} // the last item was
-	ended    chan error
-	cancel   context.CancelFunc
+	address string
+	items   chan T        // from deliver; not buffered
+	handled chan struct{} // an element each time Receive has returned for an item
+	ended   chan error    // the result of Source.Open, once; buffered, so that its goroutine never blocks on it
+	cancel  context.CancelFunc
 }
 
+// open starts a stream, which the follower owns. Its goroutine ends when Source.Open returns: when reading fails, or after
+// the stream's cancel or the end of the context.
 func open[T any](ctx context.Context, address string, source Source[T]) *stream[T] {
 	ctx, cancel := context.WithCancel(ctx)
-	opened := &stream[T]{address: address, items: make(chan T), received: make(chan struct{}, 1), ended: make(chan error, 1), cancel: cancel}
-	give := func(item T) bool {
+	opened := &stream[T]{
+		address: address,
+		items:   make(chan T),
+		handled: make(chan struct{}, 1),
+		ended:   make(chan error, 1),
+		cancel:  cancel,
+	}
+	deliver := func(item T) bool {
 		select {
 		case opened.items <- item:
 		case <-ctx.Done():
 			return false
 		}
 		select {
-		case <-opened.received:
+		case <-opened.handled:
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
-	go func() { opened.ended <- source.Open(ctx, address, give) }()
+	go func() { opened.ended <- source.Open(ctx, address, deliver) }()
 	return opened
 }
 
-// close ends a stream, if there is one, and waits until it has given back what it holds.
+// close cancels a stream and blocks until its Source.Open has returned. A nil stream is closed already.
 func (s *stream[T]) close() {
 	if s != nil {
 		s.cancel()
-		<-s.ended //nolint:errcheck // whoever ends a stream does not ask why it ended
+		<-s.ended //nolint:errcheck // the error is that of the cancellation
 	}
 }
 
-// follower holds up to two streams. Its states are: no stream (current and next nil); opening the first (current nil); one
-// stream (next nil); handing over (both).
+// follower keeps the streams of one source. Its states, by the streams that are open:
+//
+//	idle      none: waiting for the end of the backoff
+//	opening   next: it becomes current with the next item that it delivers, ready or not
+//	active    current: at the address, or at a former address during the backoff after a failed handover
+//	handover  current and next: current at a former address, next at the address
+//
+// Its transitions. A backoff delays the opening of a stream; a change of the address ends it.
+//
+//	idle      backoff over, address changed     -> opening
+//	opening   item of next                      -> active
+//	opening   next ends                         -> idle, backoff
+//	opening   address changed                   -> opening with another next
+//	active    current ends                      -> idle, backoff from the shortest delay
+//	active    backoff over, address changed     -> handover, unless current is at the address
+//	handover  item of next, which is ready      -> active with next as current
+//	handover  current ends                      -> opening with the same next
+//	handover  next ends                         -> active, backoff
+//	handover  address changed                   -> handover with another next, or active if current is at the address
 type follower[T any] struct {
-	source  Source[T]
-	address *Address
-	delays  *backoff.Backoff
-	current *stream[T] // stands alone, or did till now
-	next    *stream[T] // is to take its place
-	waiting bool       // after a failure nothing is opened until the delay is over or the address moves
-	delay   *time.Timer
+	source    Source[T]
+	address   *Address
+	delays    *backoff.Backoff
+	current   *stream[T]  // nil: none
+	next      *stream[T]  // nil: none
+	inBackoff bool        // open no stream before delay fires or the address changes
+	delay     *time.Timer // the end of the backoff
 }
 
-// Follow follows a source until the context ends. After a failure it is opened anew, with a delay.
+// Follow follows a source at an address until the context ends, and returns once all streams are closed. When a stream
+// fails it opens another one after the next of the delays. It starts over from the shortest one when the current stream
+// fails; Receive may reset the delays, too. No other goroutine may use them while Follow runs.
 func Follow[T any](ctx context.Context, address *Address, delays *backoff.Backoff, source Source[T]) {
 	f := &follower[T]{source: source, address: address, delays: delays, delay: time.NewTimer(0)}
 	defer f.delay.Stop()
@@ -83,23 +117,23 @@
 	}
 }
 
-// openNext opens a stream at the current address if there is none, and returns what is closed once the address moves.
+// openNext opens the next stream if the state asks for one. It returns a channel that is closed when the address changes.
 func (f *follower[T]) openNext(ctx context.Context) (moved <-chan struct{}) {
 	address, moved := f.address.Current()
-	if f.next != nil && f.next.address != address { // it moved once more
+	if f.next != nil && f.next.address != address {
 		f.next.close()
 		f.next = nil
 	}
 	missing := f.current == nil || f.current.address != address
-	if f.next == nil && !f.waiting && missing {
+	if f.next == nil && !f.inBackoff && missing {
 		f.next = open(ctx, address, f.source)
 	}
 	return moved
 }
 
-// step waits for one thing to happen and handles it.
+// step waits for one event and makes its transition.
 func (f *follower[T]) step(ctx context.Context, moved <-chan struct{}) {
-	var none stream[T] // its nil channels never give anything
+	var none stream[T] // its channels are nil and block forever
 	current, next := &none, &none
 	if f.current != nil {
 		current = f.current
@@ -110,44 +144,44 @@
 	select {
 	case <-ctx.Done():
 	case <-moved:
-		f.waiting = false
+		f.inBackoff = false
 	case <-f.delay.C:
-		f.waiting = false
+		f.inBackoff = false
 	case item := <-current.items:
 		f.source.Receive(item, false)
-		current.received <- struct{}{}
+		current.handled <- struct{}{}
 	case item := <-next.items:
-		f.receiveNext(item)
+		f.receiveFromNext(item)
 	case err := <-current.ended:
-		f.currentFailed(err)
+		f.currentEnded(err)
 	case err := <-next.ended:
-		f.nextFailed(err)
+		f.nextEnded(err)
 	}
 }
 
-// receiveNext receives an item of the next stream, which takes the current one's place if it may.
-func (f *follower[T]) receiveNext(item T) {
-	settled := f.source.Receive(item, f.current != nil)
-	f.next.received <- struct{}{}
-	if settled || f.current == nil {
+// receiveFromNext handles an item of the next stream, which replaces the current one if it is ready or the only one.
+func (f *follower[T]) receiveFromNext(item T) {
+	ready := f.source.Receive(item, f.current != nil)
+	f.next.handled <- struct{}{}
+	if ready || f.current == nil {
 		f.current.close()
 		f.current, f.next = f.next, nil
 	}
 }
 
-func (f *follower[T]) currentFailed(err error) {
-	f.current.cancel()
+func (f *follower[T]) currentEnded(err error) {
+	f.current.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, false)
 	f.current = nil
-	f.waiting = f.next == nil
+	f.inBackoff = f.next == nil
 	f.delays.Reset()
 	f.delay.Reset(f.delays.Next())
 }
 
-func (f *follower[T]) nextFailed(err error) {
-	f.next.cancel()
+func (f *follower[T]) nextEnded(err error) {
+	f.next.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, f.current != nil)
 	f.next = nil
-	f.waiting = true
+	f.inBackoff = true
 	f.delay.Reset(f.delays.Next())
 }
