--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -18,7 +18,7 @@
 	// returns false if the context has ended; Open must return then. Receive owns the item while deliver blocks, Open before
 	// and after.
 	Open func(ctx context.Context, address string, deliver func(item T) bool) error
-	// Receive handles an item. During a handover the items of both streams arrive in turn: duringHandover is true for the
+	// Receive handles an item. During a handover the items of both streams interleave: duringHandover is true for the
 	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
 	// replace the old one; its result is ignored while duringHandover is false.
 	Receive func(item T, duringHandover bool) (ready bool)
