--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -14,16 +14,23 @@
 	"madderhollow/internal/httpconn"
 )
 
+// The names in a request to the agent. Package wire has those in the answer.
 const (
-	// pollTime is how long a watch may wait. The agent answers at no cost, and what it has counts as told 2 s after a wait
-	// ends: a short one finds a dead connection while a drain can still be kept.
-	pollTime = time.Second
-	// answerTimeout is what an answer may come late; the agent stands on the same machine and answers at once.
+	listPath       = "/v1/servers"
+	afterParameter = "after"   // the version after which changes are requested; absent: the full list
+	waitParameter  = "wait_ms" // how long the agent may wait for a change, ms
+)
+
+const (
+	// pollWait is how long the agent may wait for a change. Polls cost the agent nothing, and the platform expects a
+	// change to be known 2 s after the end of a wait: a short one finds a dead connection in time to honor a drain.
+	pollWait = time.Second
+	// answerTimeout bounds the time of an answer beyond the wait. The agent is on the same machine and answers at once.
 	answerTimeout = 500 * time.Millisecond
-	// dialTimeout is what a connection to an agent on the same machine may take.
+	// dialTimeout bounds the time to connect to an agent on the same machine.
 	dialTimeout = 500 * time.Millisecond
-	// An answer is bounded by maxAnswer bytes, and by a part of the memory, which reading it takes several times. A
-	// thousand endpoints make 200 KB.
+	// maxAnswer bounds an answer, in bytes; a thousand endpoints take 200 KB. An answer is also bounded to the part
+	// 1/answerMemoryFraction of the memory, since reading one takes several times its size.
 	maxAnswer            = 8 << 20
 	answerMemoryFraction = 32
 )
@@ -31,77 +38,86 @@
 // Errors of an agent's answer.
 var (
 	ErrStatus         = errors.New("unexpected status")
-	ErrAnswerTooLarge = errors.New("the answer is too large")
-	ErrClosing        = errors.New("the agent closes the connection")
+	ErrAnswerTooLarge = errors.New("answer too large")
+	// ErrConnectionClosed follows an answer that was received whole, with which the agent closed the connection.
+	ErrConnectionClosed = errors.New("connection closed by agent")
 )
 
-// maxAnswerSize bounds an answer in so many MB of memory, in bytes.
+// maxAnswerSize returns the bound of an answer for a process with so many MB of memory, in bytes.
 func maxAnswerSize(memoryMB int) int64 {
 	return int64(min(maxAnswer, memoryMB<<20/answerMemoryFraction))
 }
 
-// request is what an agent is asked: for the full list, or for what follows a version.
+// request is a request for the full list, or for the changes after a version.
 type request struct {
 	full  bool
-	after int
+	after int // version; unused if full
 }
 
-// pollState is one answer of an agent, if it was asked yet, and what the receiver wants it to be asked next. The receiver
-// sets err if the answer cannot be used.
+// pollState is what pollAgent delivers to Watcher.receive: once before the first request of a connection, and after each
+// answer. Watcher.receive sets either the next request or the error for which the answer is rejected.
 type pollState struct {
-	answered bool
+	address  string // of the agent
+	answered bool   // update is set
 	update   assign.EndpointUpdate
 	next     request
 	err      error
 }
 
-// converse asks over one connection until that fails.
-func (w *Watcher) converse(ctx context.Context, address string, give func(*pollState) bool) error {
+// pollAgent polls an agent over one connection until a request fails, an answer is rejected, the agent closes the
+// connection or the context ends. It is the Open of a handover.Source.
+func (w *Watcher) pollAgent(ctx context.Context, address string, deliver func(*pollState) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
-		return err
+		return fmt.Errorf("agent %s: %w", address, err)
 	}
-	defer func() { _ = conn.Close() }() // nothing is under way any more
+	defer func() { _ = conn.Close() }() // no request is in progress; the error changes nothing
 	defer conn.CloseWith(ctx)()
 	closing := false
-	for poll := (&pollState{}); give(poll); poll.answered = true {
+	for poll := (&pollState{address: address}); deliver(poll); poll.answered = true {
 		if poll.err != nil {
 			return poll.err
 		}
 		if closing {
-			return ErrClosing
+			return ErrConnectionClosed
 		}
-		if poll.update, closing, err = w.ask(conn, poll.next); err != nil {
-			return err
+		if poll.update, closing, err = w.requestList(conn, poll.next); err != nil {
+			return fmt.Errorf("agent %s: %w", address, err)
 		}
 	}
-	return ctx.Err()
+	return fmt.Errorf("agent %s: %w", address, ctx.Err())
 }
 
-// ask makes one request. Closing: the connection takes no other.
-func (w *Watcher) ask(conn *httpconn.Conn, asked request) (update assign.EndpointUpdate, closing bool, err error) {
+// requestList makes one request and returns its answer. Closing reports that the connection cannot be used again.
+func (w *Watcher) requestList(conn *httpconn.Conn, wanted request) (update assign.EndpointUpdate, closing bool, err error) {
 	timeout := answerTimeout
-	httpRequest := conn.NewRequest(http.MethodGet, "/v1/servers")
-	if !asked.full {
-		timeout += pollTime
-		httpRequest.URL.RawQuery = url.Values{"after": {strconv.Itoa(asked.after)},
-			"wait_ms": {strconv.FormatInt(pollTime.Milliseconds(), 10)}}.Encode()
+	httpRequest := conn.NewRequest(http.MethodGet, listPath)
+	if !wanted.full {
+		timeout += pollWait
+		httpRequest.URL.RawQuery = url.Values{
+			afterParameter: {strconv.Itoa(wanted.after)},
+			waitParameter:  {strconv.FormatInt(pollWait.Milliseconds(), 10)},
+		}.Encode()
 	}
 	response, _, err := conn.Do(httpRequest, timeout)
 	if err != nil {
-		return update, true, err
+		return update, true, fmt.Errorf("request list: %w", err)
 	}
 	body, err := w.readBody(response)
 	if err != nil {
-		return update, true, fmt.Errorf("answer: %w", err)
+		return update, true, fmt.Errorf("read answer: %w", err)
 	}
 	update, err = w.codec.List(body)
-	return update, response.Close, err
+	if err != nil {
+		return update, true, fmt.Errorf("decode answer: %w", err)
+	}
+	return update, response.Close, nil
 }
 
+// readBody reads and closes an answer's body.
 func (w *Watcher) readBody(response *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxAnswer+1))
-	if int64(len(body)) > w.maxAnswer { // the rest is left unread, and the connection is closed
+	if int64(len(body)) > w.maxAnswer { // the rest stays unread, since the caller closes the connection
 		return nil, ErrAnswerTooLarge
 	}
 	if err := errors.Join(err, response.Body.Close()); err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,8 @@
-// Package discovery is the client side towards discovery: it fetches the full endpoint list and then watches it without a
-// gap, by long polls. Watcher decides which answers are taken (watcher.go), connection.go makes the requests.
+// Package discovery is the client of the discovery agent. It fetches the full endpoint list and then watches it by long
+// polls, so that no change is missed, and passes each update to the decision module.
+//
+// Watcher owns the connections (watcher.go, with the requests in connection.go); listVersion decides which answers are
+// applied (version.go).
 package discovery
 
 import (
@@ -13,154 +16,160 @@
 
 	"madderhollow/assign"
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/eventqueue"
 	"madderhollow/internal/handover"
 	"madderhollow/internal/wire"
 )
 
+// minRetryDelay and maxRetryDelay bound the delays between failed attempts. The platform expects a change to be known 6 s
+// after a failure, and a drain's grace may be as short as 3 s.
 const (
-	// minRetryDelay and maxRetryDelay bound the delays between failed attempts: what discovery has counts as told after
-	// 6 s, and a drain's grace may be 3 s.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 300 * time.Millisecond
-	// minRegressions full lists in a row with a lower version mean that discovery counts anew, once they have come for
-	// minRegressionTime. Until then they may be of an agent that is behind, which would bring back what was removed.
-	minRegressions    = 3
-	minRegressionTime = 2 * time.Second
 )
 
-// ErrMemory is a Config without memory for an answer.
+// ErrMemory is returned by New for a Config without memory for an answer.
 var ErrMemory = errors.New("no memory for an answer")
 
-// Errors of answers that are not taken.
-var (
-	ErrVersionRegressed = errors.New("the version is lower than that of the list held")
-	ErrNotFull          = errors.New("changes where the full list was asked for")
-)
-
-// Config describes a Watcher. Every field must be set, but for Seed and KnownVersion.
+// Config describes a Watcher. Every field must be set, except KnownVersion and Seed.
 type Config struct {
 	Address      *handover.Address // of the agent; its owner may move it at any time
 	KnownVersion int               // of the list that the module starts with, from the configuration; 0: none
 	Codec        *wire.Codec
-	Sink         eventqueue.Sink // receives every assign.EndpointUpdate; called by the goroutine that calls Run
+	Sink         eventqueue.Sink // receives every assign.EndpointUpdate, from the goroutine that calls Run
 	MemoryMB     int             // of the process; bounds the size of an answer
 	Seed         int64           // of the delays between attempts
 	Log          zerolog.Logger  // New adds the component
 }
 
-// Watcher follows one agent of discovery, or two while its address moves, over one connection each.
+// Watcher watches the list of one agent, over one connection, or two while the agent's address moves. Watch and Fetch may be
+// called by any goroutine and do not block.
 type Watcher struct {
-	address      *handover.Address
-	codec        *wire.Codec
-	sink         eventqueue.Sink
-	log          zerolog.Logger
-	delays       *backoff.Backoff
-	reportErrors atomic.Bool // the module wants to be told of failures
-	fetchWanted  atomic.Bool // the module wants the full list
-	maxAnswer    int64       // bytes
-
-	version        int       // of the list held
-	synced         bool      // that came from discovery in this incarnation
-	regressions    int       // answers in a row whose version was lower
-	regressedSince time.Time // when the first of them came
+	address   *handover.Address
+	codec     *wire.Codec
+	sink      eventqueue.Sink
+	log       zerolog.Logger
+	delays    *backoff.Backoff
+	maxAnswer int64 // bytes
+
+	reportFailures atomic.Bool // the module wants an event for each failure
+	fetchWanted    atomic.Bool // the module wants the full list
+
+	// The rest is used by the goroutine that calls Run.
+	version          listVersion
+	watchFailures    *conditionlog.Condition // of the watch that the module depends on
+	handoverFailures *conditionlog.Condition // of the watch at a new address, while the former one is watched
 }
 
-// New returns a watcher that does nothing until Run. It returns ErrMemory where config.MemoryMB leaves no room for an
-// answer.
+// New returns a watcher that does nothing until Run. It returns an error that wraps ErrMemory if config.MemoryMB is not
+// above 0.
 func New(config Config) (*Watcher, error) {
 	if config.MemoryMB < 1 {
 		return nil, fmt.Errorf("%w: %d MB", ErrMemory, config.MemoryMB)
 	}
+	log := config.Log.With().Str("component", "discovery").Logger()
 	return &Watcher{
 		address:   config.Address,
-		version:   config.KnownVersion,
 		codec:     config.Codec,
 		sink:      config.Sink,
-		log:       config.Log,
-		maxAnswer: maxAnswerSize(config.MemoryMB),
+		log:       log,
 		delays:    backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+		maxAnswer: maxAnswerSize(config.MemoryMB),
+		version:   listVersion{held: config.KnownVersion},
+		watchFailures: conditionlog.New(conditionlog.Config{
+			Log:       log,
+			Failing:   "endpoint watch failed; keeping current list",
+			Recovered: "endpoint watch recovered",
+		}),
+		handoverFailures: conditionlog.New(conditionlog.Config{
+			Log:       log,
+			Failing:   "new agent address failed; watching the former one",
+			Recovered: "agent address handover completed",
+		}),
 	}, nil
 }
 
-// Watch is the module's wish for changes. They are watched all the time, since the agent answers at no cost; the wish
-// decides whether failures are told.
-func (w *Watcher) Watch(enabled bool) { w.reportErrors.Store(enabled) }
+// Watch sets whether the module gets an event for each failure. The list is watched in either case, since that costs the
+// agent nothing.
+func (w *Watcher) Watch(enabled bool) { w.reportFailures.Store(enabled) }
 
-// Fetch is the module's wish for the full list.
+// Fetch makes the next request one for the full list, and enables the events for failures.
 func (w *Watcher) Fetch() {
-	w.reportErrors.Store(true)
+	w.reportFailures.Store(true)
 	w.fetchWanted.Store(true)
 }
 
-// Run watches until the context ends. A new address' agent is asked for the full list while the old one's watch stands.
+// Run watches the list until the context ends. It must be called once. When the address moves, it requests the full list
+// from the new agent while it still watches the former one.
 func (w *Watcher) Run(ctx context.Context) {
 	handover.Follow(ctx, w.address, w.delays, handover.Source[*pollState]{
-		Open:    w.converse,
-		Receive: func(poll *pollState, beside bool) bool { return w.receive(ctx, poll, beside) },
-		Failed:  func(err error, beside bool) { w.failed(ctx, err, beside) },
+		Open: w.pollAgent,
+		Receive: func(poll *pollState, duringHandover bool) bool {
+			return w.receive(ctx, poll, duringHandover)
+		},
+		Failed: func(err error, duringHandover bool) { w.failed(ctx, err, duringHandover) },
 	})
 }
 
-// failed tells of a connection that has ended.
-func (w *Watcher) failed(ctx context.Context, err error, beside bool) {
+// failed logs the end of a connection, and reports it to the module if no other connection is open.
+func (w *Watcher) failed(ctx context.Context, err error, duringHandover bool) {
 	if ctx.Err() != nil {
 		return
 	}
-	w.log.Warn().Err(err).Bool("beside", beside).Msg("discovery: the old list stays")
-	if w.reportErrors.Load() && !beside {
-		_ = w.sink(ctx, assign.EndpointUpdate{Version: w.version, Failed: true}) // the only error is the context's
+	w.logFailure(err, duringHandover)
+	if w.reportFailures.Load() && !duringHandover {
+		// The only error is that the context has ended, which also ends Run.
+		_ = w.sink(ctx, assign.EndpointUpdate{Version: w.version.held, Failed: true})
 	}
 }
 
-// receive checks an answer, hands it on and says what to ask next. It tells whether the agent may stand alone.
-func (w *Watcher) receive(ctx context.Context, poll *pollState, beside bool) (settled bool) {
+func (w *Watcher) logFailure(err error, duringHandover bool) {
+	addVersion := func(line *zerolog.Event) { line.Int("version", w.version.held) }
+	switch {
+	case duringHandover:
+		w.handoverFailures.Fail(err, addVersion)
+	case errors.Is(err, ErrConnectionClosed): // after an answer that was applied
+		w.log.Debug().Msg("agent closed the connection; reconnecting")
+	default:
+		w.watchFailures.Fail(err, addVersion)
+	}
+}
+
+// receive applies an answer and sets the next request, or the error for which the answer is rejected. It reports whether an
+// answer was applied, with which a new agent is ready to replace the former one.
+func (w *Watcher) receive(ctx context.Context, poll *pollState, duringHandover bool) (ready bool) {
 	if !poll.answered {
-		full := beside || !w.synced || w.regressions > 0 || w.fetchWanted.Swap(false)
-		poll.next = request{full: full, after: w.version}
+		full := duringHandover || w.version.needsFullList() || w.fetchWanted.Swap(false)
+		poll.next = request{full: full, after: w.version.held}
 		return false
 	}
-	if poll.err = w.check(poll.update); poll.err != nil {
+	if poll.err = w.apply(ctx, poll.update); poll.err != nil {
 		return false
 	}
-	if poll.update.Full || len(poll.update.Endpoints) > 0 {
-		if poll.err = w.sink(ctx, poll.update); poll.err != nil {
-			return false
-		}
-	}
 	w.delays.Reset()
-	w.synced = true
-	w.version = poll.update.Version
-	w.regressions = 0
-	poll.next = request{full: w.fetchWanted.Swap(false), after: w.version}
-	return true
-}
-
-// check tells whether an answer may be taken.
-func (w *Watcher) check(update assign.EndpointUpdate) error {
-	if update.Version < w.version {
-		return w.checkRegression(update)
+	w.watchFailures.Recover()
+	if address, _ := w.address.Current(); poll.address == address {
+		w.handoverFailures.Recover()
 	}
-	if !w.synced && !update.Full {
-		return ErrNotFull
-	}
-	return nil
+	poll.next = request{full: w.fetchWanted.Swap(false), after: w.version.held}
+	return true
 }
 
-// checkRegression takes a lower version once enough full lists had one.
-func (w *Watcher) checkRegression(update assign.EndpointUpdate) error {
-	if w.regressions == 0 {
-		w.regressedSince = time.Now()
+// apply passes an update to the module, unless its version rules it out or it changes nothing.
+func (w *Watcher) apply(ctx context.Context, update assign.EndpointUpdate) error {
+	if err := w.version.check(update, time.Now()); err != nil {
+		return err
 	}
-	regressed := fmt.Errorf("%w: %d after %d", ErrVersionRegressed, update.Version, w.version)
-	if !update.Full {
-		w.regressions = max(w.regressions, 1)
-		return regressed
+	if update.Version < w.version.held {
+		w.log.Warn().Int("version", update.Version).Int("former_version", w.version.held).
+			Msg("list versions restarted; list with lower version accepted")
 	}
-	if w.regressions < minRegressions || w.synced && time.Since(w.regressedSince) < minRegressionTime {
-		w.regressions++
-		return regressed
+	if update.Full || len(update.Endpoints) > 0 {
+		if err := w.sink(ctx, update); err != nil {
+			return err
+		}
 	}
-	w.log.Warn().Int("version", update.Version).Int("held", w.version).Msg("discovery counts its versions anew")
+	w.version.applied(update.Version)
 	return nil
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -247,8 +247,8 @@
 			}
 			return false
 		})
-		setup.moveAgent(t, 2*pollTime)
-		if !eventually.True(pollTime, askedForFull.Load) {
+		setup.moveAgent(t, 2*pollWait)
+		if !eventually.True(pollWait, askedForFull.Load) {
 			t.Error("the new agent is not asked for the full list")
 		}
 		if update := setup.next(t); update.Version != version || !update.Full {
