--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,13 +1,17 @@
 package discovery
 
 import (
+	"bytes"
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"reflect"
+	"slices"
 	"strconv"
+	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -21,12 +25,11 @@
 	"madderhollow/internal/wire"
 )
 
-// soon is what anything may take on a busy machine.
-const soon = 10 * time.Second
+// testTimeout bounds any wait on a busy machine.
+const testTimeout = 10 * time.Second
 
-// The version of the agent's first list, and the memory that answers may take a part of.
 const (
-	firstVersion = 41
+	firstVersion = 41 // of the agent's first list
 	memoryMB     = 64
 )
 
@@ -34,7 +37,7 @@
 	return discoverytest.Endpoint{Name: name, Zone: "a", Status: status, Weight: 1}
 }
 
-// harness is a fake agent and a watcher, with the updates that the module would get.
+// harness is a fake agent and a watcher of it, with the updates that the watcher passes to the module.
 type harness struct {
 	*discoverytest.Agent
 	address *handover.Address
@@ -42,7 +45,8 @@
 	updates chan assign.EndpointUpdate
 }
 
-// newHarness starts a watcher that knows a version, and takes its first update, the full list.
+// newHarness starts a watcher whose list has a known version, and receives the first update, the full list. Both end with
+// the test.
 func newHarness(t *testing.T, known int) *harness {
 	t.Helper()
 	agent, err := discoverytest.New("", firstVersion, entry("s", discoverytest.Active), entry("u", discoverytest.Active))
@@ -53,7 +57,7 @@
 	sink := func(_ context.Context, event assign.Event) error {
 		update, ok := event.(assign.EndpointUpdate)
 		if !ok {
-			t.Errorf("got %#v", event)
+			t.Errorf("got event %#v, want an EndpointUpdate", event)
 		}
 		setup.updates <- update
 		return nil
@@ -72,7 +76,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); setup.watcher.Run(ctx) }()
+	go func() { defer close(ended); setup.watcher.Run(ctx) }() // ends with ctx, which the cleanup cancels
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -81,30 +85,30 @@
 		}
 	})
 	if update := setup.next(t); update.Version != firstVersion || !update.Full || len(update.Endpoints) != 2 {
-		t.Fatalf("first came %+v", update)
+		t.Fatalf("first update: got %+v, want the full list of version %d with 2 endpoints", update, firstVersion)
 	}
 	return setup
 }
 
-// startHarness is newHarness where the version known is older.
+// startHarness is newHarness with a known version lower than the agent's.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
 	return newHarness(t, firstVersion-1)
 }
 
-// next takes the next update.
+// next receives the next update.
 func (h *harness) next(t *testing.T) assign.EndpointUpdate {
 	t.Helper()
 	select {
 	case update := <-h.updates:
 		return update
-	case <-time.After(soon):
-		t.Fatal("no update")
+	case <-time.After(testTimeout):
+		t.Fatal("got no update")
 		return assign.EndpointUpdate{}
 	}
 }
 
-// moveAgent moves the agent, and the watcher's address with it.
+// moveAgent moves the agent and the watcher's address. The agent's former address stays open for a time.
 func (h *harness) moveAgent(t *testing.T, oldOpen time.Duration) {
 	t.Helper()
 	if err := h.Move("", oldOpen); err != nil {
@@ -113,22 +117,28 @@
 	h.address.Move(h.Address())
 }
 
-// write writes an answer, as far as the client takes it.
+// write writes a part of an answer. It ignores errors: the client may have closed the connection.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// asksForFull tells whether a request is for the full list.
-func asksForFull(r *http.Request) bool { return r.FormValue("after") == "" }
+// wantsFull reports whether a request is for the full list.
+func wantsFull(r *http.Request) bool { return r.FormValue(afterParameter) == "" }
 
-// After the list come changes, each once, over one watch.
-func TestChangesFollowTheList(t *testing.T) {
-	t.Parallel()
-	setup := startHarness(t)
-	setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		if asksForFull(r) {
-			t.Error("the full list was asked for again")
+// rejectFullRequests fails the test for each later request for the full list. Prepare is called for each answer.
+func (h *harness) rejectFullRequests(t *testing.T, prepare func(http.ResponseWriter)) {
+	t.Helper()
+	h.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
+		if wantsFull(r) {
+			t.Error("got a request for the full list, want requests for changes")
 		}
+		prepare(w)
 		return false
 	})
+}
+
+func TestWatcherReportsEachChangeOnceAfterFullList(t *testing.T) {
+	t.Parallel()
+	setup := startHarness(t)
+	setup.rejectFullRequests(t, func(http.ResponseWriter) {})
 	for i, change := range []struct {
 		status string
 		state  assign.EndpointState
@@ -142,29 +152,28 @@
 	}
 }
 
-// badAnswers are what discovery may do instead of answering.
+// badAnswers are answers that must not be applied, by name.
 func badAnswers() map[string]http.HandlerFunc {
 	answer := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { write(w, text) }
 	}
 	return map[string]http.HandlerFunc{
-		"error":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"garbage": answer("\x00\xff{"),
-		"half": func(w http.ResponseWriter, _ *http.Request) {
+		"server error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"garbage":      answer("\x00\xff{"),
+		"truncated": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			write(w, `{"index":99,"snapshot":true,`)
 		},
-		"reset":    func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"silent":   func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"older":    answer(`{"index":7,"snapshot":true,"endpoints":[]}`),
-		"backward": answer(`{"index":7,"snapshot":false,"endpoints":[]}`),
-		"unknown":  answer(`{"index":99,"snapshot":false,"endpoints":[{"name":"s","status":"odd"}]}`),
+		"connection reset":         func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"no answer":                func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"lower version, full list": answer(`{"index":7,"snapshot":true,"endpoints":[]}`),
+		"lower version, changes":   answer(`{"index":7,"snapshot":false,"endpoints":[]}`),
+		"unknown status":           answer(`{"index":99,"snapshot":false,"endpoints":[{"name":"s","status":"odd"}]}`),
 	}
 }
 
-// Whatever discovery does instead of answering, the old list stays, the module is told if it asked, and the next good
-// answer is taken.
-func TestBadAnswersLeaveTheOldList(t *testing.T) {
+// The failure is reported to the module, which has asked for that, and the next good answer is applied.
+func TestWatcherKeepsListAfterBadAnswer(t *testing.T) {
 	for name, answer := range badAnswers() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -179,18 +188,20 @@
 				answer(w, r)
 				return true
 			})
-			eventually.True(soon, func() bool { return bad.Load() > 0 }) // the watch that waited is over
+			if !eventually.True(testTimeout, func() bool { return bad.Load() > 0 }) { // the poll in progress has ended
+				t.Fatal("got no request for the bad answer")
+			}
 			setup.Change(entry("s", discoverytest.Leaving))
 			changed.Store(true)
 			if failures := setup.failuresUntil(t, firstVersion+1); failures < 1 {
-				t.Error("the module was told of no failure")
+				t.Errorf("got %d failures reported, want at least 1", failures)
 			}
 		})
 	}
 }
 
-// failuresUntil takes updates up to one of a version, counts those that tell of a failure, and checks that none brings
-// anything else.
+// failuresUntil receives updates up to one of a version, and returns the number of those that report a failure. It checks
+// that the others are changes.
 func (h *harness) failuresUntil(t *testing.T, version int) (failures int) {
 	t.Helper()
 	for {
@@ -198,12 +209,12 @@
 		if update.Failed {
 			failures++
 			if update.Version != firstVersion || update.Full || update.Endpoints != nil {
-				t.Errorf("a failure came as %+v", update)
+				t.Errorf("got failure %+v, want one with version %d and nothing else", update, firstVersion)
 			}
 			continue
 		}
 		if update.Version == firstVersion || len(update.Endpoints) == 0 {
-			t.Errorf("got %+v", update)
+			t.Errorf("got update %+v, want changes after version %d", update, firstVersion)
 		}
 		if update.Version == version {
 			return failures
@@ -211,64 +222,67 @@
 	}
 }
 
-// Versions that stay lower are counted anew: the list is taken, or no drain would be heard of any more.
-func TestVersionsStartOver(t *testing.T) {
+// Without the list of the restarted agent, no drain would be reported any more.
+func TestWatcherAppliesListAfterAgentRestartsVersions(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.Restart(3)
 	setup.Change(entry("u", discoverytest.Leaving))
 	if update := setup.next(t); update.Version != 4 || !update.Full || len(update.Endpoints) != 2 {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want the full list of version 4 with 2 endpoints", update)
 	}
-	setup = newHarness(t, 50) // and so they are where the list known at the start came before that
+}
+
+func TestWatcherFetchesFullListOnRequest(t *testing.T) {
+	t.Parallel()
+	setup := newHarness(t, firstVersion+9) // a configuration newer than the agent: its lower version is applied as well
 	setup.watcher.Fetch()
 	if update := setup.next(t); update.Version != firstVersion || !update.Full {
-		t.Errorf("asked for, got %+v", update)
+		t.Errorf("got %+v, want the full list of version %d", update, firstVersion)
 	}
 }
 
-// A new address' agent is asked for the full list while the old one's watch stands; changes are told all along, and where
-// nobody answers yet the old one serves on.
-func TestTheAgentMoves(t *testing.T) {
+// Changes are reported at all times: by the former agent while no agent answers at the new address or the new one has not
+// sent the full list, by the new agent from then on.
+func TestWatcherHandsOverToAgentAtNewAddress(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.watcher.Watch(true)
 	for i := range 3 {
 		version := firstVersion + 1 + 2*i
-		setup.address.Move("127.0.0.1:1") // nobody is there
+		setup.address.Move("127.0.0.1:1") // refuses connections
 		setup.Change(entry("s", discoverytest.Leaving))
 		if update := setup.next(t); update.Version != version || update.Failed {
-			t.Fatalf("from the old address came %+v", update)
+			t.Fatalf("from the former agent: got %+v, want version %d", update, version)
 		}
-		var askedForFull atomic.Bool
+		var fullRequested atomic.Bool
 		setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-			if asksForFull(r) {
-				askedForFull.Store(true)
+			if wantsFull(r) {
+				fullRequested.Store(true)
 			}
 			return false
 		})
 		setup.moveAgent(t, 2*pollWait)
-		if !eventually.True(pollWait, askedForFull.Load) {
-			t.Error("the new agent is not asked for the full list")
+		if !eventually.True(pollWait, fullRequested.Load) {
+			t.Errorf("got no request for the full list within %v", pollWait)
 		}
 		if update := setup.next(t); update.Version != version || !update.Full {
-			t.Fatalf("from the new address came first %+v", update)
+			t.Fatalf("first from the new agent: got %+v, want the full list of version %d", update, version)
 		}
 		setup.Change(entry("u", discoverytest.Leaving))
 		if update := setup.next(t); update.Version != version+1 || update.Failed || len(update.Endpoints) != 1 {
-			t.Fatalf("from the new address came %+v", update)
+			t.Fatalf("from the new agent: got %+v, want one change of version %d", update, version+1)
 		}
 	}
 }
 
-// An agent that is behind for a moment, amid a watch, brings nothing back that was removed, however often it is asked; the
-// next list that is newer is taken.
-func TestAgentBehindForAMoment(t *testing.T) {
+// Its list would bring back endpoints that were removed. The next newer list is applied.
+func TestWatcherRejectsListOfAgentBehindForLessThanMinRegressionTime(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.Change(entry("s", discoverytest.Leaving))
-	if update := setup.next(t); update.Version != 42 {
-		t.Fatalf("got %+v", update)
+	if update := setup.next(t); update.Version != firstVersion+1 {
+		t.Fatalf("got %+v, want version %d", update, firstVersion+1)
 	}
 	var behind atomic.Int32
 	setup.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
@@ -278,54 +292,57 @@
 		write(w, `{"index":40,"snapshot":true,"endpoints":[{"name":"s","status":"active","weight":1}]}`)
 		return true
 	})
-	if !eventually.True(soon, func() bool { return behind.Load() > minRegressions+3 }) {
-		t.Fatalf("it was asked %d times", behind.Load())
+	if !eventually.True(testTimeout, func() bool { return behind.Load() > minRegressions+3 }) {
+		t.Fatalf("got %d requests, want more than %d", behind.Load(), minRegressions+3)
 	}
 	setup.Change(entry("u", discoverytest.Leaving))
-	for update := setup.next(t); update.Version != 43; update = setup.next(t) {
-		if update.Version < 42 {
-			t.Fatalf("got %+v", update)
+	for update := setup.next(t); update.Version != firstVersion+2; update = setup.next(t) {
+		if update.Version < firstVersion+1 {
+			t.Fatalf("got %+v, want no version below %d", update, firstVersion+1)
 		}
 	}
 }
 
-// The watch's answer ends as the address moves: it was of the old agent, its list stands, and no change is lost.
-func TestAnswerEndsAsTheAddressMoves(t *testing.T) {
+// The former agent answers only after the new one's list was applied. No change is lost.
+func TestWatcherIgnoresFormerAgentAnswerAfterHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	held, goOn := make(chan struct{}, 10), make(chan struct{})
-	old := setup.Address()
+	held, release := make(chan struct{}, 10), make(chan struct{})
+	former := setup.Address()
 	setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		if r.Host == old {
+		if r.Host == former {
 			held <- struct{}{}
-			<-goOn
+			<-release
 		}
 		return false
 	})
-	setup.Change(entry("s", discoverytest.Leaving)) // a watch under way is answered, the next one is held
-	<-held
+	setup.Change(entry("s", discoverytest.Leaving)) // the poll in progress is answered, the next one is held
+	select {
+	case <-held:
+	case <-time.After(testTimeout):
+		t.Fatal("got no poll to hold")
+	}
 	setup.moveAgent(t, time.Hour)
 	update := setup.next(t)
-	if !update.Full { // of the watch that was answered
+	if !update.Full { // of the poll that was answered
 		update = setup.next(t)
 	}
-	if update.Version != 42 || !update.Full {
-		t.Fatalf("from the new address came %+v", update)
+	if update.Version != firstVersion+1 || !update.Full {
+		t.Fatalf("from the new agent: got %+v, want the full list of version %d", update, firstVersion+1)
 	}
-	close(goOn) // nobody waits for it any more
+	close(release) // the watcher has closed the connection
 	setup.Change(entry("u", discoverytest.Leaving))
-	if update := setup.next(t); update.Version != 43 || len(update.Endpoints) != 1 {
-		t.Errorf("got %+v", update)
+	if update := setup.next(t); update.Version != firstVersion+2 || len(update.Endpoints) != 1 {
+		t.Errorf("got %+v, want one change of version %d", update, firstVersion+2)
 	}
 }
 
-// An answer larger than the memory bears is not read.
-func TestAnswerLargerThanTheMemoryBears(t *testing.T) {
+func TestWatcherRejectsAnswerOverMemoryBound(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	var asked atomic.Int32
+	var requests atomic.Int32
 	setup.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
-		if asked.Add(1) > 1 {
+		if requests.Add(1) > 1 {
 			return false
 		}
 		write(w, `{"index":99,"snapshot":true,"endpoints":[`)
@@ -336,63 +353,57 @@
 		return true
 	})
 	setup.Change(entry("s", discoverytest.Leaving))
-	for update := setup.next(t); update.Version != 42; update = setup.next(t) {
-		t.Errorf("got a list of version %d with %d entries", update.Version, len(update.Endpoints))
+	for update := setup.next(t); update.Version != firstVersion+1; update = setup.next(t) {
+		t.Errorf("got an update of version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), firstVersion+1)
 	}
-	if !eventually.True(soon, func() bool { return asked.Load() > 1 }) {
-		t.Error("it is not asked again")
+	if !eventually.True(testTimeout, func() bool { return requests.Load() > 1 }) {
+		t.Errorf("got %d requests, want more than 1", requests.Load())
 	}
 }
 
-// A full list amid a watch stands for all before it, and the watch goes on from its version.
-func TestFullListAmidAWatch(t *testing.T) {
+// An agent may answer with the full list where changes were requested. The watch continues from its version.
+func TestWatcherAppliesFullListInPlaceOfChanges(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	var asked atomic.Int64
+	var requestedAfter atomic.Int64
 	setup.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
 		after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
 		if err != nil || after < 60 {
 			write(w, `{"index":60,"snapshot":true,"endpoints":[{"name":"v","zone":"a","status":"active","weight":1}]}`)
 			return true
 		}
-		asked.Store(after)
+		requestedAfter.Store(after)
 		if after > 60 {
 			return false
 		}
 		write(w, `{"index":61,"snapshot":false,"endpoints":[{"name":"v","zone":"a","status":"leaving","weight":1}]}`)
 		return true
 	})
-	setup.Change(entry("s", discoverytest.Leaving)) // ends the watch under way
+	setup.Change(entry("s", discoverytest.Leaving)) // ends the poll in progress
 	update := setup.next(t)
-	if update.Version == 42 {
+	if update.Version == firstVersion+1 {
 		update = setup.next(t)
 	}
 	if update.Version != 60 || !update.Full || len(update.Endpoints) != 1 {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want the full list of version 60 with 1 endpoint", update)
 	}
 	if update = setup.next(t); update.Version != 61 || update.Full || update.Endpoints[0].State != assign.Draining {
-		t.Errorf("got %+v", update)
+		t.Errorf("got %+v, want one draining endpoint of version 61", update)
 	}
-	if !eventually.True(soon, func() bool { return asked.Load() == 61 }) {
-		t.Errorf("it asked for what follows %d", asked.Load())
+	if !eventually.True(testTimeout, func() bool { return requestedAfter.Load() == 61 }) {
+		t.Errorf("got a request for changes after %d, want after 61", requestedAfter.Load())
 	}
 }
 
-// An agent that closes after each answer is asked again at once: the watch goes on, and each change is told once.
-func TestAgentClosesAfterEachAnswer(t *testing.T) {
+func TestWatcherReconnectsAfterAgentClosesConnection(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
-		if asksForFull(r) {
-			t.Error("the full list was asked for again")
-		}
-		w.Header().Set("Connection", "close")
-		return false
-	})
+	setup.rejectFullRequests(t, func(w http.ResponseWriter) { w.Header().Set("Connection", "close") })
 	for i := range 5 {
 		setup.Change(entry("s", []string{discoverytest.Leaving, discoverytest.Active}[i%2]))
-		if update := setup.next(t); update.Version != 42+i || update.Full || len(update.Endpoints) != 1 {
-			t.Errorf("got %+v", update)
+		want := firstVersion + 1 + i
+		if update := setup.next(t); update.Version != want || update.Full || len(update.Endpoints) != 1 {
+			t.Errorf("got %+v, want one change of version %d", update, want)
 		}
 	}
 }
@@ -405,3 +416,58 @@
 		}
 	}
 }
+
+// Failures of the watch and of a handover are conditions of their own: one lasts while the other attempts succeed.
+func TestWatcherLogsFailuresAsConditions(t *testing.T) {
+	t.Parallel()
+	var output bytes.Buffer
+	address := handover.NewAddress("former")
+	sink := func(context.Context, assign.Event) error { return nil }
+	watcher, err := New(Config{Address: address, KnownVersion: firstVersion, Sink: sink, MemoryMB: memoryMB, Log: zerolog.New(&output)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	fail := func(err error, duringHandover bool) { watcher.failed(t.Context(), err, duringHandover) }
+	succeed := func(from string) {
+		update := assign.EndpointUpdate{Version: firstVersion, Full: true}
+		watcher.receive(t.Context(), &pollState{address: from, answered: true, update: update}, false)
+	}
+	for range 3 {
+		fail(ErrStatus, false)
+	}
+	succeed("former")
+	fail(ErrConnectionClosed, false)
+	address.Move("new")
+	for range 3 {
+		fail(ErrStatus, true)
+		succeed("former")
+	}
+	succeed("new")
+	var got []string
+	for line := range strings.Lines(output.String()) {
+		got = append(got, logLevelAndMessage(t, line))
+	}
+	want := []string{
+		"warn: endpoint watch failed; keeping current list",
+		"info: endpoint watch recovered",
+		"debug: agent closed the connection; reconnecting",
+		"warn: new agent address failed; watching the former one",
+		"info: agent address handover completed",
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("got log lines\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+	}
+}
+
+// logLevelAndMessage returns what a log line is, and checks its component.
+func logLevelAndMessage(t *testing.T, line string) string {
+	t.Helper()
+	var fields struct{ Level, Component, Message string }
+	if err := json.Unmarshal([]byte(line), &fields); err != nil {
+		t.Fatalf("log line %s: %v", line, err)
+	}
+	if fields.Component != "discovery" {
+		t.Errorf("log line %s: got component %q, want discovery", line, fields.Component)
+	}
+	return fields.Level + ": " + fields.Message
+}
