--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -203,7 +203,7 @@
 	t.Helper()
 	p.writeConfig(t, 0.5)
 	a.signal(t, syscall.SIGHUP)
-	if !eventually.True(soon, func() bool { return strings.Contains(a.log.String(), "the old configuration stays") }) {
+	if !eventually.True(soon, func() bool { return strings.Contains(a.log.String(), "configuration file not usable") }) {
 		t.Errorf("no reload\n%s", a.log)
 	}
 }
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -1,4 +1,5 @@
-// Package configreload takes up a new configuration file while the program runs.
+// Package configreload applies a changed configuration file while the program runs: at a signal it reads the file again and
+// moves the addresses of discovery and the relay. Everything else in the file needs a restart.
 package configreload
 
 import (
@@ -13,24 +14,14 @@
 )
 
 const (
-	// retryInterval is the time between looks at a file that cannot be used yet, or that names no new address: whoever
-	// writes it may have signalled before the last byte. What the old addresses name closes 1.5 s after the signal.
+	// retryInterval is the time between two attempts to read a file that is not usable yet, or that has the addresses in
+	// use: its writer may signal before the last byte is written. The former addresses close 1.5 s after the signal.
 	retryInterval = 50 * time.Millisecond
-	// retryTimeout bounds that. A file still wrong then is a fault that only its writer can mend, and tell of.
+	// retryTimeout is the time after the signal at which the attempts end. Only the operator can mend a file that is not
+	// usable by then.
 	retryTimeout = 5 * time.Second
 )
 
-// Reloader moves the addresses of discovery and the relay to those of a new file.
-type Reloader struct {
-	path      string
-	discovery *handover.Address
-	relay     *handover.Address
-	log       zerolog.Logger
-	start     *config.Reread // what the program started with, against which the rest is compared; nil: not known
-	until     time.Time      // when looking ends; zero: nothing to look for
-	lastError string         // that was logged
-}
-
 // Config describes a Reloader. Every field must be set.
 type Config struct {
 	Path      string            // of the configuration file that the program started with
@@ -39,14 +30,39 @@
 	Log       zerolog.Logger    // New adds the component
 }
 
+// Reloader reads the file and moves the addresses. Its states are idle and reloading; its transitions:
+//
+//	idle       signal                                     -> reloading until retryTimeout has passed
+//	reloading  signal                                     -> reloading, from the beginning
+//	reloading  file with a new address                    -> idle
+//	reloading  file not usable, or without a new address  -> reloading; the next attempt follows after retryInterval
+//	reloading  the same after retryTimeout                -> idle
+//
+// Each reload logs one line for each transition between the states.
+type Reloader struct {
+	path      string
+	discovery *handover.Address
+	relay     *handover.Address
+	log       zerolog.Logger
+	initial   *config.Reread // the file at the start of Run; nil: it could not be read
+	deadline  time.Time      // of the reload in progress; zero: idle
+	lastError string         // the last one that was logged in this reload
+}
+
 // New returns a reloader that does nothing until Run.
 func New(config Config) *Reloader {
-	return &Reloader{path: config.Path, discovery: config.Discovery, relay: config.Relay, log: config.Log}
+	return &Reloader{
+		path:      config.Path,
+		discovery: config.Discovery,
+		relay:     config.Relay,
+		log:       config.Log.With().Str("component", "config_reload").Logger(),
+	}
 }
 
-// Run reads the file at each signal, until the context ends. Whatever cannot be read leaves the addresses as they are.
+// Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves the
+// addresses as they are.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	r.start, _ = config.Again(r.path) // of what cannot be read any more nothing is compared
+	r.initial, _ = config.Again(r.path) // without it, no members that need a restart are logged
 	retry := time.NewTimer(0)
 	defer retry.Stop()
 	for {
@@ -54,49 +70,56 @@
 		case <-ctx.Done():
 			return
 		case <-signals:
-			r.until = time.Now().Add(retryTimeout)
-			r.lastError = ""
-			r.log.Info().Msg("reload: told to read the configuration anew")
+			r.begin(time.Now())
 		case <-retry.C:
-			if r.until.IsZero() {
+			if r.deadline.IsZero() {
 				continue
 			}
 		}
-		if done := r.look(); !done {
+		r.attempt()
+		if !r.deadline.IsZero() {
 			retry.Reset(retryInterval)
 		}
 	}
 }
 
-// look reads the file once and tells whether that settles the signal.
-func (r *Reloader) look() (done bool) {
+// begin starts a reload, or starts the one in progress over.
+func (r *Reloader) begin(now time.Time) {
+	r.deadline = now.Add(retryTimeout)
+	r.lastError = ""
+	r.log.Info().Msg("configuration reload started")
+}
+
+// attempt reads the file once and ends the reload if it can or must.
+func (r *Reloader) attempt() {
 	reread, err := config.Again(r.path)
 	if err == nil && r.move(reread) {
-		r.until = time.Time{}
-		return true
+		r.deadline = time.Time{}
+		return
 	}
 	if err != nil && err.Error() != r.lastError {
 		r.lastError = err.Error()
-		r.log.Error().Err(err).Msg("reload: the old configuration stays")
+		r.log.Warn().Err(err).Msg("configuration file not usable; retrying")
 	}
-	if !time.Now().After(r.until) {
-		return false
+	if !time.Now().After(r.deadline) {
+		return
 	}
-	r.until = time.Time{}
-	if err == nil {
-		r.log.Info().Strs("after_a_restart", reread.NeedsRestart(r.start)).Msg("reload: no address has moved")
+	r.deadline = time.Time{}
+	if err != nil {
+		r.log.Error().Err(err).Msg("configuration reload failed; keeping current configuration")
+		return
 	}
-	return true
+	r.log.Info().Strs("needs_restart", reread.NeedsRestart(r.initial)).Msg("configuration reload found no new address")
 }
 
-// move sets the addresses and tells whether one is new.
+// move sets the addresses, and reports whether one has changed.
 func (r *Reloader) move(reread *config.Reread) bool {
 	discoveryMoved := r.discovery.Move(reread.Discovery)
 	relayMoved := r.relay.Move(reread.Relay)
 	if !discoveryMoved && !relayMoved {
 		return false
 	}
-	r.log.Info().Bool("discovery", discoveryMoved).Bool("relay", relayMoved).
-		Strs("after_a_restart", reread.NeedsRestart(r.start)).Msg("reload: taken up")
+	r.log.Info().Bool("discovery_moved", discoveryMoved).Bool("relay_moved", relayMoved).
+		Strs("needs_restart", reread.NeedsRestart(r.initial)).Msg("configuration reloaded")
 	return true
 }
