--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -244,7 +244,7 @@
 
 // Changes are reported at all times: by the former agent while no agent answers at the new address or the new one has not
 // sent the full list, by the new agent from then on.
-func TestWatcherHandsOverToAgentAtNewAddress(t *testing.T) {
+func TestWatcherReplacesAgentWhenAddressMoves(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.watcher.Watch(true)
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,5 +1,6 @@
-// Package simhost hosts many assigners in one process, on the operators' simulator protocol: batches of events come in on
-// one stream, and one reply with the orders of all instances goes out for each. The simulator's clock is the only one.
+// Package simhost runs many assigners in one process for the operators' simulator. It reads batches of events from one
+// stream, in the protocol of package simproto, and writes one reply to each batch, with the orders of all instances. The
+// time is that of the batches; no clock is read.
 package simhost
 
 import (
@@ -18,25 +19,26 @@
 	writeBufferSize = 1 << 16 // bytes
 )
 
-// Host answers the batches of one stream.
+// Host replies to the batches of one stream. It must not be used by several goroutines at once.
 type Host struct {
 	in          *bufio.Reader
 	out         *bufio.Writer
 	diagnostics io.Writer
 	decoder     *simproto.Decoder
-	instances   map[int]*assign.Assigner
-	batch       *simproto.BatchStart // that is open; nil: none
-	events      []instanceEvents     // of the open batch, in the order in which instances first appear
-	line        int                  // number of the line under way
+	instances   map[int]*assign.Assigner // the open ones, by number
+	batch       *simproto.BatchStart     // the batch being read; nil: none
+	events      []instanceEvents         // collected for the next handleEvents, by instance in order of first appearance
+	line        int                      // number of the line being read, from 1
 }
 
-// instanceEvents are the events of one instance in a batch.
+// instanceEvents are events of one instance, in the order in which they were read.
 type instanceEvents struct {
 	instance int
 	events   []assign.Event
 }
 
-// New makes a host that reads batches and writes replies. Diagnostics name lines that cannot be used, which are skipped.
+// New returns a host that reads batches from in and writes replies to out. It writes a line to diagnostics for each line
+// that it skips and each instance that panics. The caller owns all three.
 func New(in io.Reader, out, diagnostics io.Writer) *Host {
 	return &Host{
 		in:          bufio.NewReaderSize(in, readBufferSize),
@@ -47,7 +49,8 @@
 	}
 }
 
-// Serve answers batches until the input ends.
+// Serve replies to batches until the input ends, which is no error, or reading or writing fails. Lines that cannot be
+// decoded are skipped. It blocks while it reads and writes.
 func (h *Host) Serve() error {
 	for h.line = 1; ; h.line++ {
 		line, err := h.in.ReadBytes('\n')
@@ -68,11 +71,12 @@
 	}
 }
 
-// diagnose writes a line for the operators. One that cannot be written has nowhere else to go.
+// diagnose writes a line for the operators. Its error is discarded: there is no other place to report it.
 func (h *Host) diagnose(format string, values ...any) {
 	_, _ = fmt.Fprintf(h.diagnostics, "benchlink: "+format+"\n", values...)
 }
 
+// receive handles one message. An instance that is opened again or halted handles its collected events first.
 func (h *Host) receive(message simproto.Message) error {
 	switch message := message.(type) {
 	case simproto.BatchStart:
@@ -81,18 +85,18 @@
 	case simproto.BatchEnd:
 		return h.endBatch()
 	case simproto.OpenInstance:
-		if err := h.decide(); err != nil { // what came before belongs to the former incarnation
+		if err := h.handleEvents(); err != nil { // the events so far belong to the instance's former incarnation
 			return err
 		}
 		h.instances[message.Instance] = assign.New(message.Seed, message.Config)
 	case simproto.HaltInstance:
-		if err := h.decide(); err != nil {
+		if err := h.handleEvents(); err != nil {
 			return err
 		}
 		delete(h.instances, message.Instance)
 	case simproto.InstanceEvent:
 		if h.instances[message.Instance] == nil {
-			h.diagnose("line %d: no instance %d", h.line, message.Instance)
+			h.diagnose("line %d skipped: no instance %d", h.line, message.Instance)
 			return nil
 		}
 		h.collect(message)
@@ -100,12 +104,13 @@
 	return nil
 }
 
+// endBatch handles the collected events and completes the reply to the batch.
 func (h *Host) endBatch() error {
 	if h.batch == nil {
-		h.diagnose("line %d: flush before any mark", h.line)
+		h.diagnose("line %d skipped: batch end without batch start", h.line)
 		return nil
 	}
-	if err := h.decide(); err != nil {
+	if err := h.handleEvents(); err != nil {
 		return err
 	}
 	if err := h.writeLine(simproto.EncodeEnd(h.batch.Batch)); err != nil {
@@ -118,30 +123,27 @@
 	return nil
 }
 
-// collect adds an event to its instance's events.
-func (h *Host) collect(m simproto.InstanceEvent) {
+// collect adds an event to the events of its instance.
+func (h *Host) collect(message simproto.InstanceEvent) {
 	for i := range h.events {
-		if h.events[i].instance == m.Instance {
-			h.events[i].events = append(h.events[i].events, m.Event)
+		if h.events[i].instance == message.Instance {
+			h.events[i].events = append(h.events[i].events, message.Event)
 			return
 		}
 	}
-	h.events = append(h.events, instanceEvents{m.Instance, []assign.Event{m.Event}})
+	h.events = append(h.events, instanceEvents{message.Instance, []assign.Event{message.Event}})
 }
 
-// decide has the instances handle the events collected so far, and writes their orders.
-func (h *Host) decide() error {
+// handleEvents passes the collected events to their instances, which are all open, and writes the orders. Outside a batch it
+// drops the events.
+func (h *Host) handleEvents() error {
 	collected := h.events
 	h.events = h.events[:0]
 	if h.batch == nil {
 		return nil
 	}
-	for _, c := range collected {
-		assigner := h.instances[c.instance]
-		if assigner == nil {
-			continue
-		}
-		lines, err := h.handle(assigner, c)
+	for _, input := range collected {
+		lines, err := h.handleInstance(h.instances[input.instance], input)
 		if err != nil {
 			return err
 		}
@@ -154,27 +156,28 @@
 	return nil
 }
 
-// handle lets one instance decide. A panic becomes a fault line, so that a broken instance is never mistaken for one with
-// nothing to order.
-func (h *Host) handle(assigner *assign.Assigner, c instanceEvents) (lines [][]byte, err error) {
+// handleInstance passes events to an instance and returns the lines of its orders. After a panic the last line reports a
+// fault, so that a broken instance is not mistaken for one without orders; so it does after an order that cannot be encoded.
+func (h *Host) handleInstance(assigner *assign.Assigner, input instanceEvents) (lines [][]byte, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.diagnose("instance %d: %v\n%s", c.instance, reason, debug.Stack())
+			h.diagnose("instance %d: %v\n%s", input.instance, reason, debug.Stack())
 			var fault []byte
-			fault, err = simproto.EncodeFault(c.instance, fmt.Sprint(reason))
+			fault, err = simproto.EncodeFault(input.instance, fmt.Sprint(reason))
 			lines = append(lines, fault)
 		}
 	}()
-	for _, order := range assigner.Handle(h.batch.Now, c.events) {
-		line, err := simproto.Encode(c.instance, order)
+	for _, order := range assigner.Handle(h.batch.Now, input.events) {
+		line, err := simproto.Encode(input.instance, order)
 		if err != nil {
-			panic(err)
+			panic(err) // reported as a fault, above
 		}
 		lines = append(lines, line)
 	}
 	return lines, nil
 }
 
+// writeLine writes a line of the reply. endBatch flushes it.
 func (h *Host) writeLine(line []byte) error {
 	if _, err := h.out.Write(line); err != nil {
 		return fmt.Errorf("write reply: %w", err)
