--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -135,7 +135,8 @@
 	parts.add("relay events", a.reader.Run)
 	parts.add("relay calls", func(context.Context) { a.client.Run(loopEnded) })
 	parts.add("reload", func(ctx context.Context) {
-		configreload.New(configreload.Config{Path: a.config.Path, Discovery: a.discoveryAt, Relay: a.relayAt, Log: a.log}).Run(ctx, reload)
+		reloader := configreload.New(configreload.Config{Path: a.config.Path, Discovery: a.discoveryAt, Relay: a.relayAt, Log: a.log})
+		reloader.Run(ctx, reload)
 	})
 	if a.peers != nil {
 		parts.add("peers", a.peers.Run)
--- a/internal/discovery/version.go
+++ b/internal/discovery/version.go
@@ -11,8 +11,8 @@
 const (
 	// minRegressions answers with a lower version are rejected before a full list with one is accepted.
 	minRegressions = 3
-	// minRegressionTime is how long after the first of them it is accepted. An agent that is behind for a shorter time
-	// would bring back endpoints that were removed.
+	// minRegressionTime has to pass between the first of them and the accepted list if the list held is discovery's. An
+	// agent that is behind for a shorter time would bring back endpoints that were removed.
 	minRegressionTime = 2 * time.Second
 )
 
@@ -24,9 +24,9 @@
 
 // listVersion decides by their versions which answers are applied to the endpoint list. Its states:
 //
-//	initial    the list held is the configuration's; the full list is requested
+//	initial    not synced: the list held is the configuration's; the full list is requested
 //	synced     the list held is discovery's; changes after its version are requested
-//	regressed  the last answers had versions lower than the list held; the full list is requested (resync)
+//	regressed  regressions above 0: the last answers had lower versions; the full list is requested (resync)
 //
 // Its transitions:
 //
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -84,8 +84,8 @@
 		}),
 		handoverFailures: conditionlog.New(conditionlog.Config{
 			Log:       log,
-			Failing:   "new agent address failed; watching the former one",
-			Recovered: "agent address handover completed",
+			Failing:   "new discovery address failed; watching former address",
+			Recovered: "discovery address handover completed",
 		}),
 	}, nil
 }
@@ -130,7 +130,7 @@
 	case duringHandover:
 		w.handoverFailures.Fail(err, addVersion)
 	case errors.Is(err, ErrConnectionClosed): // after an answer that was applied
-		w.log.Debug().Msg("agent closed the connection; reconnecting")
+		w.log.Debug().Msg("agent closed connection; reconnecting")
 	default:
 		w.watchFailures.Fail(err, addVersion)
 	}
@@ -163,7 +163,7 @@
 	}
 	if update.Version < w.version.held {
 		w.log.Warn().Int("version", update.Version).Int("former_version", w.version.held).
-			Msg("list versions restarted; list with lower version accepted")
+			Msg("list version restarted; lower version accepted")
 	}
 	if update.Full || len(update.Endpoints) > 0 {
 		if err := w.sink(ctx, update); err != nil {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -354,7 +354,7 @@
 	})
 	setup.Change(entry("s", discoverytest.Leaving))
 	for update := setup.next(t); update.Version != firstVersion+1; update = setup.next(t) {
-		t.Errorf("got an update of version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), firstVersion+1)
+		t.Errorf("got version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), firstVersion+1)
 	}
 	if !eventually.True(testTimeout, func() bool { return requests.Load() > 1 }) {
 		t.Errorf("got %d requests, want more than 1", requests.Load())
@@ -423,7 +423,8 @@
 	var output bytes.Buffer
 	address := handover.NewAddress("former")
 	sink := func(context.Context, assign.Event) error { return nil }
-	watcher, err := New(Config{Address: address, KnownVersion: firstVersion, Sink: sink, MemoryMB: memoryMB, Log: zerolog.New(&output)})
+	log := zerolog.New(&output)
+	watcher, err := New(Config{Address: address, KnownVersion: firstVersion, Sink: sink, MemoryMB: memoryMB, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -450,9 +451,9 @@
 	want := []string{
 		"warn: endpoint watch failed; keeping current list",
 		"info: endpoint watch recovered",
-		"debug: agent closed the connection; reconnecting",
-		"warn: new agent address failed; watching the former one",
-		"info: agent address handover completed",
+		"debug: agent closed connection; reconnecting",
+		"warn: new discovery address failed; watching former address",
+		"info: discovery address handover completed",
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got log lines\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -8,7 +8,7 @@
 )
 
 // Source is what Follow follows. All functions must be set. Receive and Failed are called one at a time, by the goroutine
-// that calls Follow, and hold it up while they block.
+// that calls Follow; while one of them blocks, no stream makes progress.
 type Source[T any] struct {
 	// Open opens a stream at an address and reads items from it until reading fails or the context ends; it returns why.
 	// It runs in a goroutine of its own, and there may be two at a time. It must release all its resources before it
