--- a/internal/discovery/version.go
+++ b/internal/discovery/version.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// minRegressions answers with a lower version are rejected before a full list with one is accepted.
+	// minRegressions full lists with a lower version are rejected before one is accepted.
 	minRegressions = 3
 	// minRegressionTime has to pass between the first of them and the accepted list if the list held is discovery's. An
 	// agent that is behind for a shorter time would bring back endpoints that were removed.
@@ -26,7 +26,7 @@
 //
 //	initial    not synced: the list held is the configuration's; the full list is requested
 //	synced     the list held is discovery's; changes after its version are requested
-//	regressed  regressions above 0: the last answers had lower versions; the full list is requested (resync)
+//	regressed  regressions is above 0: the last answers had lower versions; the full list is requested (resync)
 //
 // Its transitions:
 //
@@ -40,12 +40,12 @@
 //	regressed  lower version, too early         -> regressed, answer rejected
 //	regressed  full list with a lower version   -> synced: discovery has restarted its versions
 //
-// A lower version is too early until minRegressions answers were rejected and, unless regressed followed initial, until
-// minRegressionTime has passed. Changes with a lower version are always rejected.
+// A lower version is too early until minRegressions full lists were rejected and, unless regressed followed initial, until
+// minRegressionTime has passed. Changes with a lower version are always rejected; they count only where they are the first.
 type listVersion struct {
 	held           int       // version of the list held
 	synced         bool      // the list held was received from discovery, by this process
-	regressions    int       // answers in a row that were rejected for their lower versions; 0: not regressed
+	regressions    int       // full lists in a row that were rejected for their lower versions, or changes as the first
 	regressedSince time.Time // the time of the first of them
 }
 
--- a/internal/discovery/version_test.go
+++ b/internal/discovery/version_test.go
@@ -68,6 +68,11 @@
 			answers: []answer{rejectedChanges, rejectedChanges, rejectedChanges, rejectedChanges,
 				afterTime(rejectedChanges, minRegressionTime)},
 		},
+		"synced, changes with a lower version count once": {
+			synced: true,
+			answers: []answer{rejectedChanges, rejectedChanges, rejectedChanges,
+				afterTime(rejectedList, minRegressionTime), rejectedList, {version: 9, full: true}},
+		},
 		"synced, lower versions in a row again after an applied answer": {
 			synced: true,
 			answers: []answer{rejectedList, rejectedList, {version: 10},
