--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -101,6 +101,7 @@
 	l.handle(lastBatch, initial)
 	ready()
 	for {
+		// Wait for one event or the next timer.
 		alarm.Reset(l.untilNextTimer())
 		var events, reports []assign.Event
 		select {
@@ -112,11 +113,12 @@
 			reports = append(reports, report)
 		case <-alarm.C:
 		}
+		// Wait until the next batch may start, and collect all that is queued by then.
 		if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
 			time.Sleep(roundUp(rest))
 		}
 		events = appendQueued(events, l.inputs.Events)
-		events = append(events, reports...)
+		events = append(events, reports...) // behind the events
 		events = appendQueued(events, l.inputs.Reports)
 		now := l.now()
 		events = append(events, l.timers.popDue(now)...)
