--- a/assign/events.go
+++ b/assign/events.go
@@ -30,7 +30,7 @@
 type EndpointUpdate struct {
 	Version   int
 	Full      bool // endpoints not named are no longer listed
-	Failed    bool // the list could not be fetched; no other field is set
+	Failed    bool // the list could not be fetched; only Version may be set
 	Endpoints []Endpoint
 }
 
