--- a/assign/model_rules_test.go
+++ b/assign/model_rules_test.go
@@ -4,19 +4,21 @@
 	"fmt"
 	"math"
 	"slices"
+
+	"madderhollow/assign/timing"
 )
 
-// fail keeps the first broken rule.
+// fail records the first broken rule.
 func (m *model) fail(format string, values ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf("at %.2f s: ", m.now-modelStart) + fmt.Sprintf(format, values...)
 	}
 }
 
-// slowness is how much longer than stated the channel takes, the worst of what the rules allow for.
+// slowness returns how many times longer than configured the channel takes; the rules allow for that.
 func (m *model) slowness() float64 { return modelNominalRate / m.channelRate }
 
-// checkOrder checks what can be told of an order alone.
+// checkOrder checks what an order alone shows.
 func (m *model) checkOrder(order Order) {
 	switch order := order.(type) {
 	case SetWeight:
@@ -34,7 +36,7 @@
 	}
 }
 
-// checkChannel checks rule 5: what waits in the channel, and the messages to each proxy.
+// checkChannel checks rule 5: the lines queued in the channel, and the messages to each proxy.
 func (m *model) checkChannel() {
 	queued := 0
 	for _, message := range m.inTransit {
@@ -53,11 +55,11 @@
 	}
 }
 
-// checkRules checks what the proxies hold, after some seconds of holding it.
+// checkRules checks the tables that the proxies have held for some seconds.
 func (m *model) checkRules(seconds float64) {
 	sum := 0.0
 	for _, p := range m.assigner.proxies {
-		if m.now-p.lastReportAt <= silenceTimeout {
+		if m.now-p.lastReportAt <= timing.SilenceTimeout {
 			sum += p.quota
 		}
 	}
@@ -99,7 +101,7 @@
 	for _, e := range m.endpoints {
 		hasPick = hasPick || held[e.Name] > 0
 		record := m.assigner.endpoints[e.Name]
-		usable := record != nil && record.state == Ready && record.warmFraction(m.assigner) == 1
+		usable := record != nil && record.status.State == Ready && record.capacityFraction(m.assigner) == 1
 		couldHave = couldHave || usable && m.allows(class, e.Zone)
 	}
 	proxy.withoutPick[class] += seconds
@@ -126,7 +128,7 @@
 		if !warmLeft || !known || held[e.Name] <= 0 {
 			continue
 		}
-		fraction := record.warmFraction(m.assigner)
+		fraction := record.capacityFraction(m.assigner)
 		if fraction < 1 && held[e.Name]/sum > 1.6*fraction*e.Weight/usual {
 			excess = proxy.overBudget[class] + seconds
 		}
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -214,8 +214,8 @@
 	t.Helper()
 	p.writeConfig(t, 0.5)
 	daemon.signal(t, syscall.SIGHUP)
-	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), "the old configuration stays") }) {
-		t.Errorf("got no log line about a failed reload\n%s", daemon.log)
+	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), "configuration file not usable") }) {
+		t.Errorf("got no log line about an unusable file\n%s", daemon.log)
 	}
 }
 
