--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -48,8 +48,9 @@
 // program is an assigner in a process of its own.
 type program struct {
 	*exec.Cmd
-	log   *logBuffer
-	ended chan error // receives the result of Wait
+	log     *logBuffer
+	ended   chan struct{} // closed when the process has ended
+	waitErr error         // result of Wait; may be read once ended is closed
 }
 
 // logBuffer collects a log. Several goroutines may write and read it.
@@ -78,7 +79,7 @@
 
 // newProgram returns the program, not yet started, so that a test can change its environment and output.
 func newProgram(configPath string, args ...string) *program {
-	p := &program{Cmd: exec.Command(os.Args[0], args...), log: &logBuffer{}, ended: make(chan error, 1)}
+	p := &program{Cmd: exec.Command(os.Args[0], args...), log: &logBuffer{}, ended: make(chan struct{})}
 	p.Env = []string{programVariable + "=1", "EDGE_CONFIG=" + configPath}
 	p.Stderr, p.Stdout = p.log, p.log
 	return p
@@ -90,7 +91,10 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.ended <- p.Wait() }()        // ends with the process
+	go func() { // ends with the process
+		p.waitErr = p.Wait()
+		close(p.ended)
+	}()
 	t.Cleanup(func() { _ = p.Process.Kill() }) // fails if it has ended
 	return p
 }
@@ -103,23 +107,19 @@
 	}
 }
 
-// text kills the program if it still runs, and returns its log and exit status.
+// text kills the program if it still runs, and returns its log and how it ended.
 func (p *program) text() string {
 	_ = p.Process.Kill() // fails if it has ended
-	if err, ok := <-p.ended; ok {
-		close(p.ended)
-		return fmt.Sprint(p.log, err)
-	}
-	return p.log.String()
+	<-p.ended
+	return fmt.Sprintf("%sended: %v", p.log, p.waitErr)
 }
 
 // wait waits until the program has ended.
 func (p *program) wait(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.ended:
-		close(p.ended)
-		return err
+	case <-p.ended:
+		return p.waitErr
 	case <-time.After(soon):
 		t.Fatalf("the program still runs after %v", soon)
 		return nil
