--- /dev/null
+++ b/internal/httpconn/httpconn_test.go
@@ -0,0 +1,107 @@
+package httpconn
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"madderhollow/internal/eventually"
+	"madderhollow/internal/testserver"
+)
+
+const timeout = 5 * time.Second
+
+// dialServer returns a connection to a server with this handler. Both are closed at the end of the test.
+func dialServer(t *testing.T, handler http.HandlerFunc) (*testserver.Server, *Conn) {
+	t.Helper()
+	server, err := testserver.New("", handler)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Errorf("close server: %v", err)
+		}
+	})
+	conn, err := Dial(t.Context(), server.Address(), timeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // some tests close it themselves
+	return server, conn
+}
+
+func TestDoReportsWhetherRequestWasSent(t *testing.T) {
+	handlers := map[string]http.HandlerFunc{
+		"answered":          func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) },
+		"closed after sent": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+	}
+	for _, test := range []struct {
+		name        string
+		handler     http.HandlerFunc
+		closeBefore bool
+		wantSent    bool
+		wantErr     error
+	}{
+		{name: "response", handler: handlers["answered"], wantSent: true},
+		{name: "closed by server", handler: handlers["closed after sent"], wantSent: true, wantErr: io.ErrUnexpectedEOF},
+		{name: "closed before write", handler: handlers["answered"], closeBefore: true, wantErr: net.ErrClosed},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, conn := dialServer(t, test.handler)
+			if test.closeBefore {
+				if err := conn.Close(); err != nil {
+					t.Fatal(err)
+				}
+			}
+			response, sent, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), timeout)
+			if sent != test.wantSent || !errors.Is(err, test.wantErr) {
+				t.Errorf("got sent %t, error %v; want sent %t, error %v", sent, err, test.wantSent, test.wantErr)
+			}
+			if err != nil {
+				return
+			}
+			if err := response.Body.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+func TestDoFailsAfterTimeout(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	_, conn := dialServer(t, func(http.ResponseWriter, *http.Request) { <-release })
+	response, sent, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), 10*time.Millisecond)
+	if !sent || !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("got sent %t, error %v; want sent true, error %v", sent, err, os.ErrDeadlineExceeded)
+	}
+	if response != nil {
+		t.Errorf("got response %v, want none", response.Status)
+		_ = response.Body.Close() // the test has failed already
+	}
+}
+
+func TestPeerClosedAfterServerClosesIdleConnection(t *testing.T) {
+	server, conn := dialServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
+	response, _, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), timeout)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := response.Body.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if conn.PeerClosed() || conn.HasUnread() {
+		t.Errorf("open connection: got peer closed %t, unread %t; want false, false", conn.PeerClosed(), conn.HasUnread())
+	}
+	if !eventually.True(timeout, func() bool { return server.CloseIdle() > 0 }) {
+		t.Fatal("got no idle connection, want one")
+	}
+	if !eventually.True(timeout, conn.PeerClosed) {
+		t.Error("closed connection: got peer closed false, want true")
+	}
+}
--- a/internal/httpconn/closed.go
+++ b/internal/httpconn/peerclosed.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PeerClosed tells whether a close has arrived, or anything else that nobody asked for. A request over such a connection
-// would fail after it went out. Without a system call to look with, it says no.
+// PeerClosed reports whether the server closed the connection or sent bytes that belong to no request; a request over such
+// a connection would fail after it was sent. It returns false if the connection offers no system calls. It does not block.
 func (c *Conn) PeerClosed() bool {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -20,7 +20,7 @@
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), make([]byte, 1))
-		open = errors.Is(err, syscall.EAGAIN) // nothing to read yet
+		open = errors.Is(err, syscall.EAGAIN) // the connection is open and there is nothing to read
 		return true
 	})
 	return err != nil || !open
