--- a/cmd/madderhollow/counters.go
+++ b/cmd/madderhollow/counters.go
@@ -46,7 +46,7 @@
 		ReportsLost:    a.events.Dropped(),
 		Unidentified:   reports.Refused,
 		Batches:        batches.Batches,
-		LongestWaitMs:  orders.LongestWait.Milliseconds(),
+		LongestWaitMs:  orders.MaxOrderWait.Milliseconds(),
 	}
 }
 
--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -18,7 +18,7 @@
 type acknowledgmentLedger struct {
 	requested  []int // that the orders which wait are to ask for
 	allProxies bool  // one of them asks all proxies
-	shared     bool  // the last of them has gone out already, with other orders of its batch
+	split      bool  // the last of them has gone out already, with other orders of its batch
 	merged     []mergedRequests
 	received   []int
 }
@@ -33,7 +33,7 @@
 func (l *acknowledgmentLedger) request(r assign.AcknowledgmentRequest) {
 	l.requested = newest(append(l.requested, r.Sequence))
 	l.allProxies = l.allProxies || r.AllProxies
-	l.shared = false
+	l.split = false
 }
 
 // sent takes note that a call asks for the last of some sequence numbers on behalf of all.
@@ -61,8 +61,8 @@
 }
 
 // requestAgain puts sequence numbers of a call that is given back before those that came meanwhile.
-func (l *acknowledgmentLedger) requestAgain(sequences []int, allProxies, shared bool) {
-	l.shared = len(l.requested) == 0 && shared
+func (l *acknowledgmentLedger) requestAgain(sequences []int, allProxies, split bool) {
+	l.split = len(l.requested) == 0 && split
 	all := slices.Clone(sequences)
 	for _, sequence := range l.requested {
 		if !slices.Contains(all, sequence) {
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -12,67 +12,67 @@
 	orders     []*pendingOrder
 	sequences  []int // the batches that it settles; it asks for the last one's acknowledgment
 	allProxies bool  // it asks all proxies for that
-	shared     bool  // another call asks for the same: an acknowledgment says nothing of this one
+	split      bool  // another call asks for the same: an acknowledgment says nothing of this one
 	number     int
 }
 
-// sequence is what the call asks the acknowledgment of, if that proves that the call was carried out.
-func (c *Call) sequence() (sequence int, proves bool) {
-	if c.shared || len(c.sequences) == 0 {
-		return noCall, false
+// provingSequence is what the call asks the acknowledgment of, if that proves that the call was carried out.
+func (c *Call) provingSequence() (sequence int, proves bool) {
+	if c.split || len(c.sequences) == 0 {
+		return noSequence, false
 	}
 	return c.sequences[len(c.sequences)-1], true
 }
 
-// NotTaken gives back a call of which nothing was carried out.
-func (q *Queue) NotTaken(call Call) { q.PartlyTaken(call, 0) }
+// Requeue gives back a call of which nothing was carried out.
+func (q *Queue) Requeue(call Call) { q.RequeueFrom(call, 0) }
 
-// PartlyTaken gives back what stands in a call from the order at a position on, which the caller wants to go out again.
+// RequeueFrom gives back what stands in a call from the order at a position on, which the caller wants to go out again.
 // The one before that may be what the relay did not take.
-func (q *Queue) PartlyTaken(call Call, from int) {
+func (q *Queue) RequeueFrom(call Call, from int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if from == 0 { // nobody got it: while the relay is away no message counts
 		q.budget.refund(call.number)
 	}
-	q.giveBack(call, from, noCall)
+	q.requeue(call, from, noSequence)
 }
 
-// Ambiguous gives back a call that was carried out whole or not at all. The acknowledgment that it asks for tells; it may
+// RequeueAmbiguous gives back a call that was carried out whole or not at all. The acknowledgment that it asks for tells; it may
 // have come already.
-func (q *Queue) Ambiguous(call Call) {
+func (q *Queue) RequeueAmbiguous(call Call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	sequence, proves := call.sequence()
+	sequence, proves := call.provingSequence()
 	if proves && slices.Contains(q.acknowledgments.received, sequence) {
-		q.giveBack(Call{shared: call.shared}, 0, noCall)
+		q.requeue(Call{split: call.split}, 0, noSequence)
 		return
 	}
-	q.giveBack(call, 0, sequence)
-	q.ambiguity.begin(time.Now())
+	q.requeue(call, 0, sequence)
+	q.ambiguity.start(time.Now())
 }
 
-// giveBack puts a call's orders from a position on before what came meanwhile. AttemptedIn is the sequence number whose
-// acknowledgment proves that they were carried out, or noCall.
-func (q *Queue) giveBack(call Call, from, attemptedIn int) {
+// requeue puts a call's orders from a position on before what came meanwhile. AttemptedIn is the sequence number whose
+// acknowledgment proves that they were carried out, or noSequence.
+func (q *Queue) requeue(call Call, from, attemptedBy int) {
 	q.repeated++
 	if from > len(call.orders) { // it was the acknowledgment request that was not taken
 		call.sequences = nil
 		call.allProxies = false
 	}
-	firstNotTaken := min(max(from-1, 0), len(call.orders))
-	for _, p := range call.orders[firstNotTaken:] {
-		q.directory.unsettle(p)
+	firstNotApplied := min(max(from-1, 0), len(call.orders))
+	for _, p := range call.orders[firstNotApplied:] {
+		q.directory.markUncertain(p)
 	}
 	later := q.pending.reset()
 	for _, p := range call.orders[min(from, len(call.orders)):] {
 		if q.directory.outdated(p) {
 			continue
 		}
-		p.attemptedIn = attemptedIn
+		p.attemptedBy = attemptedBy
 		q.pending.add(p)
 	}
 	q.pending.addAll(later)
-	q.acknowledgments.requestAgain(call.sequences, call.allProxies, call.shared)
+	q.acknowledgments.requestAgain(call.sequences, call.allProxies, call.split)
 	q.notify()
 }
--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -1,26 +1,30 @@
-// Package orderqueue keeps the decision module's orders on their way to the relay, which takes them in calls: it
-// coalesces orders that wait, forms calls within the relay's limits, keeps the limit on messages to each proxy, and
-// settles what became of calls whose answer was lost. It decides nothing about tables or rates, opens no connection and
-// starts no goroutine. A Queue may be used by several goroutines; one of them makes the calls.
+// Package orderqueue holds the decision module's orders until the relay has accepted them. The relay accepts orders in
+// calls of limited size. The queue coalesces pending orders, forms calls, keeps the limit on messages to each proxy, and
+// resolves calls whose answer was lost. It makes no decision about tables or rates, opens no connection and starts no
+// goroutine.
+//
+// Several goroutines may use a Queue, but only one of them, the order client, takes and requeues calls, one at a time.
 //
 // A call goes through these states:
 //
-//		             Take               answer: all taken
-//		  queued ----------> in flight -------------------> acknowledged
-//		    ^  ^                | | |                            ^
-//		    |  |   NotTaken     | | |  Ambiguous                 | acknowledgment of
-//		    |  +----------------+ | +----------> ambiguous ------+ its sequence number
-//		    |                     |                  |
-//		    |     PartlyTaken     v                  | none came in time
-//		    +---- rejected from one order on         v
-//		    +------------------------------------ repeated
+//		           Take               answer: all accepted
+//		queued ------------> in flight -------------------> acknowledged
+//		 ^ ^ ^                | | |                              ^
+//		 | | |     Requeue    | | |  RequeueAmbiguous            | acknowledgment of
+//		 | | +----------------+ | +---------------> ambiguous ---+ its sequence number
+//		 | |                    |                       |
+//		 | |    RequeueFrom     | one order rejected    | none within the delay
+//		 | +--------------------+                       |
+//		 +----------------------------------------------+ repeated
 //
-//	  - queued: its orders wait in a pendingQueue, the later of two that set the same thing alone (pending.go);
-//	  - in flight: the relay has it, and the proxies that it reaches have a message more within the window (budget.go);
-//	  - ambiguous: its answer was lost, so it was carried out whole or not at all. Its orders wait again, before all newer
-//	    ones, and for a while everything waits for its acknowledgment (ambiguity.go, acknowledgments.go);
-//	  - acknowledged: the relay said so or a proxy did. Its orders are forgotten;
-//	  - repeated: no acknowledgment came, so its orders go out again, as what a repeat costs is little and what a loss costs
-//	    is a broken rule;
-//	  - rejected: the relay did not take one order. The rest goes out again with or without it, as its caller decides.
+//	  - queued: the orders are pending; of two that set the same value only the later one is kept (pending.go).
+//	  - in flight: the call was sent and counts as a message to each proxy that it reaches (budget.go).
+//	  - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
+//	    all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
+//	    acknowledgments.go).
+//	  - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
+//	  - repeated: no acknowledgment arrived within the delay. The orders are sent again: a repeat costs one message, while a
+//	    lost order could break a rule.
+//	  - rejected: the relay did not accept one order. The rest is queued again, with or without that order as the caller
+//	    decides.
 package orderqueue
--- a/internal/orderqueue/parts_test.go
+++ b/internal/orderqueue/parts_test.go
@@ -51,7 +51,7 @@
 	for i := range 100_000 {
 		q.addAll(pendingOf(assign.SetWeight{Table: i % 10, Endpoint: "a", Weight: float64(i)}))
 	}
-	if q.count() != 10 || len(q.orders) > 2*10+maxHoles+1 || q.coalesced != 100_000-10 {
+	if q.count() != 10 || len(q.orders) > 2*10+maxSuperseded+1 || q.coalesced != 100_000-10 {
 		t.Errorf("%d orders in %d places, %d coalesced", q.count(), len(q.orders), q.coalesced)
 	}
 }
@@ -79,30 +79,30 @@
 func TestRequestAgainKeepsTheOrder(t *testing.T) {
 	ledger := acknowledgmentLedger{requested: []int{5, 6}}
 	ledger.requestAgain([]int{4, 5}, true, true)
-	if !slices.Equal(ledger.requested, []int{4, 5, 6}) || !ledger.allProxies || ledger.shared {
+	if !slices.Equal(ledger.requested, []int{4, 5, 6}) || !ledger.allProxies || ledger.split {
 		t.Errorf("got %+v", ledger)
 	}
 }
 
 // Each ambiguous call of a row waits twice as long as the one before, up to a bound; after a quiet second it starts over.
 func TestAmbiguityWaitDoublesInARow(t *testing.T) {
-	wait, now := newAmbiguityWait(100*time.Millisecond), time.Now()
+	backoff, now := newAmbiguityBackoff(100*time.Millisecond), time.Now()
 	for _, want := range []time.Duration{100, 200, 400, 480, 480} {
-		wait.begin(now)
-		if got := wait.remaining(now); got != want*time.Millisecond {
+		backoff.start(now)
+		if got := backoff.remaining(now); got != want*time.Millisecond {
 			t.Errorf("waits %v, want %d ms", got, want)
 		}
-		now = wait.until
+		now = backoff.until
 	}
-	now = now.Add(ambiguityRow + time.Millisecond)
-	if wait.begin(now); wait.remaining(now) != 100*time.Millisecond {
-		t.Errorf("starts over with %v", wait.remaining(now))
+	now = now.Add(ambiguitySeriesGap + time.Millisecond)
+	if backoff.start(now); backoff.remaining(now) != 100*time.Millisecond {
+		t.Errorf("starts over with %v", backoff.remaining(now))
 	}
-	if wait.end(now); wait.remaining(now) != 0 {
-		t.Errorf("still waits %v", wait.remaining(now))
+	if backoff.stop(now); backoff.remaining(now) != 0 {
+		t.Errorf("still waits %v", backoff.remaining(now))
 	}
-	if short := newAmbiguityWait(0); short.first != minAmbiguityWait {
-		t.Errorf("without a stated transit it waits %v", short.first)
+	if short := newAmbiguityBackoff(0); short.initial != minAmbiguityDelay {
+		t.Errorf("without a stated transit it waits %v", short.initial)
 	}
 }
 
@@ -138,7 +138,7 @@
 	proxies.setTables(r, "1,", 3, 4)
 	proxies.setTables(r, "1,", 4)
 	users := func(table int) (n int) {
-		proxies.forEachReached(assign.ClearTable{Table: table}, func(*recipient) { n++ })
+		proxies.forEachRecipient(assign.ClearTable{Table: table}, func(*recipient) { n++ })
 		return n
 	}
 	if users(3) != 1 || users(4) != 1 || users(assign.AllProxies) != 1 || users(5) != 0 {
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -9,11 +9,11 @@
 	"madderhollow/assign"
 )
 
-// noCall stands for the sequence number of a call where there was none.
-const noCall = -1
+// noSequence stands for the sequence number of a call where there was none.
+const noSequence = -1
 
-// maxHoles is how many superseded orders a queue keeps beside twice as many as wait, before it is compacted.
-const maxHoles = 256
+// maxSuperseded is how many superseded orders a queue keeps beside twice as many as wait, before it is compacted.
+const maxSuperseded = 256
 
 // orderSeparator stands between the orders of a call, escaped.
 const orderSeparator = "%3B"
@@ -67,7 +67,7 @@
 	order          assign.Order
 	text           string
 	size           int       // bytes that it takes in a call
-	attemptedIn    int       // sequence number of an ambiguous call that may have carried it out, or noCall
+	attemptedBy    int       // sequence number of an ambiguous call that may have carried it out, or noSequence
 	since          time.Time // when it was ordered
 	generation     int       // of the proxy that it attaches a table to, when it was ordered
 	previousTables []int     // that this proxy may use if the order is not carried out; set when it goes out
@@ -75,7 +75,7 @@
 
 func newPendingOrder(order assign.Order, text string) *pendingOrder {
 	size := len(url.QueryEscape(text)) + len(orderSeparator)
-	return &pendingOrder{order: order, text: text, size: size, attemptedIn: noCall, since: time.Now()}
+	return &pendingOrder{order: order, text: text, size: size, attemptedBy: noSequence, since: time.Now()}
 }
 
 // attachment gives the order as AttachTable, if it is one.
@@ -143,7 +143,7 @@
 
 // compact drops superseded orders once they are most.
 func (q *pendingQueue) compact() {
-	if len(q.orders) <= 2*len(q.positions)+maxHoles {
+	if len(q.orders) <= 2*len(q.positions)+maxSuperseded {
 		return
 	}
 	q.orders = slices.DeleteFunc(q.orders, func(p *pendingOrder) bool { return p == nil })
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -14,10 +14,10 @@
 const (
 	// maxCallSize is the protocol's limit on the orders of one call, in bytes as they are sent.
 	maxCallSize = 60000
-	// requestSize is kept free of that for the acknowledgment request at a call's end.
-	requestSize = len("fence%2C65535%2C1")
-	// budgetRecheck is how often orders that the message budget holds back are looked at again.
-	budgetRecheck = 50 * time.Millisecond
+	// acknowledgmentRequestSize is kept free of that for the acknowledgment request at a call's end.
+	acknowledgmentRequestSize = len("fence%2C65535%2C1")
+	// budgetRecheckInterval is how often orders that the message budget holds back are looked at again.
+	budgetRecheckInterval = 50 * time.Millisecond
 )
 
 // Encoder writes orders as the relay takes them.
@@ -34,22 +34,22 @@
 	mu              sync.Mutex // guards all below
 	pending         pendingQueue
 	acknowledgments acknowledgmentLedger
-	ambiguity       ambiguityWait
+	ambiguity       ambiguityBackoff
 	budget          messageBudget
 	directory       directory
 	calls           int // that ever went out: each has its number
 	repeated        int // of them, those given back
-	longestWait     time.Duration
+	maxOrderWait    time.Duration
 }
 
 // Stats are for operators.
 type Stats struct {
-	Proxies     int           // connected
-	Calls       int           // made
-	Repeated    int           // calls given back, whole or in part
-	Coalesced   int           // orders that a later one made needless
-	Waiting     int           // orders that wait
-	LongestWait time.Duration // of any order before it first went out
+	Proxies      int           // connected
+	Calls        int           // made
+	Repeated     int           // calls given back, whole or in part
+	Coalesced    int           // orders that a later one made needless
+	Waiting      int           // orders that wait
+	MaxOrderWait time.Duration // of any order before it first went out
 }
 
 // New returns an empty queue for a channel.
@@ -59,7 +59,7 @@
 		log:       log,
 		wake:      make(chan struct{}, 1),
 		pending:   newPendingQueue(),
-		ambiguity: newAmbiguityWait(seconds(channel.MeanTransit)),
+		ambiguity: newAmbiguityBackoff(seconds(channel.MeanTransit)),
 		budget:    messageBudget{limit: int(channel.MessageLimit), window: seconds(channel.MessageWindow) + windowMargin},
 		directory: newDirectory(),
 	}
@@ -72,7 +72,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return Stats{Proxies: len(q.directory.connected), Calls: q.calls, Repeated: q.repeated, Coalesced: q.pending.coalesced,
-		Waiting: q.pending.count(), LongestWait: q.longestWait}
+		Waiting: q.pending.count(), MaxOrderWait: q.maxOrderWait}
 }
 
 // Observe takes note of events that are about to be handed to the module, and returns them as the module is to be told.
@@ -105,15 +105,15 @@
 		})
 	}
 	if len(acknowledged) > 0 {
-		q.forgetCarriedOut(acknowledged)
+		q.dropApplied(acknowledged)
 	}
 	return observed
 }
 
-// forgetCarriedOut drops the orders of ambiguous calls that were acknowledged.
-func (q *Queue) forgetCarriedOut(acknowledged map[int]bool) {
-	if q.pending.removeIf(func(p *pendingOrder) bool { return acknowledged[p.attemptedIn] }) {
-		q.ambiguity.end(time.Now())
+// dropApplied drops the orders of ambiguous calls that were acknowledged.
+func (q *Queue) dropApplied(acknowledged map[int]bool) {
+	if q.pending.removeIf(func(p *pendingOrder) bool { return acknowledged[p.attemptedBy] }) {
+		q.ambiguity.stop(time.Now())
 		q.notify()
 	}
 }
@@ -189,7 +189,7 @@
 	q.budget.expire(now)
 	chosen, rest := q.choose()
 	if len(rest) > 0 && len(chosen) == 0 {
-		return Call{}, false, budgetRecheck
+		return Call{}, false, budgetRecheckInterval
 	}
 	call = q.newCall(chosen, len(rest) == 0)
 	q.pending.reset()
@@ -208,9 +208,9 @@
 	for _, p := range q.pending.orders {
 		switch {
 		case p == nil:
-		case tooLong || q.heldBack(p.order):
+		case tooLong || q.exceedsBudget(p.order):
 			rest = append(rest, p)
-		case size+p.size > maxCallSize-requestSize:
+		case size+p.size > maxCallSize-acknowledgmentRequestSize:
 			tooLong = true
 			rest = append(rest, p)
 		default:
@@ -221,13 +221,13 @@
 	return chosen, rest
 }
 
-// heldBack tells whether an order reaches a proxy whose message budget is spent. Orders for other proxies go on: tables
+// exceedsBudget tells whether an order reaches a proxy whose message budget is spent. Orders for other proxies go on: tables
 // are told apart by who uses them.
-func (q *Queue) heldBack(order assign.Order) (held bool) {
+func (q *Queue) exceedsBudget(order assign.Order) (held bool) {
 	if q.budget.limit == 0 {
 		return false
 	}
-	q.directory.forEachReached(order, func(r *recipient) { held = held || q.budget.exhausted(r) })
+	q.directory.forEachRecipient(order, func(r *recipient) { held = held || q.budget.exhausted(r) })
 	return held
 }
 
@@ -238,9 +238,9 @@
 		orders:     chosen,
 		sequences:  slices.Clone(ledger.requested),
 		allProxies: ledger.allProxies && complete,
-		shared:     ledger.shared || !complete,
+		split:      ledger.split || !complete,
 	}
-	ledger.shared = !complete
+	ledger.split = !complete
 	if complete {
 		ledger.requested = nil
 		ledger.allProxies = false
@@ -255,9 +255,9 @@
 	sent := sentCall{number: call.number, at: now}
 	for _, p := range call.orders {
 		call.Orders = append(call.Orders, p.text)
-		q.longestWait = max(q.longestWait, now.Sub(p.since))
+		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.since))
 		q.directory.attach(p, now)
-		q.directory.forEachReached(p.order, sent.count)
+		q.directory.forEachRecipient(p.order, sent.count)
 	}
 	if n := len(call.sequences); n > 0 {
 		q.appendRequest(call, call.sequences[n-1])
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -54,7 +54,7 @@
 		assign.AcknowledgmentRequest{Sequence: 7}})
 	call := mustTake(t, q)
 	q.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 7}})
-	q.Ambiguous(call)
+	q.RequeueAmbiguous(call)
 	q.Submit([]assign.Order{assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8}})
 	if call := mustTake(t, q); !reflect.DeepEqual(call.Orders, []string{"wipe,2", "fence,8,0"}) {
 		t.Errorf("got %v", call.Orders)
@@ -74,7 +74,7 @@
 		t.Fatalf("got %v", call.Orders)
 	}
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
-	queue.Ambiguous(call)
+	queue.RequeueAmbiguous(call)
 	queue.stopWaiting()
 	queue.directory.connected[2].messages = 0
 	if call := mustTake(t, queue); !reflect.DeepEqual(call.Orders, []string{"attach,2,2,*", "fence,2,0"}) {
@@ -103,9 +103,9 @@
 			break
 		}
 		if random.Intn(2) == 0 {
-			queue.Ambiguous(inFlight[0])
+			queue.RequeueAmbiguous(inFlight[0])
 		} else {
-			queue.NotTaken(inFlight[0])
+			queue.Requeue(inFlight[0])
 		}
 		queue.stopWaiting()
 		return nil
@@ -143,13 +143,13 @@
 // An attachment that was not carried out, or may not have been, leaves its proxy on the table it had: orders for that
 // still count as messages to it.
 func TestAttachmentNotCarriedOut(t *testing.T) {
-	for name, giveBack := range map[string]func(*Queue, Call){
-		"ambiguous": (*Queue).Ambiguous,
-		"not taken": (*Queue).NotTaken,
-		"given up":  func(q *Queue, call Call) { q.PartlyTaken(call, 1) },
+	for name, requeue := range map[string]func(*Queue, Call){
+		"ambiguous": (*Queue).RequeueAmbiguous,
+		"not taken": (*Queue).Requeue,
+		"given up":  func(q *Queue, call Call) { q.RequeueFrom(call, 1) },
 		"not taken so far": func(q *Queue, call Call) {
 			call.orders = append([]*pendingOrder{{order: assign.ClearTable{Table: 9}}}, call.orders...)
-			q.PartlyTaken(call, 1)
+			q.RequeueFrom(call, 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -163,7 +163,7 @@
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 1})
 			reached := queue.directory.connected[1]
 			reached.messages = 0
-			giveBack(queue, submitAndTake(assign.AttachTable{Proxy: 1, Table: 2}))
+			requeue(queue, submitAndTake(assign.AttachTable{Proxy: 1, Table: 2}))
 			queue.stopWaiting()
 			reached.messages = 0
 			queue.dropAll()
@@ -210,12 +210,12 @@
 	if connected, ok := observed[1].(assign.ProxyConnected); !ok || connected.Fresh {
 		t.Error("in flight: the new stream may have got the attachment")
 	}
-	queue.Ambiguous(call)
+	queue.RequeueAmbiguous(call)
 	if call = take(); !reflect.DeepEqual(call.Orders, withoutAttachment) {
 		t.Errorf("in flight: got %v", call.Orders)
 	}
 	// The acknowledgment of an ambiguous call: it was carried out and is not repeated.
-	queue.Ambiguous(call)
+	queue.RequeueAmbiguous(call)
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1}})
 	queue.Submit([]assign.Order{assign.ClearTable{Table: 2}})
 	if call = take(); !reflect.DeepEqual(call.Orders, []string{"wipe,2", "fence,1,0"}) {
@@ -238,7 +238,7 @@
 			t.Fatalf("%d bytes, %v, %v", len(wire.Call(call.Orders)), call.Orders[len(call.Orders)-1], err)
 		}
 		if part == 1 {
-			queue.Ambiguous(call)
+			queue.RequeueAmbiguous(call)
 			queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 1, Sequence: 7}})
 			if call, err = queue.Take(t.Context()); err != nil {
 				t.Fatal(err)
@@ -265,6 +265,6 @@
 		if !ok {
 			t.Fatalf("orders are held back for %v", recheck)
 		}
-		q.NotTaken(call)
+		q.Requeue(call)
 	}
 }
--- a/internal/orderqueue/recipients.go
+++ b/internal/orderqueue/recipients.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// unsettle takes back that an attachment was carried out: which table the proxy uses is not known until the next one was.
-func (d *directory) unsettle(p *pendingOrder) {
+// markUncertain takes back that an attachment was carried out: which table the proxy uses is not known until the next one was.
+func (d *directory) markUncertain(p *pendingOrder) {
 	attach, ok := p.attachment()
 	r := d.connected[attach.Proxy]
 	if !ok || r == nil || d.outdated(p) {
@@ -129,8 +129,8 @@
 	return ok && p.generation != d.generation[attach.Proxy]
 }
 
-// forEachReached calls f with the proxies that an order reaches.
-func (d *directory) forEachReached(order assign.Order, visit func(*recipient)) {
+// forEachRecipient calls f with the proxies that an order reaches.
+func (d *directory) forEachRecipient(order assign.Order, visit func(*recipient)) {
 	switch o := order.(type) {
 	case assign.AttachTable:
 		if r := d.connected[o.Proxy]; r != nil {
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -81,9 +81,9 @@
 func (c *OrderClient) failed(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
-		c.queue.Ambiguous(call)
+		c.queue.RequeueAmbiguous(call)
 	} else {
-		c.queue.NotTaken(call)
+		c.queue.Requeue(call)
 	}
 	c.log.Warn().Err(err).Bool("sent", sent).Int("orders", len(call.Orders)).Msg("relay: call ambiguous, repeated")
 	if !sent { // else the queue waits for its acknowledgment
@@ -98,7 +98,7 @@
 		c.notUnderstood(ctx, call)
 	case answer.Code != "":
 		c.log.Info().Str("code", answer.Code).Msg("relay: call put off")
-		c.queue.NotTaken(call)
+		c.queue.Requeue(call)
 		backoff.Sleep(ctx, deferredDelay)
 	case answer.Taken < len(call.Orders):
 		c.orderRejected(call, answer.Taken)
@@ -124,7 +124,7 @@
 		c.settled()
 		return
 	}
-	c.queue.NotTaken(call)
+	c.queue.Requeue(call)
 	backoff.Sleep(ctx, deferredDelay)
 }
 
@@ -137,9 +137,9 @@
 	c.log.Warn().Str("order", order).Bool("dropped", again).Msg("relay: order not taken")
 	if again {
 		c.rejected = ""
-		c.queue.PartlyTaken(call, position+1)
+		c.queue.RequeueFrom(call, position+1)
 		return
 	}
 	c.rejected = order
-	c.queue.PartlyTaken(call, position)
+	c.queue.RequeueFrom(call, position)
 }
