--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -6,44 +6,44 @@
 	"madderhollow/assign"
 )
 
-// maxSequences is how many sequence numbers are remembered of each sort. Acknowledgments come within a second or two, at
-// most some dozen calls later.
+// maxSequences is how many sequence numbers of each sort are kept. Acknowledgments arrive within a second or two, at most
+// some dozen calls later.
 const maxSequences = 256
 
-// newest gives the last maxSequences of a list.
+// newest returns the last maxSequences elements of a list.
 func newest[T any](list []T) []T { return list[max(0, len(list)-maxSequences):] }
 
-// acknowledgmentLedger keeps which acknowledgments are asked for and which came. The module asks for one of each batch;
-// batches that go out as one call have the last one's asked for, which stands for all of them.
+// acknowledgmentLedger records which acknowledgments are requested and which have arrived. The module requests one for
+// each batch. Batches that are sent in one call request only the last one's, which then stands for all of them.
 type acknowledgmentLedger struct {
-	requested  []int // that the orders which wait are to ask for
-	allProxies bool  // one of them asks all proxies
-	split      bool  // the last of them has gone out already, with other orders of its batch
-	merged     []mergedRequests
+	requested  []int // sequence numbers of the pending batches, oldest first
+	allProxies bool  // one of them requests acknowledgments from all proxies
+	split      bool  // the last of them was already sent in a call with the first part of its batch
+	merged     []mergedBatches
 	received   []int
 }
 
-// mergedRequests are batches that went out in one call which asked for the last one's acknowledgment.
-type mergedRequests struct {
+// mergedBatches are batches that one call acknowledges with the last one's sequence number.
+type mergedBatches struct {
 	last    int
 	earlier []int
 }
 
-// request adds what a batch asks for.
+// request records the acknowledgment request of a new batch.
 func (l *acknowledgmentLedger) request(r assign.AcknowledgmentRequest) {
 	l.requested = newest(append(l.requested, r.Sequence))
 	l.allProxies = l.allProxies || r.AllProxies
 	l.split = false
 }
 
-// sent takes note that a call asks for the last of some sequence numbers on behalf of all.
-func (l *acknowledgmentLedger) sent(sequences []int) {
+// recordCall records that a call requests the last of these sequence numbers for all of them.
+func (l *acknowledgmentLedger) recordCall(sequences []int) {
 	if n := len(sequences); n > 1 {
-		l.merged = newest(append(l.merged, mergedRequests{sequences[n-1], sequences[:n-1]}))
+		l.merged = newest(append(l.merged, mergedBatches{last: sequences[n-1], earlier: sequences[:n-1]}))
 	}
 }
 
-// receive takes note of an acknowledgment and returns it, behind those of the batches it stands for.
+// receive records an acknowledgment and returns it, after the acknowledgments of the batches merged with it.
 func (l *acknowledgmentLedger) receive(acknowledgment assign.Acknowledged) (all []assign.Event) {
 	for _, merged := range slices.Backward(l.merged) {
 		if merged.last != acknowledgment.Sequence {
@@ -60,7 +60,7 @@
 	return append(all, acknowledgment)
 }
 
-// requestAgain puts sequence numbers of a call that is given back before those that came meanwhile.
+// requestAgain puts the sequence numbers of a requeued call before those requested since, each once.
 func (l *acknowledgmentLedger) requestAgain(sequences []int, allProxies, split bool) {
 	l.split = len(l.requested) == 0 && split
 	all := slices.Clone(sequences)
--- a/internal/orderqueue/ambiguity.go
+++ b/internal/orderqueue/ambiguity.go
@@ -3,40 +3,39 @@
 import "time"
 
 const (
-	// maxAmbiguityDelay is the longest that an ambiguous call waits for its acknowledgment: the rules wait half a second
-	// for a call that broke.
+	// maxAmbiguityDelay is below the half second that the decision rules allow for a broken call.
 	maxAmbiguityDelay = 480 * time.Millisecond
-	// minAmbiguityDelay is the shortest, for deployments that state less or nothing.
+	// minAmbiguityDelay applies where the configured transit time is shorter or missing.
 	minAmbiguityDelay = 50 * time.Millisecond
-	// ambiguitySeriesGap is how soon after a wait another ambiguous call counts as the next of a row.
+	// ambiguitySeriesGap is the longest time between the end of one delay and the next ambiguous call of the same series.
 	ambiguitySeriesGap = time.Second
 )
 
-// ambiguityBackoff holds everything up for a while after an ambiguous call. The first of a row waits as long as a message
-// takes on average, each further one twice as long as the one before.
+// ambiguityBackoff delays all calls after an ambiguous one, so that its acknowledgment can arrive. The first delay of a
+// series is the mean transit time of a message; each further one is twice the one before.
 type ambiguityBackoff struct {
 	initial time.Duration
-	delay   time.Duration
-	until   time.Time
+	delay   time.Duration // the latest one
+	until   time.Time     // its end
 }
 
-// newAmbiguityBackoff takes the mean transit time of a message.
+// newAmbiguityBackoff returns a backoff for the mean transit time of a message.
 func newAmbiguityBackoff(meanTransit time.Duration) ambiguityBackoff {
 	return ambiguityBackoff{initial: max(minAmbiguityDelay, min(maxAmbiguityDelay, meanTransit))}
 }
 
-// start starts to wait.
-func (w *ambiguityBackoff) start(now time.Time) {
-	w.delay *= 2
-	if now.Sub(w.until) > ambiguitySeriesGap {
-		w.delay = w.initial
+// start begins the delay after an ambiguous call.
+func (b *ambiguityBackoff) start(now time.Time) {
+	b.delay *= 2
+	if now.Sub(b.until) > ambiguitySeriesGap {
+		b.delay = b.initial
 	}
-	w.delay = min(w.delay, maxAmbiguityDelay)
-	w.until = now.Add(w.delay)
+	b.delay = min(b.delay, maxAmbiguityDelay)
+	b.until = now.Add(b.delay)
 }
 
-// stop stops waiting: the acknowledgment came.
-func (w *ambiguityBackoff) stop(now time.Time) { w.until = now }
+// stop ends the delay early, after the acknowledgment has arrived.
+func (b *ambiguityBackoff) stop(now time.Time) { b.until = now }
 
-// remaining is how long there is to wait.
-func (w *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, w.until.Sub(now)) }
+// remaining returns the rest of the delay, 0 after its end.
+func (b *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, b.until.Sub(now)) }
--- a/internal/orderqueue/budget.go
+++ b/internal/orderqueue/budget.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// windowMargin is added to the window over which messages to a proxy are counted: they are counted elsewhere, when they
-// have arrived.
+// windowMargin extends the window over which messages are counted: the limit is enforced where they arrive, some time
+// after they were sent.
 const windowMargin = 300 * time.Millisecond
 
-// messageBudget keeps the limit on messages to each proxy. The module counts the batches that it orders; calls that are
-// made again could bring a proxy more.
+// messageBudget limits the messages to each proxy within a sliding window. The decision module counts the batches that it
+// orders, but not the calls that are repeated.
 type messageBudget struct {
 	limit  int // messages to one proxy within the window; 0: no limit
 	window time.Duration
-	recent []sentCall // within the window, the oldest first
+	recent []sentCall // within the window, oldest first
 }
 
-// sentCall is a call that went out, and the proxies that it may have reached.
+// sentCall is a call that was sent, with the proxies that it may have reached.
 type sentCall struct {
 	number     int
 	at         time.Time
 	recipients []*recipient
 }
 
-// expire takes calls that are out of the window out of the counts.
+// expire removes calls that have left the window from the counts.
 func (b *messageBudget) expire(now time.Time) {
 	expired := 0
 	for ; expired < len(b.recent) && now.Sub(b.recent[expired].at) > b.window; expired++ {
@@ -33,17 +33,17 @@
 	b.recent = slices.Delete(b.recent, 0, expired)
 }
 
-// exhausted tells whether a proxy has got as many messages as it may.
+// exhausted reports whether no further message may be sent to a proxy.
 func (b *messageBudget) exhausted(r *recipient) bool { return r.messages >= b.limit }
 
-// spend keeps a call whose recipients have been counted.
+// spend records a call whose recipients have been counted.
 func (b *messageBudget) spend(call sentCall) {
 	if b.limit > 0 && len(call.recipients) > 0 {
 		b.recent = append(b.recent, call)
 	}
 }
 
-// refund takes a call that reached nobody out of the counts.
+// refund removes a call that reached no proxy from the counts.
 func (b *messageBudget) refund(number int) {
 	b.recent = slices.DeleteFunc(b.recent, func(call sentCall) bool {
 		if call.number == number {
@@ -63,6 +63,7 @@
 	c.recipients = append(c.recipients, r)
 }
 
+// uncount removes the call from its recipients' messages.
 func (c *sentCall) uncount() {
 	for _, r := range c.recipients {
 		r.messages--
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// Call is what goes to the relay at once.
+// Call is a group of orders that is sent to the relay at once.
 type Call struct {
-	Orders []string // as the relay takes them; the acknowledgment request, if any, is the last
+	Orders []string // encoded; the acknowledgment request, if any, is the last
 
-	orders     []*pendingOrder
-	sequences  []int // the batches that it settles; it asks for the last one's acknowledgment
-	allProxies bool  // it asks all proxies for that
-	split      bool  // another call asks for the same: an acknowledgment says nothing of this one
+	orders     []*pendingOrder // without the acknowledgment request
+	sequences  []int           // of the batches that the call completes; it requests the last one's acknowledgment
+	allProxies bool            // the acknowledgment is requested from all proxies
+	split      bool            // another call with orders of the same batch requests the same acknowledgment
 	number     int
 }
 
-// provingSequence is what the call asks the acknowledgment of, if that proves that the call was carried out.
-func (c *Call) provingSequence() (sequence int, proves bool) {
+// provingSequence returns the sequence number whose acknowledgment proves that the call was applied. An acknowledgment that
+// another call requests too proves nothing.
+func (c *Call) provingSequence() (sequence int, ok bool) {
 	if c.split || len(c.sequences) == 0 {
 		return noSequence, false
 	}
 	return c.sequences[len(c.sequences)-1], true
 }
 
-// Requeue gives back a call of which nothing was carried out.
+// Requeue returns a call to the queue of which nothing was applied.
 func (q *Queue) Requeue(call Call) { q.RequeueFrom(call, 0) }
 
-// RequeueFrom gives back what stands in a call from the order at a position on, which the caller wants to go out again.
-// The one before that may be what the relay did not take.
-func (q *Queue) RequeueFrom(call Call, from int) {
+// RequeueFrom returns a call's orders from a position on to the queue, before all newer ones. The orders before it are
+// considered done; the last of these may have been rejected.
+func (q *Queue) RequeueFrom(call Call, position int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if from == 0 { // nobody got it: while the relay is away no message counts
+	if position == 0 { // no proxy received it, so calls to an unreachable relay use up no message
 		q.budget.refund(call.number)
 	}
-	q.requeue(call, from, noSequence)
+	q.requeue(call, position, noSequence)
 }
 
-// RequeueAmbiguous gives back a call that was carried out whole or not at all. The acknowledgment that it asks for tells; it may
-// have come already.
+// RequeueAmbiguous returns a call to the queue that was applied completely or not at all, and delays all calls so that its
+// acknowledgment can arrive. If that has arrived already, nothing is repeated and nothing delayed.
 func (q *Queue) RequeueAmbiguous(call Call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	sequence, proves := call.provingSequence()
-	if proves && slices.Contains(q.acknowledgments.received, sequence) {
+	sequence, ok := call.provingSequence()
+	if ok && slices.Contains(q.acknowledgments.received, sequence) {
 		q.requeue(Call{split: call.split}, 0, noSequence)
 		return
 	}
@@ -52,27 +53,27 @@
 	q.ambiguity.start(time.Now())
 }
 
-// requeue puts a call's orders from a position on before what came meanwhile. AttemptedIn is the sequence number whose
-// acknowledgment proves that they were carried out, or noSequence.
-func (q *Queue) requeue(call Call, from, attemptedBy int) {
+// requeue puts a call's orders from a position on before those submitted since. AttemptedBy is the sequence number whose
+// acknowledgment proves that they were applied, or noSequence.
+func (q *Queue) requeue(call Call, position, attemptedBy int) {
 	q.repeated++
-	if from > len(call.orders) { // it was the acknowledgment request that was not taken
+	if position > len(call.orders) { // the acknowledgment request itself was rejected
 		call.sequences = nil
 		call.allProxies = false
 	}
-	firstNotApplied := min(max(from-1, 0), len(call.orders))
+	firstNotApplied := min(max(position-1, 0), len(call.orders)) // the order before the position may have been rejected
 	for _, p := range call.orders[firstNotApplied:] {
 		q.directory.markUncertain(p)
 	}
-	later := q.pending.reset()
-	for _, p := range call.orders[min(from, len(call.orders)):] {
+	newer := q.pending.reset()
+	for _, p := range call.orders[min(position, len(call.orders)):] {
 		if q.directory.outdated(p) {
 			continue
 		}
 		p.attemptedBy = attemptedBy
 		q.pending.add(p)
 	}
-	q.pending.addAll(later)
+	q.pending.addAll(newer)
 	q.acknowledgments.requestAgain(call.sequences, call.allProxies, call.split)
 	q.notify()
 }
--- a/internal/orderqueue/parts_test.go
+++ b/internal/orderqueue/parts_test.go
@@ -59,15 +59,15 @@
 // An acknowledgment stands for all batches that went out in its call, for the newest call with its number.
 func TestAcknowledgmentStandsForMergedBatches(t *testing.T) {
 	ledger := acknowledgmentLedger{}
-	ledger.sent([]int{1, 2, 7})
-	ledger.sent([]int{3, 7})
+	ledger.recordCall([]int{1, 2, 7})
+	ledger.recordCall([]int{3, 7})
 	got := ledger.receive(assign.Acknowledged{Proxy: 5, Sequence: 7, Latency: 1})
 	want := []assign.Event{assign.Acknowledged{Proxy: 5, Sequence: 3, Latency: 1}, assign.Acknowledged{Proxy: 5, Sequence: 7, Latency: 1}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got %v", got)
 	}
 	for i := range 2 * maxSequences {
-		ledger.sent([]int{i, i + 1})
+		ledger.recordCall([]int{i, i + 1})
 		ledger.receive(assign.Acknowledged{Sequence: i})
 	}
 	if len(ledger.merged) != maxSequences || len(ledger.received) != maxSequences {
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -9,16 +9,17 @@
 	"madderhollow/assign"
 )
 
-// noSequence stands for the sequence number of a call where there was none.
+// noSequence is in place of a call's sequence number where there is none.
 const noSequence = -1
 
-// maxSuperseded is how many superseded orders a queue keeps beside twice as many as wait, before it is compacted.
+// maxSuperseded bounds the superseded orders that a queue keeps, beyond twice the number of pending ones, before it is
+// compacted.
 const maxSuperseded = 256
 
-// orderSeparator stands between the orders of a call, escaped.
+// orderSeparator separates the orders of a call, in the escaped form that is sent.
 const orderSeparator = "%3B"
 
-// orderKind tells order types apart in an orderKey.
+// orderKind is the type of order in an orderKey.
 type orderKind int
 
 const (
@@ -30,13 +31,14 @@
 	ejectKind
 )
 
-// orderKey names what an order sets: a later order with the same key makes the earlier one needless.
+// orderKey identifies the value that an order sets. A later order with the same key supersedes an earlier one.
 type orderKey struct {
 	kind   orderKind
 	target int    // table or proxy
 	name   string // endpoint or request classes
 }
 
+// keyOf returns an order's key.
 func keyOf(order assign.Order) orderKey {
 	switch o := order.(type) {
 	case assign.SetWeight:
@@ -53,7 +55,7 @@
 	return orderKey{}
 }
 
-// classesKey joins the positions of request classes.
+// classesKey returns a map key for a set of request classes, given by position.
 func classesKey(classes []int) string {
 	key := []byte{}
 	for _, class := range classes {
@@ -62,43 +64,43 @@
 	return string(key)
 }
 
-// pendingOrder is one encoded order that waits.
+// pendingOrder is an encoded order that the relay has not accepted yet.
 type pendingOrder struct {
 	order          assign.Order
 	text           string
-	size           int       // bytes that it takes in a call
-	attemptedBy    int       // sequence number of an ambiguous call that may have carried it out, or noSequence
-	since          time.Time // when it was ordered
-	generation     int       // of the proxy that it attaches a table to, when it was ordered
-	previousTables []int     // that this proxy may use if the order is not carried out; set when it goes out
+	size           int // bytes in a call, escaped and with its separator
+	attemptedBy    int // sequence number of the ambiguous call that may have applied it, or noSequence
+	submittedAt    time.Time
+	generation     int   // directory.generation of the proxy that it attaches a table to, when it was submitted
+	previousTables []int // tables that this proxy may keep using if the order is not applied; set when it is sent
 }
 
 func newPendingOrder(order assign.Order, text string) *pendingOrder {
 	size := len(url.QueryEscape(text)) + len(orderSeparator)
-	return &pendingOrder{order: order, text: text, size: size, attemptedBy: noSequence, since: time.Now()}
+	return &pendingOrder{order: order, text: text, size: size, attemptedBy: noSequence, submittedAt: time.Now()}
 }
 
-// attachment gives the order as AttachTable, if it is one.
+// attachment returns the order as an AttachTable, if it is one.
 func (p *pendingOrder) attachment() (assign.AttachTable, bool) {
 	attach, ok := p.order.(assign.AttachTable)
 	return attach, ok
 }
 
-// pendingQueue holds orders that wait, in their order. It coalesces: it never holds more than one order for each entry,
-// rate limit, table and attachment, however long the relay is away, and what has waited long goes out as one message to
-// each proxy and not as all the messages of that time at once.
+// pendingQueue holds orders in the sequence in which they are to be sent. It keeps at most one order for each key, so its
+// size is bounded while the relay is unreachable, and the orders of that time are later sent as one message to each proxy
+// instead of one for each batch.
 type pendingQueue struct {
-	orders    []*pendingOrder // superseded ones are nil
-	positions map[orderKey]int
-	coalesced int // orders that a later one made needless
+	orders    []*pendingOrder  // superseded and removed ones are nil
+	positions map[orderKey]int // index in orders
+	coalesced int              // orders that a later one superseded
 }
 
 func newPendingQueue() pendingQueue { return pendingQueue{positions: map[orderKey]int{}} }
 
-// count is how many orders wait.
+// count returns the number of pending orders.
 func (q *pendingQueue) count() int { return len(q.positions) }
 
-// reset empties the queue and returns what waited.
+// reset empties the queue and returns its orders, some of which are nil.
 func (q *pendingQueue) reset() []*pendingOrder {
 	orders := q.orders
 	q.orders = nil
@@ -106,7 +108,7 @@
 	return orders
 }
 
-// addAll adds orders that are not nil.
+// addAll adds the orders that are not nil.
 func (q *pendingQueue) addAll(orders []*pendingOrder) {
 	for _, p := range orders {
 		if p != nil {
@@ -115,7 +117,7 @@
 	}
 }
 
-// add puts an order behind those that wait and takes out what it makes needless.
+// add appends an order and removes those that it supersedes.
 func (q *pendingQueue) add(added *pendingOrder) {
 	if clearing, ok := added.order.(assign.ClearTable); ok {
 		q.removeIf(func(other *pendingOrder) bool { return setsPartOf(other.order, clearing.Table) })
@@ -130,7 +132,7 @@
 	q.orders = append(q.orders, added)
 }
 
-// setsPartOf tells whether an order sets an entry or rate limit of a table.
+// setsPartOf reports whether an order sets an entry or a rate limit of a table.
 func setsPartOf(order assign.Order, table int) bool {
 	switch o := order.(type) {
 	case assign.SetWeight:
@@ -141,7 +143,7 @@
 	return false
 }
 
-// compact drops superseded orders once they are most.
+// compact frees the places of superseded orders once there are too many.
 func (q *pendingQueue) compact() {
 	if len(q.orders) <= 2*len(q.positions)+maxSuperseded {
 		return
@@ -152,7 +154,7 @@
 	}
 }
 
-// removeIf takes out orders and tells whether there were any.
+// removeIf removes the orders that match and reports whether there were any.
 func (q *pendingQueue) removeIf(match func(*pendingOrder) bool) (removed bool) {
 	for i, p := range q.orders {
 		if p == nil || !match(p) {
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -1,8 +1,6 @@
 package orderqueue
 
 import (
-	"context"
-	"slices"
 	"sync"
 	"time"
 
@@ -11,52 +9,44 @@
 	"madderhollow/assign"
 )
 
-const (
-	// maxCallSize is the protocol's limit on the orders of one call, in bytes as they are sent.
-	maxCallSize = 60000
-	// acknowledgmentRequestSize is kept free of that for the acknowledgment request at a call's end.
-	acknowledgmentRequestSize = len("fence%2C65535%2C1")
-	// budgetRecheckInterval is how often orders that the message budget holds back are looked at again.
-	budgetRecheckInterval = 50 * time.Millisecond
-)
-
-// Encoder writes orders as the relay takes them.
+// Encoder encodes orders for the relay. It must not block, and any goroutine may call it; wire.Codec implements it.
 type Encoder interface {
+	// Order returns an order's encoded form, or an error if the order has none.
 	Order(order assign.Order) (string, error)
 }
 
-// Queue holds orders between the module and the relay.
+// Queue holds orders that the relay has not accepted yet. Use New. Any goroutine may use it.
 type Queue struct {
 	encoder Encoder
 	log     zerolog.Logger
-	wake    chan struct{} // there may be something to take
+	wake    chan struct{} // holds an element if pending orders may have become available to Take
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	pending         pendingQueue
 	acknowledgments acknowledgmentLedger
 	ambiguity       ambiguityBackoff
 	budget          messageBudget
 	directory       directory
-	calls           int // that ever went out: each has its number
-	repeated        int // of them, those given back
+	calls           int // returned so far; also the last one's number
+	repeated        int // of them, requeued ones
 	maxOrderWait    time.Duration
 }
 
-// Stats are for operators.
+// Stats are counters since the start and gauges, for operators.
 type Stats struct {
-	Proxies      int           // connected
-	Calls        int           // made
-	Repeated     int           // calls given back, whole or in part
-	Coalesced    int           // orders that a later one made needless
-	Waiting      int           // orders that wait
-	MaxOrderWait time.Duration // of any order before it first went out
+	Proxies      int           // gauge: connected proxies
+	Calls        int           // calls returned by Take and TryTake, repeated ones included
+	Repeated     int           // calls requeued, entirely or in part
+	Coalesced    int           // orders that a later one superseded
+	Waiting      int           // gauge: pending orders
+	MaxOrderWait time.Duration // longest time between an order's submission and a call with it
 }
 
-// New returns an empty queue for a channel.
+// New returns an empty queue. The channel's times are in seconds; a message limit of 0 means no limit.
 func New(channel assign.ChannelConfig, encoder Encoder, log zerolog.Logger) *Queue {
 	return &Queue{
 		encoder:   encoder,
-		log:       log,
+		log:       log.With().Str("component", "order_queue").Logger(),
 		wake:      make(chan struct{}, 1),
 		pending:   newPendingQueue(),
 		ambiguity: newAmbiguityBackoff(seconds(channel.MeanTransit)),
@@ -65,9 +55,10 @@
 	}
 }
 
+// seconds converts a time in seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -75,8 +66,9 @@
 		Waiting: q.pending.count(), MaxOrderWait: q.maxOrderWait}
 }
 
-// Observe takes note of events that are about to be handed to the module, and returns them as the module is to be told.
-// A proxy that disconnected or connected anew is no longer attached to what waits for it.
+// Observe records events before the decision module receives them, and returns the events for the module: with the
+// acknowledgments of merged batches, and with a reconnected proxy as not fresh if an attachment may have reached it. Pending
+// attachments of proxies that connected or disconnected are dropped. It does not block.
 func (q *Queue) Observe(events []assign.Event) []assign.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -110,7 +102,7 @@
 	return observed
 }
 
-// dropApplied drops the orders of ambiguous calls that were acknowledged.
+// dropApplied drops the orders of ambiguous calls whose acknowledgment arrived.
 func (q *Queue) dropApplied(acknowledged map[int]bool) {
 	if q.pending.removeIf(func(p *pendingOrder) bool { return acknowledged[p.attemptedBy] }) {
 		q.ambiguity.stop(time.Now())
@@ -118,7 +110,8 @@
 	}
 }
 
-// Submit takes the orders of one batch that go to proxies. One that cannot be written is logged and dropped.
+// Submit adds the orders of one batch, in the sequence in which they are to be applied. An order that cannot be encoded is
+// logged and dropped. It does not block.
 func (q *Queue) Submit(orders []assign.Order) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -129,7 +122,7 @@
 		}
 		text, err := q.encoder.Order(order)
 		if err != nil {
-			q.log.Error().Err(err).Msg("order dropped: it cannot be written")
+			q.log.Error().Err(err).Msg("order dropped; encoding failed")
 			continue
 		}
 		p := newPendingOrder(order, text)
@@ -141,141 +134,10 @@
 	q.notify()
 }
 
-// notify wakes whoever waits in Take.
+// notify wakes the caller that is blocked in Take.
 func (q *Queue) notify() {
 	select {
 	case q.wake <- struct{}{}:
-	default: // it is to wake already
-	}
-}
-
-// Take waits for orders and gives as many as one call holds. The only error is the context's.
-func (q *Queue) Take(ctx context.Context) (Call, error) {
-	for {
-		if ctx.Err() != nil { // with a relay out of reach there would always be orders to take
-			return Call{}, ctx.Err()
-		}
-		call, ok, recheck := q.take()
-		if ok {
-			return call, nil
-		}
-		var timeout <-chan time.Time
-		if recheck > 0 {
-			timeout = time.After(recheck)
-		}
-		select {
-		case <-q.wake:
-		case <-timeout:
-		case <-ctx.Done():
-			return Call{}, ctx.Err()
-		}
-	}
-}
-
-// TryTake is Take without waiting, for what is left at the end.
-func (q *Queue) TryTake() (Call, bool) {
-	call, ok, _ := q.take()
-	return call, ok
-}
-
-// take gives a call, or tells when to look again if orders wait for something.
-func (q *Queue) take() (call Call, ok bool, recheck time.Duration) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	now := time.Now()
-	if remaining := q.ambiguity.remaining(now); q.pending.count() > 0 && remaining > 0 {
-		return Call{}, false, remaining
-	}
-	q.budget.expire(now)
-	chosen, rest := q.choose()
-	if len(rest) > 0 && len(chosen) == 0 {
-		return Call{}, false, budgetRecheckInterval
-	}
-	call = q.newCall(chosen, len(rest) == 0)
-	q.pending.reset()
-	q.pending.addAll(rest)
-	if len(chosen) == 0 && !call.allProxies { // a request alone would be answered by nobody
-		return Call{}, false, 0
-	}
-	q.send(&call, now)
-	return call, true, 0
-}
-
-// choose splits the orders that wait into those for the next call and the rest. An order that reaches a proxy which has
-// got as many messages as it may stays, and so does all behind one that makes the call too long.
-func (q *Queue) choose() (chosen, rest []*pendingOrder) {
-	size, tooLong := 0, false
-	for _, p := range q.pending.orders {
-		switch {
-		case p == nil:
-		case tooLong || q.exceedsBudget(p.order):
-			rest = append(rest, p)
-		case size+p.size > maxCallSize-acknowledgmentRequestSize:
-			tooLong = true
-			rest = append(rest, p)
-		default:
-			size += p.size
-			chosen = append(chosen, p)
-		}
-	}
-	return chosen, rest
-}
-
-// exceedsBudget tells whether an order reaches a proxy whose message budget is spent. Orders for other proxies go on: tables
-// are told apart by who uses them.
-func (q *Queue) exceedsBudget(order assign.Order) (held bool) {
-	if q.budget.limit == 0 {
-		return false
-	}
-	q.directory.forEachRecipient(order, func(r *recipient) { held = held || q.budget.exhausted(r) })
-	return held
-}
-
-// newCall forms a call. Complete: nothing else waits, so it settles all acknowledgment requests.
-func (q *Queue) newCall(chosen []*pendingOrder, complete bool) Call {
-	ledger := &q.acknowledgments
-	call := Call{
-		orders:     chosen,
-		sequences:  slices.Clone(ledger.requested),
-		allProxies: ledger.allProxies && complete,
-		split:      ledger.split || !complete,
-	}
-	ledger.split = !complete
-	if complete {
-		ledger.requested = nil
-		ledger.allProxies = false
-	}
-	return call
-}
-
-// send numbers a call, writes it out, and keeps what its going out means for later.
-func (q *Queue) send(call *Call, now time.Time) {
-	q.calls++
-	call.number = q.calls
-	sent := sentCall{number: call.number, at: now}
-	for _, p := range call.orders {
-		call.Orders = append(call.Orders, p.text)
-		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.since))
-		q.directory.attach(p, now)
-		q.directory.forEachRecipient(p.order, sent.count)
-	}
-	if n := len(call.sequences); n > 0 {
-		q.appendRequest(call, call.sequences[n-1])
-		q.acknowledgments.sent(call.sequences)
-	}
-	if call.allProxies {
-		for _, r := range q.directory.connected {
-			sent.count(r)
-		}
-	}
-	q.budget.spend(sent)
-}
-
-func (q *Queue) appendRequest(call *Call, sequence int) {
-	text, err := q.encoder.Order(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
-	if err != nil {
-		q.log.Error().Err(err).Msg("acknowledgment request dropped: it cannot be written")
-		return
+	default: // already notified
 	}
-	call.Orders = append(call.Orders, text)
 }
--- a/internal/orderqueue/recipients.go
+++ b/internal/orderqueue/recipients.go
@@ -8,33 +8,39 @@
 	"madderhollow/assign"
 )
 
-// attachmentTransit is how long after an attachment went out a proxy that connects may have got it on its new stream: the
-// event of the old stream's end may have been on its way. Both ways take milliseconds.
+// attachmentTransit is the time after an attachment was sent during which it may reach the proxy's next stream, because the
+// event of the old stream's end was still in transit. Either direction takes milliseconds.
 const attachmentTransit = time.Second
 
-// recipient is what a connected proxy has got, or may have got.
+// recipient is the state of a connected proxy: the tables that it may use and the messages that it may have received.
 type recipient struct {
-	tables   map[string][]int // by request classes; several where nobody knows which of them it uses
+	tables   map[string][]int // by classesKey; several where it is uncertain which one the proxy uses
 	messages int              // calls within the budget's window that reach it
-	lastCall int              // the number of the last of them
+	lastCall int              // number of the last of them
 }
 
-// directory knows which proxies are connected and which tables they use. With hundreds of proxies nobody can look through
-// all of them at each order, so it also keeps the users of each table.
+// directory records which proxies are connected and which tables they use. It also indexes the users of each table, since
+// a search through hundreds of proxies for each order would be too slow.
 type directory struct {
-	connected  map[int]*recipient
-	users      map[int]map[*recipient]struct{} // by table
-	attachedAt map[int]time.Time               // when an attachment last went out, by proxy, since its stream opened
-	generation map[int]int                     // how often a proxy was told to have connected or disconnected
+	connected map[int]*recipient
+	users     map[int]map[*recipient]struct{} // by table
+	// attachedAt is when an attachment was last sent that may have reached the current stream, by proxy.
+	attachedAt map[int]time.Time
+	// generation is the number of connects and disconnects observed, by proxy.
+	generation map[int]int
 }
 
 func newDirectory() directory {
-	return directory{connected: map[int]*recipient{}, users: map[int]map[*recipient]struct{}{},
-		attachedAt: map[int]time.Time{}, generation: map[int]int{}}
+	return directory{
+		connected:  map[int]*recipient{},
+		users:      map[int]map[*recipient]struct{}{},
+		attachedAt: map[int]time.Time{},
+		generation: map[int]int{},
+	}
 }
 
-// connect takes note of a proxy's stream, and returns the event as the module is to be told: what went out may have
-// reached the new stream, so that nobody can say that it holds its default tables only.
+// connect records a proxy's new stream and returns the event for the decision module. The proxy does not count as fresh if
+// an attachment may have reached the stream.
 func (d *directory) connect(event assign.ProxyConnected) assign.ProxyConnected {
 	d.generation[event.Proxy]++
 	if d.connected[event.Proxy] == nil {
@@ -46,7 +52,7 @@
 	return event
 }
 
-// disconnect takes note of the end of a proxy's stream.
+// disconnect records the end of a proxy's stream.
 func (d *directory) disconnect(proxy int) {
 	d.generation[proxy]++
 	if r := d.connected[proxy]; r != nil {
@@ -61,25 +67,26 @@
 }
 
 // setTables sets the tables that a proxy may use for some request classes.
-func (d *directory) setTables(reached *recipient, classes string, tables ...int) {
-	before := reached.tables[classes]
-	reached.tables[classes] = tables
+func (d *directory) setTables(proxy *recipient, classes string, tables ...int) {
+	before := proxy.tables[classes]
+	proxy.tables[classes] = tables
 	if len(tables) == 0 {
-		delete(reached.tables, classes)
+		delete(proxy.tables, classes)
 	}
 	for _, table := range before {
-		if !reached.uses(table) {
-			d.removeUser(table, reached)
+		if !proxy.uses(table) {
+			d.removeUser(table, proxy)
 		}
 	}
 	for _, table := range tables {
 		if d.users[table] == nil {
 			d.users[table] = map[*recipient]struct{}{}
 		}
-		d.users[table][reached] = struct{}{}
+		d.users[table][proxy] = struct{}{}
 	}
 }
 
+// uses reports whether the proxy may use a table for any request class.
 func (r *recipient) uses(table int) bool {
 	for _, tables := range r.tables {
 		if slices.Contains(tables, table) {
@@ -89,6 +96,7 @@
 	return false
 }
 
+// removeUser removes a proxy from a table's users.
 func (d *directory) removeUser(table int, r *recipient) {
 	delete(d.users[table], r)
 	if len(d.users[table]) == 0 {
@@ -96,7 +104,7 @@
 	}
 }
 
-// attach takes note that an attachment goes out.
+// attach records that an order is sent, if it is an attachment.
 func (d *directory) attach(p *pendingOrder, now time.Time) {
 	attach, ok := p.attachment()
 	if !ok {
@@ -110,7 +118,8 @@
 	}
 }
 
-// markUncertain takes back that an attachment was carried out: which table the proxy uses is not known until the next one was.
+// markUncertain records that an attachment may not have been applied: until the next one, the proxy may use its new table
+// or the previous ones.
 func (d *directory) markUncertain(p *pendingOrder) {
 	attach, ok := p.attachment()
 	r := d.connected[attach.Proxy]
@@ -123,13 +132,13 @@
 	d.setTables(r, classes, slices.Compact(tables)...)
 }
 
-// outdated tells whether an order attaches a table to a stream that is no longer the one it was decided for.
+// outdated reports whether an order attaches a table to a stream that has ended since the order was submitted.
 func (d *directory) outdated(p *pendingOrder) bool {
 	attach, ok := p.attachment()
 	return ok && p.generation != d.generation[attach.Proxy]
 }
 
-// forEachRecipient calls f with the proxies that an order reaches.
+// forEachRecipient calls visit for each connected proxy that an order reaches.
 func (d *directory) forEachRecipient(order assign.Order, visit func(*recipient)) {
 	switch o := order.(type) {
 	case assign.AttachTable:
@@ -147,7 +156,7 @@
 	}
 }
 
-// forEachUser calls f with the users of a table, or of any.
+// forEachUser calls visit for each proxy that may use a table, or any table if that is assign.AllProxies.
 func (d *directory) forEachUser(table int, visit func(*recipient)) {
 	if table != assign.AllProxies {
 		for r := range d.users[table] {
--- /dev/null
+++ b/internal/orderqueue/take.go
@@ -0,0 +1,150 @@
+package orderqueue
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"time"
+
+	"madderhollow/assign"
+)
+
+const (
+	// maxCallSize is the protocol's limit on the orders of one call, in bytes as sent.
+	maxCallSize = 60000
+	// acknowledgmentRequestSize is the part of maxCallSize reserved for the acknowledgment request, in bytes as sent.
+	acknowledgmentRequestSize = 17
+	// budgetRecheckInterval is the time between two checks whether orders are within the message budget again.
+	budgetRecheckInterval = 50 * time.Millisecond
+)
+
+// Take blocks until orders can be sent and returns as many of them as fit one call. The only error is the context's.
+func (q *Queue) Take(ctx context.Context) (Call, error) {
+	for {
+		if err := ctx.Err(); err != nil { // checked first: with an unreachable relay there are always pending orders
+			return Call{}, fmt.Errorf("take call: %w", err)
+		}
+		call, ok, recheck := q.take()
+		if ok {
+			return call, nil
+		}
+		var timeout <-chan time.Time
+		if recheck > 0 {
+			timeout = time.After(recheck)
+		}
+		select {
+		case <-q.wake:
+		case <-timeout:
+		case <-ctx.Done():
+			return Call{}, fmt.Errorf("take call: %w", ctx.Err())
+		}
+	}
+}
+
+// TryTake is Take without blocking. It returns false if nothing can be sent now.
+func (q *Queue) TryTake() (Call, bool) {
+	call, ok, _ := q.take()
+	return call, ok
+}
+
+// take returns a call, or the time after which pending orders may be sent; 0 if there are none.
+func (q *Queue) take() (call Call, ok bool, recheck time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	now := time.Now()
+	if remaining := q.ambiguity.remaining(now); q.pending.count() > 0 && remaining > 0 {
+		return Call{}, false, remaining
+	}
+	q.budget.expire(now)
+	chosen, rest := q.choose()
+	if len(rest) > 0 && len(chosen) == 0 {
+		return Call{}, false, budgetRecheckInterval
+	}
+	call = q.newCall(chosen, len(rest) == 0)
+	q.pending.reset()
+	q.pending.addAll(rest)
+	if len(chosen) == 0 && !call.allProxies { // an acknowledgment request alone reaches no proxy
+		return Call{}, false, 0
+	}
+	q.finalize(&call, now)
+	return call, true, 0
+}
+
+// choose splits the pending orders into those for the next call and the rest. An order that exceeds a message budget stays
+// pending, and so do all orders after the first that does not fit into the call.
+func (q *Queue) choose() (chosen, rest []*pendingOrder) {
+	size, tooLong := 0, false
+	for _, p := range q.pending.orders {
+		switch {
+		case p == nil:
+		case tooLong || q.exceedsBudget(p.order):
+			rest = append(rest, p)
+		case size+p.size > maxCallSize-acknowledgmentRequestSize:
+			tooLong = true
+			rest = append(rest, p)
+		default:
+			size += p.size
+			chosen = append(chosen, p)
+		}
+	}
+	return chosen, rest
+}
+
+// exceedsBudget reports whether an order reaches a proxy whose message budget is exhausted.
+func (q *Queue) exceedsBudget(order assign.Order) (exceeded bool) {
+	if q.budget.limit == 0 {
+		return false
+	}
+	q.directory.forEachRecipient(order, func(r *recipient) { exceeded = exceeded || q.budget.exhausted(r) })
+	return exceeded
+}
+
+// newCall forms a call. Complete: no order stays pending, so that the call completes all requested batches.
+func (q *Queue) newCall(chosen []*pendingOrder, complete bool) Call {
+	ledger := &q.acknowledgments
+	call := Call{
+		orders:     chosen,
+		sequences:  slices.Clone(ledger.requested),
+		allProxies: ledger.allProxies && complete,
+		split:      ledger.split || !complete,
+	}
+	ledger.split = !complete
+	if complete {
+		ledger.requested = nil
+		ledger.allProxies = false
+	}
+	return call
+}
+
+// finalize numbers a call, adds its encoded orders, and records it as sent to the proxies that it reaches.
+func (q *Queue) finalize(call *Call, now time.Time) {
+	q.calls++
+	call.number = q.calls
+	sent := sentCall{number: call.number, at: now}
+	for _, p := range call.orders {
+		call.Orders = append(call.Orders, p.text)
+		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.submittedAt))
+		q.directory.attach(p, now)
+		q.directory.forEachRecipient(p.order, sent.count)
+	}
+	if n := len(call.sequences); n > 0 {
+		q.appendRequest(call, call.sequences[n-1])
+		q.acknowledgments.recordCall(call.sequences)
+	}
+	if call.allProxies {
+		for _, r := range q.directory.connected {
+			sent.count(r)
+		}
+	}
+	q.budget.spend(sent)
+}
+
+// appendRequest appends the acknowledgment request to a call.
+func (q *Queue) appendRequest(call *Call, sequence int) {
+	text, err := q.encoder.Order(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
+	if err != nil {
+		q.log.Error().Err(err).Msg("acknowledgment request dropped; encoding failed")
+		return
+	}
+	call.Orders = append(call.Orders, text)
+}
