--- a/internal/orderqueue/bench_test.go
+++ b/internal/orderqueue/bench_test.go
@@ -12,27 +12,27 @@
 	"madderhollow/internal/wire"
 )
 
-// newLargeQueue is a queue at which so many proxies are attached to tables of their own, and the orders of a batch that
-// sets an entry at each of them.
-func newLargeQueue(b *testing.B, proxies int) (*Queue, []assign.Order) {
+// newLargeQueue returns a queue at which each of so many proxies is attached to a table of its own, and a batch that sets an
+// entry in each table.
+func newLargeQueue(b *testing.B, proxies int) (queue *Queue, batch []assign.Order) {
 	b.Helper()
 	config := testconfig.New([]string{"a"}, proxies, "read", "sign")
 	config.Channel = assign.ChannelConfig{MessageLimit: 20, MessageWindow: 10, MeanTransit: 0.2}
-	queue := New(config.Channel, wire.NewCodec(config, time.Now()), zerolog.Nop())
+	queue = New(config.Channel, wire.NewCodec(config, time.Now()), zerolog.Nop())
 	var events []assign.Event
-	var attachments, weights []assign.Order
+	var attachments []assign.Order
 	for i := range proxies {
 		events = append(events, assign.ProxyConnected{Proxy: i, Zone: "a", TypicalRate: 1, Fresh: true})
 		attachments = append(attachments, assign.AttachTable{Proxy: i, Table: i})
-		weights = append(weights, assign.SetWeight{Table: i, Endpoint: fmt.Sprint("s-", i%200), Weight: 1})
+		batch = append(batch, assign.SetWeight{Table: i, Endpoint: fmt.Sprint("s-", i%200), Weight: 1})
 	}
 	queue.Observe(events)
 	queue.Submit(append(attachments, assign.AcknowledgmentRequest{Sequence: 1}))
 	queue.drain(b)
-	return queue, append(weights, assign.AcknowledgmentRequest{Sequence: 2})
+	return queue, append(batch, assign.AcknowledgmentRequest{Sequence: 2})
 }
 
-// drain takes all that waits and has every proxy's messages forgotten.
+// drain takes all calls and resets the message budget of each proxy.
 func (q *Queue) drain(b *testing.B) {
 	b.Helper()
 	for {
@@ -43,47 +43,49 @@
 	q.budget.expire(time.Now().Add(2 * q.budget.window))
 }
 
-func forFleetSizes(b *testing.B, f func(b *testing.B, proxies int)) {
-	b.Helper()
-	for _, proxies := range []int{480, 2400} {
-		b.Run(fmt.Sprint(proxies), func(b *testing.B) { f(b, proxies) })
-	}
-}
+// proxyCounts are the numbers of proxies that each benchmark runs with.
+func proxyCounts() []int { return []int{480, 2400} }
 
-// BenchmarkBatchForAll is a batch that moves an entry at every proxy, and its calls.
-func BenchmarkBatchForAll(b *testing.B) {
-	forFleetSizes(b, func(b *testing.B, proxies int) {
-		q, weights := newLargeQueue(b, proxies)
-		for b.Loop() {
-			q.Submit(weights)
-			q.drain(b)
-		}
-	})
+// BenchmarkBatchForAllProxies measures a batch that sets an entry at each proxy, and its calls.
+func BenchmarkBatchForAllProxies(b *testing.B) {
+	for _, proxies := range proxyCounts() {
+		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
+			queue, batch := newLargeQueue(b, proxies)
+			for b.Loop() {
+				queue.Submit(batch)
+				queue.drain(b)
+			}
+		})
+	}
 }
 
-// BenchmarkBatchForOne moves one entry while so many proxies are connected: what each look for a call costs at least.
-func BenchmarkBatchForOne(b *testing.B) {
-	forFleetSizes(b, func(b *testing.B, proxies int) {
-		q, weights := newLargeQueue(b, proxies)
-		for b.Loop() {
-			q.Submit([]assign.Order{weights[0], assign.AcknowledgmentRequest{Sequence: 2}})
-			q.drain(b)
-		}
-	})
+// BenchmarkBatchForOneProxy measures a batch that sets one entry: the least that each call costs with so many proxies.
+func BenchmarkBatchForOneProxy(b *testing.B) {
+	for _, proxies := range proxyCounts() {
+		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
+			queue, batch := newLargeQueue(b, proxies)
+			for b.Loop() {
+				queue.Submit([]assign.Order{batch[0], assign.AcknowledgmentRequest{Sequence: 2}})
+				queue.drain(b)
+			}
+		})
+	}
 }
 
-// BenchmarkTakeWhileAllWait is a look for a call while a batch for all proxies waits, since they got as many messages as
-// they may.
-func BenchmarkTakeWhileAllWait(b *testing.B) {
-	forFleetSizes(b, func(b *testing.B, proxies int) {
-		q, weights := newLargeQueue(b, proxies)
-		q.budget.limit = 1
-		for _, r := range q.directory.connected {
-			r.messages = 1
-		}
-		q.Submit(weights)
-		for b.Loop() {
-			q.take()
-		}
-	})
+// BenchmarkTakeWithExhaustedBudgets measures the check for a call while a batch for all proxies is pending and each proxy
+// has exhausted its message budget.
+func BenchmarkTakeWithExhaustedBudgets(b *testing.B) {
+	for _, proxies := range proxyCounts() {
+		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
+			queue, batch := newLargeQueue(b, proxies)
+			queue.budget.limit = 1
+			for _, r := range queue.directory.connected {
+				r.messages = 1
+			}
+			queue.Submit(batch)
+			for b.Loop() {
+				queue.take()
+			}
+		})
+	}
 }
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -3,86 +3,52 @@
 import (
 	"fmt"
 	"math/rand"
+	"net/url"
 	"reflect"
 	"testing"
-	"time"
-
-	"github.com/rs/zerolog"
 
 	"madderhollow/assign"
 	"madderhollow/internal/quickcheck"
-	"madderhollow/internal/testconfig"
 	"madderhollow/internal/wire"
 )
 
-// newTestQueue has a limit on messages that no proxy gets back within a test; 0: no limit.
-func newTestQueue(messageLimit int) *Queue {
-	config := testconfig.New([]string{"a"}, 8, "read")
-	config.Channel = assign.ChannelConfig{MessageLimit: float64(messageLimit), MessageWindow: 3600, MeanTransit: 0.05}
-	return New(config.Channel, wire.NewCodec(config, time.Now()), zerolog.Nop())
-}
-
-// connect tells the queue of proxies that connect.
-func (q *Queue) connect(proxies ...int) {
-	for _, proxy := range proxies {
-		q.Observe([]assign.Event{assign.ProxyConnected{Proxy: proxy, Zone: "a"}})
-	}
-}
-
-// dropAll takes out all orders that wait.
-func (q *Queue) dropAll() { q.pending.removeIf(func(*pendingOrder) bool { return true }) }
-
-// stopWaiting ends the wait for an ambiguous call's acknowledgment, as its time does.
-func (q *Queue) stopWaiting() { q.ambiguity.until = time.Time{} }
-
-// mustTake takes a call.
-func mustTake(t *testing.T, q *Queue) Call {
-	t.Helper()
-	call, ok, recheck := q.take()
-	if !ok {
-		t.Fatalf("nothing to call, to be looked for again in %v", recheck)
-	}
-	return call
-}
-
-// The acknowledgment of a call can come before the caller knows that its answer was lost: the call was carried out, and
-// neither repeats nor makes the others wait.
-func TestAcknowledgmentBeforeTheCallIsAmbiguous(t *testing.T) {
-	q := newTestQueue(0)
-	q.connect(3)
-	q.Submit([]assign.Order{assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}, assign.AttachTable{Proxy: 3, Table: 1},
-		assign.AcknowledgmentRequest{Sequence: 7}})
-	call := mustTake(t, q)
-	q.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 7}})
-	q.RequeueAmbiguous(call)
-	q.Submit([]assign.Order{assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8}})
-	if call := mustTake(t, q); !reflect.DeepEqual(call.Orders, []string{"wipe,2", "fence,8,0"}) {
-		t.Errorf("got %v", call.Orders)
-	}
+// The acknowledgment can arrive before the order client finds out that the answer was lost.
+func TestAmbiguousCallAcknowledgedBeforeIsNotRepeated(t *testing.T) {
+	queue := newTestQueue(0)
+	queue.connect(3)
+	queue.Submit([]assign.Order{
+		assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1},
+		assign.AttachTable{Proxy: 3, Table: 1},
+		assign.AcknowledgmentRequest{Sequence: 7},
+	})
+	call := mustTake(t, queue)
+	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 7}})
+	queue.RequeueAmbiguous(call)
+	queue.Submit([]assign.Order{assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8}})
+	expectCall(t, queue, mustTake(t, queue), assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8})
 }
 
-// An acknowledgment of one part of a split batch says nothing of the other.
-func TestSharedAcknowledgmentProvesNothing(t *testing.T) {
+func TestAcknowledgmentOfSplitBatchDoesNotProveCallApplied(t *testing.T) {
 	queue := newTestQueue(1)
 	queue.connect(1, 2)
 	queue.Submit([]assign.Order{assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
 	mustTake(t, queue)
-	queue.Submit([]assign.Order{assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}, assign.AttachTable{Proxy: 2, Table: 2},
-		assign.AcknowledgmentRequest{Sequence: 2}})
-	call := mustTake(t, queue) // proxy 1 has got as many messages as it may
-	if !reflect.DeepEqual(call.Orders, []string{"attach,2,2,*", "fence,2,0"}) {
-		t.Fatalf("got %v", call.Orders)
-	}
+	queue.Submit([]assign.Order{
+		assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1},
+		assign.AttachTable{Proxy: 2, Table: 2},
+		assign.AcknowledgmentRequest{Sequence: 2},
+	})
+	call := mustTake(t, queue) // proxy 1 has exhausted its message budget
+	want := []assign.Order{assign.AttachTable{Proxy: 2, Table: 2}, assign.AcknowledgmentRequest{Sequence: 2}}
+	expectCall(t, queue, call, want...)
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
 	queue.RequeueAmbiguous(call)
-	queue.stopWaiting()
+	queue.expireAmbiguity()
 	queue.directory.connected[2].messages = 0
-	if call := mustTake(t, queue); !reflect.DeepEqual(call.Orders, []string{"attach,2,2,*", "fence,2,0"}) {
-		t.Errorf("got %v", call.Orders)
-	}
+	expectCall(t, queue, mustTake(t, queue), want...)
 }
 
-// randomStep does one of the things that happen to a queue, with the call in flight, if any.
+// randomStep changes a queue in one of the ways that occur, and returns the call in flight afterwards, if any.
 func randomStep(queue *Queue, random *rand.Rand, sequence int, inFlight []Call) []Call {
 	proxy := random.Intn(4)
 	switch random.Intn(6) {
@@ -91,9 +57,11 @@
 	case 1:
 		queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: proxy}})
 	case 2, 3:
-		queue.Submit([]assign.Order{assign.AttachTable{Proxy: proxy, Table: proxy},
+		queue.Submit([]assign.Order{
+			assign.AttachTable{Proxy: proxy, Table: proxy},
 			assign.SetWeight{Table: random.Intn(4), Endpoint: "t", Weight: 1},
-			assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: random.Intn(4) == 0}})
+			assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: random.Intn(4) == 0},
+		})
 	case 4:
 		if call, ok, _ := queue.take(); ok {
 			return []Call{call}
@@ -107,15 +75,14 @@
 		} else {
 			queue.Requeue(inFlight[0])
 		}
-		queue.stopWaiting()
+		queue.expireAmbiguity()
 		return nil
 	}
 	return inFlight
 }
 
-// Whatever is submitted, taken, given back and observed, a proxy's count is that of the calls within the window that
-// reach it.
-func TestMessageCounts(t *testing.T) {
+// A proxy's message count is the number of calls within the window that reach it, and never above the limit.
+func TestMessageCountsMatchCallsWithinWindow(t *testing.T) {
 	const limit = 6
 	property := func(seed int64) bool {
 		random, q := rand.New(rand.NewSource(seed)), newTestQueue(limit)
@@ -130,7 +97,7 @@
 			}
 			for id, r := range q.directory.connected {
 				if r.messages != want[r] || r.messages > limit {
-					t.Logf("seed %d: proxy %d has %d messages, %d calls within the window reach it", seed, id, r.messages, want[r])
+					t.Logf("seed %d, proxy %d: got %d messages; want %d, at most %d", seed, id, r.messages, want[r], limit)
 					return false
 				}
 			}
@@ -140,14 +107,14 @@
 	quickcheck.Seeds(t, 300, property)
 }
 
-// An attachment that was not carried out, or may not have been, leaves its proxy on the table it had: orders for that
-// still count as messages to it.
-func TestAttachmentNotCarriedOut(t *testing.T) {
+// An attachment that was not applied, or may not have been, leaves its proxy on the previous table: orders for that table
+// still count as messages to the proxy.
+func TestUnappliedAttachmentKeepsUserOfPreviousTable(t *testing.T) {
 	for name, requeue := range map[string]func(*Queue, Call){
-		"ambiguous": (*Queue).RequeueAmbiguous,
-		"not taken": (*Queue).Requeue,
-		"given up":  func(q *Queue, call Call) { q.RequeueFrom(call, 1) },
-		"not taken so far": func(q *Queue, call Call) {
+		"ambiguous":         (*Queue).RequeueAmbiguous,
+		"not sent":          (*Queue).Requeue,
+		"rejected, dropped": func(q *Queue, call Call) { q.RequeueFrom(call, 1) },
+		"rejected, repeated": func(q *Queue, call Call) {
 			call.orders = append([]*pendingOrder{{order: assign.ClearTable{Table: 9}}}, call.orders...)
 			q.RequeueFrom(call, 1)
 		},
@@ -161,36 +128,36 @@
 				return call
 			}
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 1})
-			reached := queue.directory.connected[1]
-			reached.messages = 0
+			proxy := queue.directory.connected[1]
+			proxy.messages = 0
 			requeue(queue, submitAndTake(assign.AttachTable{Proxy: 1, Table: 2}))
-			queue.stopWaiting()
-			reached.messages = 0
-			queue.dropAll()
+			queue.expireAmbiguity()
+			proxy.messages = 0
+			queue.dropPending()
 			for i := range 4 {
-				table := 1 + i%2 // it may use either
+				table := 1 + i%2 // the proxy may use either
 				call := submitAndTake(assign.SetWeight{Table: table, Endpoint: "t", Weight: float64(i + 1)})
-				if held := i >= 2; held != (len(call.Orders) == 0) {
-					t.Errorf("order %d for table %d, of two messages: call %v", i, table, call.Orders)
+				if got, want := len(call.Orders) > 0, i < 2; got != want {
+					t.Errorf("order %d, for table %d, with a limit of two messages: got sent %t, want %t", i, table, got, want)
 				}
-				queue.dropAll()
+				queue.dropPending()
 			}
-			reached.messages = 0
+			proxy.messages = 0
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 2})
-			reached.messages = 2
+			proxy.messages = 2
 			if call := submitAndTake(assign.SetWeight{Table: 1, Endpoint: "t", Weight: 9}); len(call.Orders) == 0 {
-				t.Error("it uses table 2 alone, and orders for table 1 are held")
+				t.Error("order for table 1, which no proxy uses any more: got sent false, want true")
 			}
 		})
 	}
 }
 
-// An attachment that waits or fails while its proxy connects anew is not made up for: the module orders another.
-func TestOutdatedAttachmentsAreForgotten(t *testing.T) {
+// The module orders another attachment for the proxy's new stream.
+func TestAttachmentForEndedStreamIsDropped(t *testing.T) {
 	queue := newTestQueue(0)
-	orders := []assign.Order{assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}, assign.AttachTable{Proxy: 3, Table: 1},
-		assign.AcknowledgmentRequest{Sequence: 1}}
-	withoutAttachment := []string{"put,1,t,1", "fence,1,0"}
+	weight := assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}
+	request := assign.AcknowledgmentRequest{Sequence: 1}
+	batch := []assign.Order{weight, assign.AttachTable{Proxy: 3, Table: 1}, request}
 	take := func() Call {
 		t.Helper()
 		call, err := queue.Take(t.Context())
@@ -199,43 +166,49 @@
 		}
 		return call
 	}
-	queue.Submit(orders)
+	// The stream ends while the attachment is pending.
+	queue.Submit(batch)
 	queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}})
-	if call := take(); !reflect.DeepEqual(call.Orders, withoutAttachment) {
-		t.Errorf("waiting: got %v, want %v", call.Orders, withoutAttachment)
-	}
-	queue.Submit(orders)
+	expectCall(t, queue, take(), weight, request)
+	// The stream ends while the attachment is in flight.
+	queue.Submit(batch)
 	call := take()
 	observed := queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, Fresh: true}})
 	if connected, ok := observed[1].(assign.ProxyConnected); !ok || connected.Fresh {
-		t.Error("in flight: the new stream may have got the attachment")
+		t.Errorf("got %+v, want a connected proxy that is not fresh: it may have received the attachment", observed[1])
 	}
 	queue.RequeueAmbiguous(call)
-	if call = take(); !reflect.DeepEqual(call.Orders, withoutAttachment) {
-		t.Errorf("in flight: got %v", call.Orders)
-	}
-	// The acknowledgment of an ambiguous call: it was carried out and is not repeated.
+	call = take()
+	expectCall(t, queue, call, weight, request)
+	// The ambiguous call is acknowledged.
 	queue.RequeueAmbiguous(call)
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1}})
 	queue.Submit([]assign.Order{assign.ClearTable{Table: 2}})
-	if call = take(); !reflect.DeepEqual(call.Orders, []string{"wipe,2", "fence,1,0"}) {
-		t.Errorf("ambiguous: got %v", call.Orders)
-	}
+	expectCall(t, queue, take(), assign.ClearTable{Table: 2}, request)
 }
 
-// What fits no call is split between orders; an acknowledgment of the first part says nothing of the second.
-func TestLongBatchesAreSplit(t *testing.T) {
+// An acknowledgment of the first part of a split batch proves nothing about the second.
+func TestBatchAboveMaxCallSizeIsSplit(t *testing.T) {
 	queue := newTestQueue(0)
 	var orders []assign.Order
 	for i := range 4000 {
 		orders = append(orders, assign.SetWeight{Table: i % 50, Endpoint: fmt.Sprint("endpoint-", i), Weight: 1})
 	}
-	queue.Submit(append(orders, assign.AcknowledgmentRequest{Sequence: 7}))
+	request := assign.AcknowledgmentRequest{Sequence: 7}
+	queue.Submit(append(orders, request))
+	requestText, err := queue.encoder.Order(request)
+	if err != nil {
+		t.Fatal(err)
+	}
 	var got []string
 	for part := 0; len(got) < len(orders); part++ {
 		call, err := queue.Take(t.Context())
-		if err != nil || len(wire.Call(call.Orders)) > 60100 || call.Orders[len(call.Orders)-1] != "fence,7,0" {
-			t.Fatalf("%d bytes, %v, %v", len(wire.Call(call.Orders)), call.Orders[len(call.Orders)-1], err)
+		if err != nil {
+			t.Fatal(err)
+		}
+		size, last := len(wire.Call(call.Orders)), call.Orders[len(call.Orders)-1]
+		if size > 60100 || last != requestText {
+			t.Fatalf("got %d bytes, last order %s; want at most 60100, last order %s", size, last, requestText)
 		}
 		if part == 1 {
 			queue.RequeueAmbiguous(call)
@@ -247,24 +220,44 @@
 		got = append(got, call.Orders[:len(call.Orders)-1]...)
 	}
 	for i, order := range orders {
-		text, err := queue.encoder.Order(order)
-		if err != nil || i >= len(got) || got[i] != text {
-			t.Fatalf("order %d of %d is not %s (%v)", i, len(got), text, err)
+		want, err := queue.encoder.Order(order)
+		if err != nil || i >= len(got) || got[i] != want {
+			t.Fatalf("order %d: got %q, want %q (%v)", i, got[min(i, len(got)-1)], want, err)
 		}
 	}
 }
 
-// Calls that never went out count for nothing: when the relay is back, what waits goes out at once.
-func TestCallsThatNeverWentOutAreNotCounted(t *testing.T) {
+func TestLongestAcknowledgmentRequestFitsReservedSize(t *testing.T) {
+	text, err := newTestQueue(0).encoder.Order(assign.AcknowledgmentRequest{Sequence: 65535, AllProxies: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := len(url.QueryEscape(text)); got != acknowledgmentRequestSize {
+		t.Errorf("got %d bytes, want %d", got, acknowledgmentRequestSize)
+	}
+}
+
+// When the relay is reachable again, pending orders must be sent at once.
+func TestUnsentCallsDoNotUseMessageBudget(t *testing.T) {
 	const limit = 4
 	q := newTestQueue(limit)
 	q.connect(3)
 	q.Submit([]assign.Order{assign.AttachTable{Proxy: 3, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
 	for range 2 * limit {
-		call, ok, recheck := q.take()
-		if !ok {
-			t.Fatalf("orders are held back for %v", recheck)
-		}
-		q.Requeue(call)
+		q.Requeue(mustTake(t, q))
+	}
+}
+
+// Stats count a call that is repeated and an order that is superseded while it is pending.
+func TestStatsCountRepeatedAndCoalesced(t *testing.T) {
+	q := newTestQueue(0)
+	q.connect(1)
+	q.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
+	q.Requeue(mustTake(t, q))
+	q.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a"}, assign.EjectEndpoint{Endpoint: "b"}})
+	got := q.Stats()
+	got.MaxOrderWait = 0 // it depends on the clock
+	if want := (Stats{Proxies: 1, Calls: 1, Repeated: 1, Coalesced: 1, Waiting: 2}); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
