--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -97,8 +97,9 @@
 	a.events = eventqueue.New()
 	a.orders = orderqueue.New(cfg.Settings.Channel, a.codec, log)
 	a.watcher = discovery.New(a.discoveryAt, known, a.codec, a.events.Post, cfg.MemoryMB, a.random.Int63(), log)
-	a.client = relay.NewOrderClient(a.relayAt, a.orders, a.random.Int63(), log)
-	a.reader = relay.NewEventReader(a.relayAt, a.codec, a.events.Post, a.random.Int63(), log)
+	a.client = relay.NewOrderClient(relay.OrderClientConfig{Address: a.relayAt, Queue: a.orders, Seed: a.random.Int63(), Log: log})
+	a.reader = relay.NewEventReader(relay.EventReaderConfig{Address: a.relayAt, Codec: a.codec, Sink: a.events.Post,
+		Seed: a.random.Int63(), Log: log})
 	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
 	if cfg.MessagesPeers() {
 		var err error
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -11,80 +11,98 @@
 
 	"github.com/rs/zerolog"
 
+	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/handover"
 	"madderhollow/internal/httpconn"
 	"madderhollow/internal/wire"
 )
 
 const (
-	// answerTimeout: the answer arrives within 50 ms or never; a busy machine gets as much again and more.
+	// answerTimeout is four times the 50 ms within which the relay answers, if it does at all.
 	answerTimeout = 200 * time.Millisecond
-	// maxIdle: the relay closes a connection that was idle for 10 s or less. A close that has arrived is seen before a call
-	// goes out, one that is under way is not and makes the call ambiguous.
+	// maxIdle is below the 10 s after which the relay may close an idle connection. A close that has arrived is detected
+	// before a call is sent; one that is in transit would make the call ambiguous.
 	maxIdle = 2 * time.Second
-	// moveRetryDelay is the delay between attempts to reach a new address while the old connection serves.
+	// moveRetryDelay is the delay between attempts to connect to a new address while the old connection is in use.
 	moveRetryDelay = 250 * time.Millisecond
-	// maxAnswerSize bounds an answer, in bytes; the relay's have a hundred.
+	// maxAnswerSize bounds an answer, in bytes. The relay's answers have about a hundred.
 	maxAnswerSize = 64 << 10
 )
 
-// ErrTooManyTaken is an answer that tells of more orders than the call had.
-var ErrTooManyTaken = errors.New("the relay took more orders than there were")
+// ErrTooManyAccepted is an answer that reports more accepted orders than the call has.
+var ErrTooManyAccepted = errors.New("more orders accepted than sent")
 
-// callConn is the connection for calls. It is in one of three states: closed (conn is nil), open to the current address,
-// or open to an address that was left, which serves until a connection to the new one is open.
+// callConn is the connection for calls. It has three states: closed (conn is nil), connected to the current address, and
+// connected to a previous address, which is used until a connection to the current one is open. One goroutine may use it.
 type callConn struct {
 	address     *handover.Address
-	log         zerolog.Logger
 	conn        *httpconn.Conn
 	lastUsed    time.Time
-	moveRetryAt time.Time // a new address that did not answer is not tried before
+	moveRetryAt time.Time               // no attempt to connect to a new address before
+	moveFailing *conditionlog.Condition // the current address cannot be connected to while the old connection is in use
 }
 
-// ensure opens a connection where there is none that can be used.
+// newCallConn returns a closed connection.
+func newCallConn(address *handover.Address, log zerolog.Logger) callConn {
+	return callConn{address: address, moveFailing: conditionlog.New(conditionlog.Config{
+		Log:       log,
+		Failing:   "connect to new relay address failed; keeping old connection",
+		Recovered: "calls use current relay address",
+	})}
+}
+
+// ensure opens a connection unless there is one that can be used.
 func (c *callConn) ensure(ctx context.Context) error {
 	address, _ := c.address.Current()
 	if c.conn != nil && c.stale() {
 		c.close()
 	}
-	if c.conn != nil && (c.conn.Address == address || time.Now().Before(c.moveRetryAt)) {
+	if c.conn != nil && c.conn.Address == address {
+		c.moveFailing.Recover()
+		return nil
+	}
+	if c.conn != nil && time.Now().Before(c.moveRetryAt) {
 		return nil
 	}
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil && c.conn != nil {
 		c.moveRetryAt = time.Now().Add(moveRetryDelay)
-		c.log.Warn().Err(err).Msg("relay: calls go to the old address still")
+		c.moveFailing.Fail(err, func(line *zerolog.Event) {
+			line.Str("address", address).Str("old_address", c.conn.Address)
+		})
 		return nil
 	}
 	if err != nil {
-		return err
+		return fmt.Errorf("call: %w", err)
 	}
 	c.close()
 	c.conn = conn
 	c.lastUsed = time.Now()
+	c.moveFailing.Recover()
 	return nil
 }
 
-// stale tells whether a call over the open connection would, or may soon, be ambiguous.
+// stale reports whether a call over the open connection might be ambiguous.
 func (c *callConn) stale() bool {
 	return time.Since(c.lastUsed) > maxIdle || c.conn.HasUnread() || c.conn.PeerClosed()
 }
 
-// close gives the connection back, if there is one.
-func (c *callConn) close() { c.end((*httpconn.Conn).Close) }
+// close closes the connection, if one is open.
+func (c *callConn) close() { c.closeBy((*httpconn.Conn).Close) }
 
-// reset is close such that what is under way does not arrive later than a repeat.
-func (c *callConn) reset() { c.end((*httpconn.Conn).Reset) }
+// reset closes the connection, if one is open, such that a call under way cannot arrive after its repeat.
+func (c *callConn) reset() { c.closeBy((*httpconn.Conn).Reset) }
 
-func (c *callConn) end(how func(*httpconn.Conn) error) {
+func (c *callConn) closeBy(closeConn func(*httpconn.Conn) error) {
 	if c.conn == nil {
 		return
 	}
-	_ = how(c.conn) // whatever a close fails with, the connection is gone
+	_ = closeConn(c.conn) // the connection is not used again, whether or not closing it succeeded
 	c.conn = nil
 }
 
-// call makes one call. Sent: all its bytes went out, so that it is ambiguous after an error.
+// call makes one call and blocks until it is answered, fails or times out. Sent reports whether it was written completely,
+// so that it is ambiguous after an error.
 func (c *callConn) call(ctx context.Context, orders []string) (answer wire.Answer, sent bool, err error) {
 	if err := c.ensure(ctx); err != nil {
 		return answer, false, err
@@ -97,7 +115,7 @@
 	request.ContentLength = int64(len(body))
 	response, sent, err := c.conn.Do(request, answerTimeout)
 	if err != nil {
-		return answer, sent, err
+		return answer, sent, fmt.Errorf("call: %w", err)
 	}
 	answer, err = readAnswer(response, len(orders))
 	if err != nil {
@@ -110,17 +128,17 @@
 	return answer, true, nil
 }
 
-// readAnswer reads and checks the answer to a call of so many orders.
+// readAnswer reads, decodes and checks the answer to a call with this number of orders.
 func readAnswer(response *http.Response, orders int) (answer wire.Answer, err error) {
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize))
 	if err := errors.Join(err, response.Body.Close()); err != nil {
-		return answer, fmt.Errorf("answer: %w", err)
+		return answer, fmt.Errorf("read answer: %w", err)
 	}
 	if answer, err = wire.ReadAnswer(text); err != nil {
-		return answer, err
+		return answer, fmt.Errorf("decode answer: %w", err)
 	}
 	if answer.Taken > orders {
-		return answer, ErrTooManyTaken
+		return answer, fmt.Errorf("answer: %w: %d of %d", ErrTooManyAccepted, answer.Taken, orders)
 	}
 	return answer, nil
 }
--- /dev/null
+++ b/internal/relay/eventstream.go
@@ -0,0 +1,86 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"madderhollow/assign"
+	"madderhollow/internal/httpconn"
+	"madderhollow/internal/wire"
+)
+
+const (
+	// heartbeatTimeout is the longest time between two items. The relay sends a heartbeat each second; one may be late.
+	heartbeatTimeout = 2200 * time.Millisecond
+	// headTimeout bounds the request for the stream and the head of its response.
+	headTimeout = time.Second
+)
+
+// ErrStatus is a response to the request for the event stream that is not 200 OK.
+var ErrStatus = errors.New("unexpected status")
+
+// streamItem is one event of a stream, or a heartbeat. The goroutine that reads the stream owns it, except while yield in
+// readStream blocks; then the receiver does.
+type streamItem struct {
+	stream    *streamState
+	event     assign.Event // nil for a heartbeat
+	decodeErr error        // the event could not be decoded
+	err       error        // set by the receiver to end the stream
+}
+
+// isHeartbeat reports whether the item is a heartbeat.
+func (i *streamItem) isHeartbeat() bool { return i.event == nil && i.decodeErr == nil }
+
+// readStream opens a stream at an address and yields its items until it fails, yield returns false or the context ends. It
+// returns the reason and has closed the connection then.
+func (r *EventReader) readStream(ctx context.Context, address string, yield func(*streamItem) bool) error {
+	conn, err := httpconn.Dial(ctx, address, dialTimeout)
+	if err != nil {
+		return fmt.Errorf("open event stream: %w", err)
+	}
+	defer func() { _ = conn.Close() }() // nothing that was written can be lost
+	defer conn.CloseWith(ctx)()
+	request := conn.NewRequest(http.MethodGet, "/stream")
+	request.Header.Set("Accept", "text/event-stream")
+	response, _, err := conn.Do(request, headTimeout)
+	if err != nil {
+		return fmt.Errorf("open event stream: %w", err)
+	}
+	defer func() { _ = response.Body.Close() }() // the connection is closed with it
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("open event stream: %w: %s", ErrStatus, response.Status)
+	}
+	item := &streamItem{stream: &streamState{address: address}}
+	stream := wire.NewStream(response.Body)
+	for {
+		if err := conn.SetDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
+			return fmt.Errorf("read event stream: set deadline: %w", err)
+		}
+		if err := r.readItem(stream, item); err != nil {
+			return err
+		}
+		if !yield(item) {
+			return fmt.Errorf("read event stream: %w", ctx.Err())
+		}
+		if item.err != nil {
+			return item.err
+		}
+	}
+}
+
+// readItem reads and decodes the next item. An event that cannot be decoded is left to the receiver.
+func (r *EventReader) readItem(stream *wire.Stream, item *streamItem) error {
+	name, data, err := stream.Next()
+	if err != nil {
+		return fmt.Errorf("read event stream: %w", err)
+	}
+	item.event = nil
+	item.decodeErr = nil
+	if name != "" {
+		item.event, item.decodeErr = r.codec.Event(name, data)
+	}
+	return nil
+}
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -56,8 +56,8 @@
 		queue: orderqueue.New(testChannel(), testCodec(), zerolog.Nop())}
 	ctx, cancel := context.WithCancel(context.Background())
 	h.shutdown = cancel
-	client := NewOrderClient(h.address, h.queue, seed, zerolog.Nop())
-	reader := NewEventReader(h.address, testCodec(), h.receive, seed, zerolog.Nop())
+	client := NewOrderClient(OrderClientConfig{Address: h.address, Queue: h.queue, Seed: seed, Log: zerolog.Nop()})
+	reader := NewEventReader(EventReaderConfig{Address: h.address, Codec: testCodec(), Sink: h.receive, Seed: seed, Log: zerolog.Nop()})
 	for _, run := range []func(context.Context){client.Run, reader.Run} {
 		h.running.Add(1)
 		go func() { defer h.running.Done(); run(ctx) }()
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -13,133 +13,154 @@
 )
 
 const (
-	// shutdownTimeout is what is left for the call under way and one with what waits, once the program is told to end: it
-	// may be killed 0.7 s after that.
+	// shutdownTimeout bounds the call under way and one with the pending orders after the context has ended: the program may
+	// be killed 0.7 s after it was asked to end.
 	shutdownTimeout = 400 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the delays after calls that never went out: a drain's grace runs on while the
-	// relay is away, so its return must be met at once. Connections that do not come up cost it nothing.
+	// minRetryDelay and maxRetryDelay bound the delays after calls that were not sent. They are short, because the grace
+	// period of a drain runs on while the relay is down. A failed connect does not load the relay.
 	minRetryDelay = 5 * time.Millisecond
 	maxRetryDelay = 60 * time.Millisecond
-	// deferredDelay is the delay after a call that the relay puts off, or cannot read.
+	// deferredDelay is the delay after a call that the relay delays or cannot parse.
 	deferredDelay = 50 * time.Millisecond
-	// maxSyntaxErrors is how often a call that the relay cannot read is tried, lest a fault of ours block the rest.
+	// maxSyntaxErrors is how many times a call that the relay cannot parse is sent before it is dropped, so that it does not
+	// block all others.
 	maxSyntaxErrors = 3
-	// maxLoggedOrder is how much of an order goes into the log, in bytes.
+	// maxLoggedOrder bounds the part of an order in a log line, in bytes.
 	maxLoggedOrder = 200
 )
 
-// OrderClient takes calls from a queue and makes them, one after another.
+// OrderClientConfig configures an OrderClient. All fields are required.
+type OrderClientConfig struct {
+	Address *handover.Address // of the relay; whoever reloads the configuration moves it
+	Queue   *orderqueue.Queue // provides the calls; nothing else takes or requeues them
+	Seed    int64             // of the random part of the delays between attempts
+	Log     zerolog.Logger
+}
+
+// OrderClient makes a queue's calls, one at a time. Use NewOrderClient.
 type OrderClient struct {
 	queue        *orderqueue.Queue
 	conn         callConn
 	log          zerolog.Logger
+	conditions   callConditions
 	delays       *backoff.Backoff
-	rejected     string // the order that the last call ended at; empty: none
-	syntaxErrors int    // in a row
+	rejected     string // the order that the relay rejected in the last call; empty: none
+	syntaxErrors int    // consecutive ones
 }
 
-// NewOrderClient makes a client of the relay at an address. The seed is for its delays.
-func NewOrderClient(address *handover.Address, queue *orderqueue.Queue, seed int64, log zerolog.Logger) *OrderClient {
-	return &OrderClient{queue: queue, conn: callConn{address: address, log: log}, log: log,
-		delays: backoff.New(minRetryDelay, maxRetryDelay, seed)}
+// NewOrderClient returns a client that has not opened a connection yet.
+func NewOrderClient(config OrderClientConfig) *OrderClient {
+	log := componentLogger(config.Log)
+	return &OrderClient{
+		queue:      config.Queue,
+		conn:       newCallConn(config.Address, log),
+		log:        log,
+		conditions: newCallConditions(log),
+		delays:     backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+	}
 }
 
-// Run makes calls until the context ends. The call under way and what waits then still go out, within shutdownTimeout.
-func (c *OrderClient) Run(serving context.Context) {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(serving))
+// Run makes calls until the context ends. The call under way and one with the pending orders are still made then, within
+// shutdownTimeout. The caller provides the goroutine.
+func (c *OrderClient) Run(ctx context.Context) {
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ends shutdownTimeout after ctx
 	defer cancel()
-	stop := context.AfterFunc(serving, func() { time.AfterFunc(shutdownTimeout, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) })
 	defer stop()
 	defer c.conn.close()
 	for {
-		call, ok := c.next(ctx, serving)
+		call, ok := c.next(ctx, callCtx)
 		if !ok {
 			return
 		}
-		answer, sent, err := c.conn.call(ctx, call.Orders)
+		answer, sent, err := c.conn.call(callCtx, call.Orders)
 		if err != nil {
-			c.failed(ctx, call, sent, err)
+			c.handleFailure(callCtx, call, sent, err)
 			continue
 		}
-		c.answered(ctx, call, answer)
+		c.handleAnswer(callCtx, call, answer)
 	}
 }
 
-// next waits for a call, or gives what is left once serving ends.
-func (c *OrderClient) next(ctx, serving context.Context) (orderqueue.Call, bool) {
-	call, err := c.queue.Take(serving)
+// next blocks until there is a call. Once ctx has ended it returns what can be sent at once, until callCtx ends too.
+func (c *OrderClient) next(ctx, callCtx context.Context) (orderqueue.Call, bool) {
+	call, err := c.queue.Take(ctx)
 	if err == nil {
 		return call, true
 	}
 	call, ok := c.queue.TryTake()
-	return call, ok && ctx.Err() == nil
+	return call, ok && callCtx.Err() == nil
 }
 
-// failed gives back a call that got no answer. If it was sent it was carried out whole or not at all: a repeat costs its
-// lines and a message to each proxy, a loss would leave a drain unkept or a proxy without an endpoint. What has not
-// arrived must not arrive later than the repeat, so the connection is reset.
-func (c *OrderClient) failed(ctx context.Context, call orderqueue.Call, sent bool, err error) {
+// handleFailure requeues a call that got no answer. One that was sent is ambiguous and may be repeated: a repeat costs a
+// message to each proxy, while a loss could break a drain or leave a proxy without an endpoint.
+func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
-		c.queue.RequeueAmbiguous(call)
-	} else {
-		c.queue.Requeue(call)
-	}
-	c.log.Warn().Err(err).Bool("sent", sent).Int("orders", len(call.Orders)).Msg("relay: call ambiguous, repeated")
-	if !sent { // else the queue waits for its acknowledgment
-		c.delays.Wait(ctx)
+		c.conditions.unanswered.Fail(err, orderCount(call))
+		c.queue.RequeueAmbiguous(call) // which delays the next call, too
+		return
 	}
+	c.conditions.unsent.Fail(err, orderCount(call))
+	c.queue.Requeue(call)
+	c.delays.Wait(ctx)
 }
 
-// answered handles the relay's answer to a call.
-func (c *OrderClient) answered(ctx context.Context, call orderqueue.Call, answer wire.Answer) {
+// handleAnswer handles the relay's answer to a call.
+func (c *OrderClient) handleAnswer(ctx context.Context, call orderqueue.Call, answer wire.Answer) {
+	c.conditions.answered(answer.Code)
 	switch {
 	case answer.Code == wire.CodeSyntax:
-		c.notUnderstood(ctx, call)
+		c.handleSyntaxError(ctx, call)
 	case answer.Code != "":
-		c.log.Info().Str("code", answer.Code).Msg("relay: call put off")
+		c.conditions.busy.Fail(nil, func(line *zerolog.Event) {
+			line.Str("code", answer.Code).Int("orders", len(call.Orders))
+		})
 		c.queue.Requeue(call)
 		backoff.Sleep(ctx, deferredDelay)
 	case answer.Taken < len(call.Orders):
-		c.orderRejected(call, answer.Taken)
+		c.handleRejection(call, answer.Taken)
 	default:
-		c.settled()
+		c.resetRetries()
 	}
 }
 
-// settled starts over after a call that is done with.
-func (c *OrderClient) settled() {
+// resetRetries forgets the failed attempts of a call that was accepted or dropped.
+func (c *OrderClient) resetRetries() {
 	c.rejected = ""
 	c.syntaxErrors = 0
 	c.delays.Reset()
 }
 
-// notUnderstood tries a call that the relay cannot read again, and then drops it.
-func (c *OrderClient) notUnderstood(ctx context.Context, call orderqueue.Call) {
-	first := call.Orders[0]
-	c.log.Error().Int("orders", len(call.Orders)).Str("start", first[:min(len(first), maxLoggedOrder)]).
-		Msg("relay: call not understood")
+// handleSyntaxError repeats a call that the relay cannot parse, and finally drops it.
+func (c *OrderClient) handleSyntaxError(ctx context.Context, call orderqueue.Call) {
+	addFields := func(line *zerolog.Event) {
+		first := call.Orders[0]
+		line.Int("orders", len(call.Orders)).Str("first_order", first[:min(len(first), maxLoggedOrder)])
+	}
+	c.conditions.syntax.Fail(nil, addFields)
 	c.syntaxErrors++
 	if c.syntaxErrors >= maxSyntaxErrors {
-		c.settled()
+		c.log.Error().Func(addFields).Msg("call dropped; relay cannot parse it")
+		c.resetRetries()
 		return
 	}
 	c.queue.Requeue(call)
 	backoff.Sleep(ctx, deferredDelay)
 }
 
-// orderRejected gives back the rest of a call from an order on that the relay did not take. It may know an endpoint or a
-// proxy a moment later than we do, and a drain or an attachment may depend on the order, so it is asked twice; then the
-// order is dropped. That costs a call where a proxy has just disconnected.
-func (c *OrderClient) orderRejected(call orderqueue.Call, position int) {
+// handleRejection requeues a call from the order on that the relay rejected. A drain or an attachment may depend on that
+// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent twice before it is
+// dropped.
+func (c *OrderClient) handleRejection(call orderqueue.Call, position int) {
 	order := call.Orders[position]
-	again := order == c.rejected
-	c.log.Warn().Str("order", order).Bool("dropped", again).Msg("relay: order not taken")
-	if again {
+	if order == c.rejected {
+		c.log.Warn().Str("order", order).Msg("order rejected twice; dropped")
 		c.rejected = ""
 		c.queue.RequeueFrom(call, position+1)
 		return
 	}
+	c.log.Warn().Str("order", order).Msg("order rejected; retrying")
 	c.rejected = order
 	c.queue.RequeueFrom(call, position)
 }
