--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -7,24 +7,26 @@
 //
 // A call goes through these states:
 //
-//		           Take               answer: all accepted
-//		queued ------------> in flight -------------------> acknowledged
-//		 ^ ^ ^                | | |                              ^
-//		 | | |     Requeue    | | |  RequeueAmbiguous            | acknowledgment of
-//		 | | +----------------+ | +---------------> ambiguous ---+ its sequence number
-//		 | |                    |                       |
-//		 | |    RequeueFrom     | one order rejected    | none within the delay
-//		 | +--------------------+                       |
-//		 +----------------------------------------------+ repeated
+//	           Take               answer: all accepted
+//	queued ------------> in flight -------------------> acknowledged
+//	 ^ ^ ^                | | |                              ^
+//	 | | |     Requeue    | | |  RequeueAmbiguous            | acknowledgment of
+//	 | | +----------------+ | +---------------> ambiguous ---+ its sequence number
+//	 | |                    |                       |
+//	 | |    RequeueFrom     | one order rejected    | none within the delay
+//	 | +--------------------+                       |
+//	 +----------------------------------------------+ repeated
 //
-//	  - queued: the orders are pending; of two that set the same value only the later one is kept (pending.go).
-//	  - in flight: the call was sent and counts as a message to each proxy that it reaches (budget.go).
-//	  - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
-//	    all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
-//	    acknowledgments.go).
-//	  - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
-//	  - repeated: no acknowledgment arrived within the delay. The orders are sent again: a repeat costs one message, while a
-//	    lost order could break a rule.
-//	  - rejected: the relay did not accept one order. The rest is queued again, with or without that order as the caller
-//	    decides.
+// The states:
+//
+//   - queued: the orders are pending; of two that set the same value only the later one is kept (pending.go).
+//   - in flight: the call was sent and counts as a message to each proxy that it reaches (budget.go).
+//   - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
+//     all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
+//     acknowledgments.go).
+//   - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
+//   - repeated: no acknowledgment arrived within the delay. The orders are sent again: a repeat costs one message, while a
+//     lost order could break a rule.
+//   - rejected: the relay did not accept one order. The rest is queued again, with or without that order as the caller
+//     decides.
 package orderqueue
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -8,23 +8,25 @@
 // them completes the snapshot. While no stream is open, the proxies reported before are assumed to be connected: most are,
 // and the relay drops orders for the others. Each stream goes through these states:
 //
-//		           first item               resync or handover
-//		opening --------------> buffering ----------------------> forwarding
-//		   ^                        |                                 |
-//		   |                        |  error, or no item              |
-//		   |                        v  within heartbeatTimeout        v
-//		   +--------------------- backoff <---------------------------+
-//
-//	  - opening: the connection is being opened, and nothing has been received.
-//	  - buffering: events are kept until it is certain whether any change was missed. This lasts only while a stream at a new
-//	    address is read during the handover from the old one.
-//	  - handover: the old stream delivered an item after the new one had started, and the new snapshot is complete, so no
-//	    change can have been missed. Only the differences to what was reported before are forwarded.
-//	  - resync: changes may have been missed, as after a break. The whole snapshot is forwarded, since a proxy may have
-//	    reconnected without its tables. Proxies that it does not contain are reported as disconnected once it is complete.
-//	  - forwarding: each event goes to the sink when it arrives.
-//	  - backoff: the stream has ended, and a new one is opened after a delay. An event that cannot be decoded ends a stream
-//	    too, because the next snapshot makes up for it. Within that snapshot it would recur, so it is skipped there.
+//	           first item               resync or handover
+//	opening --------------> buffering ----------------------> forwarding
+//	 ^    |                     |                                 |
+//	 |    | error               | error, or no item               |
+//	 |    v                     v within heartbeatTimeout         v
+//	 +-- backoff <------------------------------------------------+
+//
+// The states, and the two ways from buffering to forwarding:
+//
+//   - opening: the connection is being opened, and nothing has been received.
+//   - buffering: events are kept until it is certain whether any change was missed. This lasts only while a stream at a new
+//     address is read during the handover from the old one.
+//   - handover: the old stream delivered an item after the new one had started, and the new snapshot is complete, so no
+//     change can have been missed. Only the differences to what was reported before are forwarded.
+//   - resync: changes may have been missed, as after a break. The whole snapshot is forwarded, since a proxy may have
+//     reconnected without its tables. Proxies that it does not contain are reported as disconnected once it is complete.
+//   - forwarding: each event goes to the sink when it arrives.
+//   - backoff: the stream has ended, and a new one is opened after a delay. An event that cannot be decoded ends a stream
+//     too, because the next snapshot makes up for it. Within that snapshot it would recur, so it is skipped there.
 //
 // # Calls
 //
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -22,7 +22,7 @@
 
 // EventReaderConfig configures an EventReader. All fields are required.
 type EventReaderConfig struct {
-	Address *handover.Address // of the relay; whoever reloads the configuration moves it
+	Address *handover.Address // of the relay; moved by its owner when the configuration changes
 	Codec   *wire.Codec       // decodes the events
 	Sink    eventqueue.Sink   // receives the decoded events, one at a time; its error ends the stream
 	Seed    int64             // of the random part of the delays between attempts
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -15,9 +15,9 @@
 	"madderhollow/internal/relaytest"
 )
 
-// After a break of the stream the connected proxies are told anew, the missing ones as disconnected; a proxy to which an
-// attachment went out is never told to hold its default tables only.
-func TestEventsAfterABreak(t *testing.T) {
+// After a break all connected proxies are reported again and missing ones as disconnected. A proxy to which a table was
+// attached is not reported as fresh.
+func TestEventReaderResyncsAfterBreak(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
@@ -25,49 +25,69 @@
 		setup.Connect(i, "a", 2, true)
 	}
 	setup.takeEvents(3)
-	setup.queue.Submit([]assign.Order{assign.SetWeight{Table: 5, Endpoint: "t", Weight: 1}, assign.AttachTable{Proxy: 1, Table: 5}, assign.AcknowledgmentRequest{Sequence: 9}})
-	if got := setup.takeEvents(1); !reflect.DeepEqual(got, []assign.Event{assign.Acknowledged{Proxy: 1, Sequence: 9, Latency: 0.0015}}) {
-		t.Fatalf("got %+v", got)
+	setup.queue.Submit([]assign.Order{
+		assign.SetWeight{Table: 5, Endpoint: "t", Weight: 1},
+		assign.AttachTable{Proxy: 1, Table: 5},
+		assign.AcknowledgmentRequest{Sequence: 9},
+	})
+	want := []assign.Event{assign.Acknowledged{Proxy: 1, Sequence: 9, Latency: 0.0015}}
+	if got := setup.takeEvents(1); !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	setup.Inspect(func(state *relaytest.State) {
-		delete(state.Proxies, 2) // it disconnects unseen
+		delete(state.Proxies, 2) // it disconnects without an event
 		state.Proxies[1].Tables = map[string]int{}
 	})
 	setup.CutStreams("")
-	want := []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true},
-		assign.ProxyConnected{Proxy: 1, Zone: "a", TypicalRate: 2}, assign.ProxyDisconnected{Proxy: 2}}
+	want = []assign.Event{
+		assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true},
+		assign.ProxyConnected{Proxy: 1, Zone: "a", TypicalRate: 2},
+		assign.ProxyDisconnected{Proxy: 2},
+	}
 	if got := setup.takeEvents(3); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	// What cannot be read breaks the stream; where it stands in the snapshot it is skipped then.
+}
+
+// An event that cannot be decoded ends the stream. Within the next stream's snapshot it is skipped.
+func TestEventReaderSkipsUndecodableEventOfSnapshot(t *testing.T) {
+	t.Parallel()
+	setup := startHarness(t)
+	setup.SetHeartbeat(20 * time.Millisecond)
+	for i := range 2 {
+		setup.Connect(i, "a", 2, true)
+	}
+	setup.takeEvents(2)
 	setup.Inspect(func(state *relaytest.State) { state.Proxies[1].Zone = "nowhere" })
 	setup.CutStreams("event: joined\ndata: node=x\n\n")
-	want = []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}, assign.ProxyDisconnected{Proxy: 1}}
+	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}
+	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
-	for len(got) > 0 && reflect.DeepEqual(got[0], want[0]) { // told once or twice
+	for len(got) > 0 && reflect.DeepEqual(got[0], repeated) { // in one or two snapshots
 		got = got[1:]
 	}
-	if !reflect.DeepEqual(got, want[1:]) {
+	if !reflect.DeepEqual(got, []assign.Event{disconnected}) {
 		got = append(got, setup.takeEvents(1)...)
 	}
-	if !slices.Contains(got, want[1]) {
-		t.Errorf("got %+v, want %+v in it", got, want[1])
+	if !slices.Contains(got, assign.Event(disconnected)) {
+		t.Errorf("got %+v, want %+v in it", got, disconnected)
 	}
 }
 
-// Silence is a break too, though the connection stays open.
-func TestSilentStreamIsReadAnew(t *testing.T) {
+// A stream without heartbeats has ended, even if its connection is open.
+func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
 	h := startHarness(t)
 	h.SetHeartbeat(time.Hour)
 	h.Connect(0, "a", 2, true)
 	h.takeEvents(1)
-	if got := h.takeEvents(1); !reflect.DeepEqual(got, []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}}) {
-		t.Errorf("got %+v", got)
+	want := []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}}
+	if got := h.takeEvents(1); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// moveOnce moves the relay, at times after an address where nobody is yet.
+// moveOnce moves the relay, sometimes by way of an address at which nothing listens.
 func (h *harness) moveOnce(t *testing.T, random *rand.Rand) {
 	t.Helper()
 	if random.Intn(3) == 0 {
@@ -79,7 +99,7 @@
 	h.address.Move(h.Address())
 }
 
-// tally takes the events so far and counts how often each proxy was told to have connected since it was told to have
+// tally takes the events so far and counts how many times each proxy was reported as connected since it was reported as
 // disconnected, which counts as -1.
 func (h *harness) tally(connections map[int]int) {
 	h.mu.Lock()
@@ -95,10 +115,15 @@
 	h.events = nil
 }
 
-// However often the relay moves, connected proxies are not told again, what changes meanwhile is told, and no call is lost.
-func TestTheRelayMoves(t *testing.T) {
+// randomPause lets a random time of up to 40 ms pass, so that a test's steps fall into different phases of a handover.
+func randomPause(random *rand.Rand) {
+	time.Sleep(time.Duration(random.Intn(40)) * time.Millisecond)
+}
+
+// During the relay's moves connected proxies are not reported again, each change is reported and no call is lost.
+func TestRelayMovesWithoutRepeatedOrLostEvents(t *testing.T) {
 	t.Parallel()
-	const staying = 6 // proxies; two more come and go
+	const staying = 6 // proxies that stay connected; two more connect and disconnect
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		setup := newHarness(t, seed)
@@ -121,46 +146,57 @@
 				} else {
 					setup.Disconnect(proxy)
 				}
-				eventually.True(time.Duration(random.Intn(40))*time.Millisecond, func() bool { return false })
+				randomPause(random)
 			}
 		}
-		told := map[int]int{}
+		reported := map[int]int{}
 		same := eventually.True(soon, func() (complete bool) {
-			setup.tally(told)
+			setup.tally(reported)
 			setup.Inspect(func(state *relaytest.State) { complete = len(state.Tables[1]) == orders })
-			return complete && told[staying] > 0 == connected[staying] && told[staying+1] > 0 == connected[staying+1]
+			return complete && reported[staying] > 0 == connected[staying] && reported[staying+1] > 0 == connected[staying+1]
 		})
 		for proxy := range staying {
-			same = same && told[proxy] == 0
+			same = same && reported[proxy] == 0
 		}
 		if !same {
-			t.Logf("seed %d: told %v, connected %v, %d orders", seed, told, connected, orders)
+			t.Logf("seed %d: got reports %v, %d entries; want connected %v, %d entries",
+				seed, reported, setup.tableSize(), connected, orders)
 		}
 		return same
 	}
 	quickcheck.Seeds(t, 8, property)
 }
 
-// A proxy disconnects and connects anew between an attachment's going out and its acknowledgment: nobody can say which of
-// its streams got the attachment, so it is told as not fresh, and the acknowledgment still counts for what else was in the
-// call.
+// tableSize returns the number of entries in table 1.
+func (h *harness) tableSize() (entries int) {
+	h.Inspect(func(state *relaytest.State) { entries = len(state.Tables[1]) })
+	return entries
+}
+
+// A proxy reconnects while a call with its attachment is in flight, so either stream may have received the attachment. The
+// proxy is not reported as fresh, and the acknowledgment still counts for the call's other orders.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.Connect(3, "a", 2, true)
 	setup.Connect(4, "a", 2, true)
 	setup.takeEvents(2)
-	calls, goOn := make(chan struct{}, 10), make(chan struct{})
+	calls, release := make(chan struct{}, 10), make(chan struct{})
 	setup.SetFault(func(orders []string) relaytest.Fault {
 		if !strings.HasPrefix(orders[0], "attach") {
 			return relaytest.NoFault
 		}
 		calls <- struct{}{}
-		<-goOn
+		<-release
 		return relaytest.ResetAfter
 	})
-	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 3, Table: 1}, assign.AttachTable{Proxy: 4, Table: 2}, assign.SetWeight{Table: 1, Endpoint: "a", Weight: 1},
-		assign.SetWeight{Table: 2, Endpoint: "a", Weight: 1}, assign.AcknowledgmentRequest{Sequence: 5}})
+	setup.queue.Submit([]assign.Order{
+		assign.AttachTable{Proxy: 3, Table: 1},
+		assign.AttachTable{Proxy: 4, Table: 2},
+		assign.SetWeight{Table: 1, Endpoint: "a", Weight: 1},
+		assign.SetWeight{Table: 2, Endpoint: "a", Weight: 1},
+		assign.AcknowledgmentRequest{Sequence: 5},
+	})
 	<-calls
 	setup.Disconnect(3)
 	setup.Connect(3, "a", 2, true)
@@ -168,28 +204,28 @@
 	if got := setup.takeEvents(2); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	close(goOn)
+	close(release)
 	if got := setup.takeEvents(2); len(got) < 2 {
-		t.Errorf("acknowledgments %+v", got)
+		t.Errorf("got acknowledgments %+v, want two", got)
 	}
 	setup.queue.Submit(entry("b", 6))
 	if !eventually.True(soon, func() bool { return setup.tableHas("a", "b") }) {
-		t.Error("the next order did not come")
+		t.Error("got no entry for the next order, want one")
 	}
 	setup.Inspect(func(state *relaytest.State) {
 		for _, call := range state.Calls[1:] {
 			for _, order := range call {
 				if strings.HasPrefix(order, "attach,3") {
-					t.Errorf("an attachment for a stream that has ended was made again: %v", call)
+					t.Errorf("got call %v, want no attachment for a stream that has ended", call)
 				}
 			}
 		}
 	})
 }
 
-// The old address' stream breaks while the new one's is still being read beside it, so that nobody can vouch for what came
-// between: what is connected is told again, and who disconnected unseen is told so.
-func TestOldStreamBreaksBesideTheNew(t *testing.T) {
+// The old stream breaks during the handover, so changes may have been missed: connected proxies are reported again, and
+// missing ones as disconnected.
+func TestEventReaderResyncsWhenOldStreamBreaksDuringHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(time.Hour) // the new stream waits for a heartbeat of the old one
@@ -203,17 +239,17 @@
 	}
 	setup.address.Move(setup.Address())
 	if !eventually.True(soon, func() bool { return setup.Readers() == 2 }) {
-		t.Fatal("the new stream is not opened beside the old")
+		t.Fatalf("got %d streams, want 2", setup.Readers())
 	}
 	setup.CutOldestStream()
 	setup.Disconnect(2)
-	told := map[int]int{}
+	got, want := map[int]int{}, map[int]int{0: 1, 1: -1, 2: -1}
 	same := eventually.True(soon, func() bool {
 		setup.SendHeartbeat()
-		setup.tally(told)
-		return reflect.DeepEqual(told, map[int]int{0: 1, 1: -1, 2: -1})
+		setup.tally(got)
+		return reflect.DeepEqual(got, want)
 	})
 	if !same {
-		t.Errorf("told %v", told)
+		t.Errorf("got reports %v, want %v", got, want)
 	}
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -17,10 +17,10 @@
 	"madderhollow/internal/wire"
 )
 
-// soon is what anything may take on a busy machine.
+// soon bounds the time that any step takes on a busy machine.
 const soon = 5 * time.Second
 
-// Few messages in a short window, so that a test meets the limit.
+// The limit is low and the window short, so that tests reach the limit.
 const (
 	messageLimit  = 4
 	messageWindow = 500 * time.Millisecond
@@ -39,33 +39,46 @@
 	*relaytest.Relay
 	address  *handover.Address
 	queue    *orderqueue.Queue
-	shutdown func() // has client and reader end
-	running  sync.WaitGroup
+	shutdown func()         // asks client and reader to end
+	running  sync.WaitGroup // their goroutines
 
 	mu     sync.Mutex
 	events []assign.Event
 }
 
+// newHarness returns a running harness that logs nothing. The caller ends it.
 func newHarness(t *testing.T, seed int64) *harness {
+	t.Helper()
+	return newLoggingHarness(t, seed, zerolog.Nop())
+}
+
+// newLoggingHarness returns a running harness. The caller ends it.
+func newLoggingHarness(t *testing.T, seed int64, log zerolog.Logger) *harness {
 	t.Helper()
 	relay, err := relaytest.New("", "read", "sign")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &harness{Relay: relay, address: handover.NewAddress(relay.Address()),
-		queue: orderqueue.New(testChannel(), testCodec(), zerolog.Nop())}
+	setup := &harness{
+		Relay:   relay,
+		address: handover.NewAddress(relay.Address()),
+		queue:   orderqueue.New(testChannel(), testCodec(), zerolog.Nop()),
+	}
 	ctx, cancel := context.WithCancel(context.Background())
-	h.shutdown = cancel
-	client := NewOrderClient(OrderClientConfig{Address: h.address, Queue: h.queue, Seed: seed, Log: zerolog.Nop()})
-	reader := NewEventReader(EventReaderConfig{Address: h.address, Codec: testCodec(), Sink: h.receive, Seed: seed, Log: zerolog.Nop()})
+	setup.shutdown = cancel
+	client := NewOrderClient(OrderClientConfig{Address: setup.address, Queue: setup.queue, Seed: seed, Log: log})
+	reader := NewEventReader(EventReaderConfig{Address: setup.address, Codec: testCodec(), Sink: setup.receive, Seed: seed, Log: log})
 	for _, run := range []func(context.Context){client.Run, reader.Run} {
-		h.running.Add(1)
-		go func() { defer h.running.Done(); run(ctx) }()
+		setup.running.Add(1)
+		go func() { // ends after shutdown
+			defer setup.running.Done()
+			run(ctx)
+		}()
 	}
-	return h
+	return setup
 }
 
-// startHarness is newHarness with its end at the end of the test.
+// startHarness returns a running harness that ends with the test.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t, 1)
@@ -73,6 +86,7 @@
 	return h
 }
 
+// end shuts client and reader down, waits for their end and closes the relay.
 func (h *harness) end(t *testing.T) {
 	t.Helper()
 	h.shutdown()
@@ -82,6 +96,7 @@
 	}
 }
 
+// receive is the event reader's sink.
 func (h *harness) receive(_ context.Context, event assign.Event) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,7 +104,7 @@
 	return nil
 }
 
-// takeEvents takes the events since the last call, once there are so many.
+// takeEvents returns the events since the last call, once there are at least n; none if that takes too long.
 func (h *harness) takeEvents(n int) (events []assign.Event) {
 	eventually.True(soon, func() bool {
 		h.mu.Lock()
@@ -102,24 +117,25 @@
 	return events
 }
 
+// calls returns the number of calls that the relay has applied.
 func (h *harness) calls() (n int) {
 	h.Inspect(func(state *relaytest.State) { n = len(state.Calls) })
 	return n
 }
 
-// overLimit tells whether some proxy got more messages within the window than it may.
-func (h *harness) overLimit() (over bool) {
+// exceedsMessageLimit reports whether a proxy received more messages within the window than the limit.
+func (h *harness) exceedsMessageLimit() (exceeded bool) {
 	h.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			for i := messageLimit; i < len(proxy.Messages); i++ {
-				over = over || proxy.Messages[i].Sub(proxy.Messages[i-messageLimit]) < messageWindow
+				exceeded = exceeded || proxy.Messages[i].Sub(proxy.Messages[i-messageLimit]) < messageWindow
 			}
 		}
 	})
-	return over
+	return exceeded
 }
 
-// tableHas tells whether table 1 has just these endpoints.
+// tableHas reports whether table 1 has exactly these endpoints, with weight 1.
 func (h *harness) tableHas(endpoints ...string) (same bool) {
 	h.Inspect(func(state *relaytest.State) {
 		same = len(state.Tables[1]) == len(endpoints)
@@ -130,7 +146,10 @@
 	return same
 }
 
-// entry is a batch that sets an entry of table 1.
+// entry returns a batch that sets an entry of table 1 to weight 1.
 func entry(endpoint string, sequence int) []assign.Order {
-	return []assign.Order{assign.SetWeight{Table: 1, Endpoint: endpoint, Weight: 1}, assign.AcknowledgmentRequest{Sequence: sequence}}
+	return []assign.Order{
+		assign.SetWeight{Table: 1, Endpoint: endpoint, Weight: 1},
+		assign.AcknowledgmentRequest{Sequence: sequence},
+	}
 }
--- /dev/null
+++ b/internal/relay/log_test.go
@@ -0,0 +1,261 @@
+package relay
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"madderhollow/assign"
+	"madderhollow/internal/eventually"
+	"madderhollow/internal/handover"
+	"madderhollow/internal/relaytest"
+	"madderhollow/internal/testserver"
+)
+
+// closedAddress is one at which nothing listens.
+const closedAddress = "127.0.0.1:1"
+
+// logRecorder counts log lines by message. Any goroutine may use it.
+type logRecorder struct {
+	t      *testing.T
+	mu     sync.Mutex
+	counts map[string]int
+}
+
+func newLogRecorder(t *testing.T) *logRecorder {
+	t.Helper()
+	return &logRecorder{t: t, counts: map[string]int{}}
+}
+
+func (r *logRecorder) logger() zerolog.Logger { return zerolog.New(r) }
+
+// Write records one line, as zerolog writes it.
+func (r *logRecorder) Write(line []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var fields struct{ Component, Message string }
+	if err := json.Unmarshal(line, &fields); err != nil || fields.Component != "relay" {
+		r.t.Errorf("got line %s, component %q, %v; want component relay", line, fields.Component, err)
+	}
+	r.counts[fields.Message]++
+	return len(line), nil
+}
+
+func (r *logRecorder) count(message string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.counts[message]
+}
+
+// await waits for a line with a message.
+func (r *logRecorder) await(t *testing.T, message string) {
+	t.Helper()
+	if !eventually.True(soon, func() bool { return r.count(message) > 0 }) {
+		t.Fatalf("got no line %q, want one", message)
+	}
+}
+
+// expectOnce fails the test unless there is one line with each message.
+func (r *logRecorder) expectOnce(t *testing.T, messages ...string) {
+	t.Helper()
+	for _, message := range messages {
+		if got := r.count(message); got != 1 {
+			t.Errorf("got %d lines %q, want 1", got, message)
+		}
+	}
+}
+
+// newServer returns the address of a server that ends with the test.
+func newServer(t *testing.T, handler http.HandlerFunc) (address string) {
+	t.Helper()
+	server, err := testserver.New("", handler)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := server.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return server.Address()
+}
+
+// However many attempts fail, the event reader logs the beginning and the end of the condition.
+func TestEventReaderLogsDisconnectOnce(t *testing.T) {
+	t.Parallel()
+	const failures = 5
+	var requests atomic.Int32
+	address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
+		if requests.Add(1) <= failures {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		_, _ = w.Write([]byte(":\n\n"))           // a heartbeat; the reader may have ended
+		_ = http.NewResponseController(w).Flush() // as above
+		<-request.Context().Done()
+	})
+	logs := newLogRecorder(t)
+	reader := NewEventReader(EventReaderConfig{
+		Address: handover.NewAddress(address),
+		Codec:   testCodec(),
+		Sink:    (&harness{}).receive,
+		Seed:    1,
+		Log:     logs.logger(),
+	})
+	var running sync.WaitGroup
+	running.Add(1)
+	go func() { // ends with the test's context
+		defer running.Done()
+		reader.Run(t.Context())
+	}()
+	t.Cleanup(running.Wait)
+	logs.await(t, "event stream connected")
+	logs.expectOnce(t, "event stream disconnected; retrying", "event stream connected")
+	if got := requests.Load(); got != failures+1 {
+		t.Errorf("got %d requests, want %d", got, failures+1)
+	}
+}
+
+// While the stream at a new address fails, the old one is kept, and the condition ends with the move back.
+func TestEventReaderLogsFailingMoveOnce(t *testing.T) {
+	t.Parallel()
+	logs := newLogRecorder(t)
+	setup := newLoggingHarness(t, 1, logs.logger())
+	t.Cleanup(func() { setup.end(t) })
+	setup.SetHeartbeat(20 * time.Millisecond)
+	setup.Connect(0, "a", 1, true)
+	setup.takeEvents(1)
+	setup.address.Move(closedAddress)
+	logs.await(t, "event stream at new relay address failed; keeping old stream")
+	setup.Connect(1, "a", 1, true)
+	if got := setup.takeEvents(1); len(got) != 1 {
+		t.Errorf("got events %v of the old stream, want one", got)
+	}
+	setup.address.Move(setup.Address())
+	logs.await(t, "event stream uses current relay address")
+	logs.expectOnce(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
+	if got := logs.count("event stream disconnected; retrying"); got != 0 {
+		t.Errorf("got %d lines of a disconnect, want 0", got)
+	}
+}
+
+func TestReadStreamReturnsErrStatus(t *testing.T) {
+	t.Parallel()
+	address := newServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: testCodec(), Log: zerolog.Nop()})
+	err := reader.readStream(t.Context(), address, func(*streamItem) bool { return true })
+	if !errors.Is(err, ErrStatus) {
+		t.Errorf("got error %v, want %v", err, ErrStatus)
+	}
+}
+
+// However many calls fail, the order client logs the beginning and the end of the condition.
+func TestOrderClientLogsFailingCallsOnce(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		fault    relaytest.Fault
+		failures int
+		want     []string // the last one marks the end
+	}{
+		{
+			name:     "ambiguous",
+			fault:    relaytest.ResetBefore,
+			failures: 4,
+			want:     []string{"call outcome unknown; repeating unless acknowledged", "calls answered again"},
+		},
+		{
+			name:     "busy",
+			fault:    relaytest.BusyAnswer,
+			failures: 5,
+			want:     []string{"relay busy; call delayed", "relay no longer busy"},
+		},
+		{
+			name:     "syntax error",
+			fault:    relaytest.SyntaxAnswer,
+			failures: maxSyntaxErrors - 1,
+			want:     []string{"relay cannot parse call; retrying", "relay parses calls again"},
+		},
+		{
+			name:     "syntax error, dropped",
+			fault:    relaytest.SyntaxAnswer,
+			failures: maxSyntaxErrors,
+			want:     []string{"relay cannot parse call; retrying", "call dropped; relay cannot parse it"},
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			logs := newLogRecorder(t)
+			setup := newLoggingHarness(t, 1, logs.logger())
+			t.Cleanup(func() { setup.end(t) })
+			var calls atomic.Int32
+			setup.SetFault(func([]string) relaytest.Fault {
+				if int(calls.Add(1)) <= test.failures {
+					return test.fault
+				}
+				return relaytest.NoFault
+			})
+			setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
+			logs.await(t, test.want[len(test.want)-1])
+			logs.expectOnce(t, test.want...)
+		})
+	}
+}
+
+func TestOrderClientLogsUnsentCallsOnce(t *testing.T) {
+	t.Parallel()
+	logs := newLogRecorder(t)
+	setup := newLoggingHarness(t, 1, logs.logger())
+	t.Cleanup(func() { setup.end(t) })
+	setup.address.Move(closedAddress)
+	setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
+	if !eventually.True(soon, func() bool { return setup.queue.Stats().Repeated >= 5 }) {
+		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().Repeated)
+	}
+	setup.address.Move(setup.Address())
+	logs.await(t, "calls sent again")
+	logs.expectOnce(t, "call not sent; retrying", "calls sent again")
+}
+
+func TestOrderClientLogsRejections(t *testing.T) {
+	t.Parallel()
+	logs := newLogRecorder(t)
+	setup := newLoggingHarness(t, 1, logs.logger())
+	t.Cleanup(func() { setup.end(t) })
+	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // the proxy never connected
+	logs.await(t, "order rejected twice; dropped")
+	logs.expectOnce(t, "order rejected; retrying", "order rejected twice; dropped")
+}
+
+// While the new address cannot be connected to, calls keep the old connection.
+func TestCallConnKeepsOldConnectionWhileMoveFails(t *testing.T) {
+	t.Parallel()
+	serverAddress := newServer(t, func(http.ResponseWriter, *http.Request) {})
+	address := handover.NewAddress(serverAddress)
+	logs := newLogRecorder(t)
+	conn := newCallConn(address, componentLogger(logs.logger()))
+	t.Cleanup(conn.close)
+	expectConnected := func() {
+		t.Helper()
+		conn.moveRetryAt = time.Time{}
+		if err := conn.ensure(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		if conn.conn.Address != serverAddress {
+			t.Errorf("got connection to %s, want %s", conn.conn.Address, serverAddress)
+		}
+	}
+	expectConnected()
+	address.Move(closedAddress)
+	for range 3 {
+		expectConnected()
+	}
+	address.Move(serverAddress)
+	expectConnected()
+	logs.expectOnce(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
+}
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -31,7 +31,7 @@
 
 // OrderClientConfig configures an OrderClient. All fields are required.
 type OrderClientConfig struct {
-	Address *handover.Address // of the relay; whoever reloads the configuration moves it
+	Address *handover.Address // of the relay; moved by its owner when the configuration changes
 	Queue   *orderqueue.Queue // provides the calls; nothing else takes or requeues them
 	Seed    int64             // of the random part of the delays between attempts
 	Log     zerolog.Logger
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -16,13 +16,13 @@
 	"madderhollow/internal/relaytest"
 )
 
-// expectation is what the relay's state has to come to, whatever becomes of calls.
+// expectation is the state that the relay must reach, however calls end.
 type expectation struct {
 	tables map[int]map[string]float64
 	limits map[string]string
 }
 
-// randomOrder draws an order and applies it to the expectation.
+// randomOrder returns a random order and applies it to the expectation.
 func (e *expectation) randomOrder(random *rand.Rand, batch int) assign.Order {
 	table, endpoint := random.Intn(3), fmt.Sprint("t", random.Intn(4))
 	switch random.Intn(6) {
@@ -37,7 +37,7 @@
 		e.limits[fmt.Sprint(table, ",sign")] = fmt.Sprint(batch)
 		return assign.SetRateLimit{Table: table, RequestClasses: []int{1}, Limit: float64(batch)}
 	case 3:
-		return assign.AttachTable{Proxy: 7, Table: table} // it never connected: dropped, the rest goes on
+		return assign.AttachTable{Proxy: 7, Table: table} // never connected: the relay rejects the order
 	case 4:
 		return assign.AttachTable{Proxy: random.Intn(2), Table: table}
 	}
@@ -49,6 +49,7 @@
 	return assign.SetWeight{Table: table, Endpoint: endpoint, Weight: weight}
 }
 
+// holds reports whether the relay's state is the expected one.
 func (e *expectation) holds(state *relaytest.State) bool {
 	isEmpty := func(_ int, table map[string]float64) bool { return len(table) == 0 }
 	maps.DeleteFunc(state.Tables, isEmpty)
@@ -56,7 +57,7 @@
 	return reflect.DeepEqual(state.Tables, e.tables) && maps.Equal(state.Limits, e.limits)
 }
 
-// randomFaults breaks four calls in ten, until stopped.
+// randomFaults returns a function that breaks four calls in ten until stop is called.
 func randomFaults(seed int64) (fault func([]string) relaytest.Fault, stop func()) {
 	var mu sync.Mutex
 	odds, random := 0.4, rand.New(rand.NewSource(seed))
@@ -76,9 +77,9 @@
 	}
 }
 
-// However calls end, the tables at the relay come to be what was ordered, in the order of the batches, and calls made
-// again never bring a proxy more messages than it may get.
-func TestTablesHoldWhatWasOrdered(t *testing.T) {
+// However calls end, the relay's tables reach the ordered state, and repeated calls never exceed the message limit of a
+// proxy.
+func TestTablesReachOrderedStateDespiteFaults(t *testing.T) {
 	t.Parallel()
 	const batches = 12
 	property := func(seed int64) bool {
@@ -90,7 +91,7 @@
 		setup.Connect(0, "a", 1, true)
 		setup.Connect(1, "b", 1, true)
 		setup.takeEvents(2)
-		want := &expectation{map[int]map[string]float64{}, map[string]string{}}
+		want := &expectation{tables: map[int]map[string]float64{}, limits: map[string]string{}}
 		for batch := range batches {
 			var orders []assign.Order
 			for range 1 + random.Intn(6) {
@@ -103,22 +104,25 @@
 			}
 		}
 		stopFaults()
-		setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "last", Ejected: true}, assign.AcknowledgmentRequest{Sequence: batches}})
+		setup.queue.Submit([]assign.Order{
+			assign.EjectEndpoint{Endpoint: "last", Ejected: true},
+			assign.AcknowledgmentRequest{Sequence: batches},
+		})
 		same := eventually.True(soon, func() (same bool) {
 			setup.Inspect(func(state *relaytest.State) { same = state.Ejected["last"] && want.holds(state) })
 			return same
 		})
 		if !same {
-			setup.Inspect(func(state *relaytest.State) { t.Logf("seed %d: relay %+v, ordered %+v", seed, state, want) })
+			setup.Inspect(func(state *relaytest.State) { t.Logf("seed %d: got %+v, want %+v", seed, state, want) })
 		}
-		return same && !setup.overLimit()
+		return same && !setup.exceedsMessageLimit()
 	}
 	quickcheck.Seeds(t, 20, property)
 }
 
-// An order that is not taken once, as the relay may know an endpoint or a proxy a moment later than we do, is not lost;
-// one that is never taken is dropped, and the rest goes on.
-func TestOrdersNotTakenOnceAreNotLost(t *testing.T) {
+// The relay may learn of an endpoint or a proxy a moment later than the assigner: an order that is rejected once is sent
+// again. One that is always rejected is dropped, and the rest of the call is sent.
+func TestRejectedOrderIsSentTwice(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	setup.Connect(3, "a", 1, true)
@@ -131,117 +135,136 @@
 		calls++
 		switch calls {
 		case 1:
-			return relaytest.ResetBefore // and so all of it is one call
+			return relaytest.ResetBefore // so that all orders are in one call
 		case 2:
 			return relaytest.HalfTaken
 		}
 		return relaytest.NoFault
 	})
-	setup.queue.Submit([]assign.Order{assign.SetWeight{Table: 1, Endpoint: "a", Weight: 1}, assign.SetWeight{Table: 1, Endpoint: "b", Weight: 1},
-		assign.SetWeight{Table: 1, Endpoint: "c", Weight: 1}, assign.AttachTable{Proxy: 3, Table: 1}, assign.AttachTable{Proxy: 5, Table: 1},
-		assign.SetWeight{Table: 1, Endpoint: "d", Weight: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	if got := setup.takeEvents(1); !reflect.DeepEqual(got, []assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1, Latency: 0.0015}}) {
-		t.Errorf("got %+v", got)
+	setup.queue.Submit([]assign.Order{
+		assign.SetWeight{Table: 1, Endpoint: "a", Weight: 1},
+		assign.SetWeight{Table: 1, Endpoint: "b", Weight: 1},
+		assign.SetWeight{Table: 1, Endpoint: "c", Weight: 1},
+		assign.AttachTable{Proxy: 3, Table: 1},
+		assign.AttachTable{Proxy: 5, Table: 1}, // never connected: always rejected
+		assign.SetWeight{Table: 1, Endpoint: "d", Weight: 1},
+		assign.AcknowledgmentRequest{Sequence: 1},
+	})
+	want := []assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1, Latency: 0.0015}}
+	if got := setup.takeEvents(1); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 	setup.Inspect(func(state *relaytest.State) {
 		if len(state.Tables[1]) != 4 || len(state.Proxies[3].Tables) != 2 {
-			t.Errorf("tables %v, attached %v", state.Tables, state.Proxies[3].Tables)
+			t.Errorf("got entries %v, attached %v; want 4 entries, tables attached for 2 classes",
+				state.Tables[1], state.Proxies[3].Tables)
 		}
 	})
 }
 
-// What waited while the relay was away goes out as one message to a proxy, and its acknowledgment stands for all batches.
-func TestLongWaitIsOneMessage(t *testing.T) {
+// Orders that were pending while the relay was unreachable are sent as one message to a proxy. Its acknowledgment stands
+// for all batches.
+func TestPendingBatchesAreSentAsOneMessage(t *testing.T) {
 	t.Parallel()
 	const batches = 30
 	setup := startHarness(t)
 	setup.Connect(3, "a", 1, true)
 	setup.takeEvents(1)
-	back := make(chan struct{})
+	recovered := make(chan struct{})
 	setup.SetFault(func([]string) relaytest.Fault {
 		select {
-		case <-back:
+		case <-recovered:
 			return relaytest.NoFault
 		default:
 			return relaytest.ResetBefore
 		}
 	})
 	for i := range batches {
-		setup.queue.Submit([]assign.Order{assign.ClearTable{Table: 1}, assign.SetWeight{Table: 1, Endpoint: "t", Weight: float64(i + 1)},
-			assign.AttachTable{Proxy: 3, Table: 1}, assign.AcknowledgmentRequest{Sequence: i}})
+		setup.queue.Submit([]assign.Order{
+			assign.ClearTable{Table: 1},
+			assign.SetWeight{Table: 1, Endpoint: "t", Weight: float64(i + 1)},
+			assign.AttachTable{Proxy: 3, Table: 1},
+			assign.AcknowledgmentRequest{Sequence: i},
+		})
 	}
-	close(back)
+	close(recovered)
 	var got []assign.Event
 	for len(got) < batches {
 		events := setup.takeEvents(1)
 		if events == nil {
-			t.Fatalf("only %d acknowledgments", len(got))
+			t.Fatalf("got %d acknowledgments, want %d", len(got), batches)
 		}
 		got = append(got, events...)
 	}
 	for i, event := range got {
 		if a, ok := event.(assign.Acknowledged); !ok || a.Sequence != i || a.Proxy != 3 {
-			t.Fatalf("acknowledgment %d is %+v", i, event)
+			t.Fatalf("got event %d %+v, want an acknowledgment of %d by proxy 3", i, event, i)
 		}
 	}
 	setup.Inspect(func(state *relaytest.State) {
 		if n := len(state.Proxies[3].Messages); n > 2 || state.Tables[1]["t"] != batches {
-			t.Errorf("%d messages, table %v", n, state.Tables[1])
+			t.Errorf("got %d messages, weight %v; want at most 2, weight %d", n, state.Tables[1]["t"], batches)
 		}
 	})
 }
 
-// The relay closes a connection that was idle while the next call is being made: a close that has arrived is seen, and the
-// call goes out on a new connection instead of being ambiguous.
-func TestIdleConnectionClosedBeforeACall(t *testing.T) {
+// A close of the idle connection is detected before the next call, which uses a new connection and is not ambiguous.
+func TestIdleConnectionClosedByRelayIsReplaced(t *testing.T) {
 	t.Parallel()
-	h := startHarness(t)
+	setup := startHarness(t)
 	for i, endpoint := range []string{"a", "b", "c"} {
-		h.queue.Submit(entry(endpoint, i))
-		if !eventually.True(soon, func() bool { return h.calls() == i+1 }) {
-			t.Fatalf("call %d did not come", i)
+		setup.queue.Submit(entry(endpoint, i))
+		if !eventually.True(soon, func() bool { return setup.calls() == i+1 }) {
+			t.Fatalf("got %d calls, want %d", setup.calls(), i+1)
 		}
-		if !eventually.True(soon, func() bool { return h.CloseIdle() > 0 }) {
-			t.Fatal("no connection is idle")
+		if !eventually.True(soon, func() bool { return setup.CloseIdle() > 0 }) {
+			t.Fatal("got no idle connection, want one")
 		}
 	}
-	if n := h.queue.Stats().Repeated; n > 0 || !h.tableHas("a", "b", "c") {
-		t.Errorf("%d calls were repeated", n)
+	if n := setup.queue.Stats().Repeated; n > 0 || !setup.tableHas("a", "b", "c") {
+		t.Errorf("got %d calls repeated, all entries set %t; want 0, true", n, setup.tableHas("a", "b", "c"))
 	}
 }
 
-// Told to end amid a call, the client hears the call out, and what was ordered meanwhile goes out too.
-func TestShutdownAmidACall(t *testing.T) {
+// A call in flight is completed, and orders submitted meanwhile are sent too.
+func TestShutdownCompletesCallInFlightAndPendingOrders(t *testing.T) {
 	t.Parallel()
 	setup := newHarness(t, 1)
-	calls, goOn := make(chan struct{}, 10), make(chan struct{})
+	calls, release := make(chan struct{}, 10), make(chan struct{})
 	setup.SetFault(func([]string) relaytest.Fault {
 		calls <- struct{}{}
-		<-goOn
+		<-release
 		return relaytest.NoFault
 	})
 	setup.queue.Submit(entry("a", 1))
 	<-calls
 	setup.queue.Submit(entry("b", 2))
 	setup.shutdown()
-	close(goOn)
+	close(release)
 	setup.running.Wait()
 	defer setup.end(t)
 	if stats := setup.queue.Stats(); stats.Repeated > 0 || stats.Waiting > 0 || !setup.tableHas("a", "b") {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, both entries set %t; want 0 repeated, 0 waiting, true", stats, setup.tableHas("a", "b"))
 	}
 	setup.Inspect(func(state *relaytest.State) {
 		if want := [][]string{{"put,1,a,1", "fence,1,0"}, {"put,1,b,1", "fence,2,0"}}; !reflect.DeepEqual(state.Calls, want) {
-			t.Errorf("calls %v, want %v", state.Calls, want)
+			t.Errorf("got calls %v, want %v", state.Calls, want)
 		}
 	})
 }
 
-// Told to end, the client ends in time whatever the relay does with the last calls.
-func TestShutdownWhateverTheRelayDoes(t *testing.T) {
-	for _, fault := range []relaytest.Fault{relaytest.SilentBefore, relaytest.SilentAfter, relaytest.ResetBefore, relaytest.ResetAfter,
-		relaytest.GarbledAnswer, relaytest.BusyAnswer, relaytest.SyntaxAnswer, relaytest.HalfTaken} {
-		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
+func TestShutdownEndsInTimeDespiteFault(t *testing.T) {
+	for name, fault := range map[string]relaytest.Fault{
+		"no answer, not applied": relaytest.SilentBefore,
+		"no answer, applied":     relaytest.SilentAfter,
+		"reset, not applied":     relaytest.ResetBefore,
+		"reset, applied":         relaytest.ResetAfter,
+		"garbled answer":         relaytest.GarbledAnswer,
+		"busy":                   relaytest.BusyAnswer,
+		"syntax error":           relaytest.SyntaxAnswer,
+		"half accepted":          relaytest.HalfTaken,
+	} {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			setup := newHarness(t, 1)
 			calls := make(chan struct{}, 1000)
@@ -252,30 +275,33 @@
 			began := time.Now()
 			setup.shutdown()
 			setup.running.Wait()
-			if took := time.Since(began); took > soon/2 { // 0.4 s, and what a busy machine takes
-				t.Errorf("it took %v", took)
+			if took := time.Since(began); took > soon/2 { // shutdownTimeout, with a margin for a busy machine
+				t.Errorf("got end after %v, want at most %v", took, soon/2)
 			}
 			setup.end(t)
 		})
 	}
 }
 
-// With orders waiting and no relay to be reached, the client ends all the same.
-func TestShutdownWithoutARelay(t *testing.T) {
+func TestShutdownEndsWithUnreachableRelay(t *testing.T) {
 	t.Parallel()
-	h := newHarness(t, 1)
-	if err := h.Close(); err != nil {
+	setup := newHarness(t, 1)
+	if err := setup.Close(); err != nil {
 		t.Fatal(err)
 	}
-	h.queue.Submit([]assign.Order{assign.ClearTable{Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	if !eventually.True(soon, func() bool { return h.queue.Stats().Repeated > 1 }) {
-		t.Error("no call was tried again")
+	setup.queue.Submit([]assign.Order{assign.ClearTable{Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
+	if !eventually.True(soon, func() bool { return setup.queue.Stats().Repeated > 1 }) {
+		t.Errorf("got %d calls repeated, want more than 1", setup.queue.Stats().Repeated)
 	}
 	ended := make(chan struct{})
-	go func() { defer close(ended); h.shutdown(); h.running.Wait() }()
+	go func() { // ends when client and reader do
+		defer close(ended)
+		setup.shutdown()
+		setup.running.Wait()
+	}()
 	select {
 	case <-ended:
 	case <-time.After(soon):
-		t.Error("it does not end")
+		t.Errorf("got no end within %v, want one", soon)
 	}
 }
