--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -36,7 +36,7 @@
 type Stats struct {
 	Proxies      int           // gauge: connected proxies
 	Calls        int           // calls returned by Take and TryTake, repeated ones included
-	Repeated     int           // calls requeued, entirely or in part
+	Repeated     int           // calls requeued, entirely or in part; ambiguous calls always count
 	Coalesced    int           // orders that a later one superseded
 	Waiting      int           // gauge: pending orders
 	MaxOrderWait time.Duration // longest time between an order's submission and a call with it
