--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -102,8 +102,9 @@
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	a.client = relay.NewOrderClient(a.relayAt, a.orders, a.random.Int63(), log)
-	a.reader = relay.NewEventReader(a.relayAt, a.codec, a.events.Post, a.random.Int63(), log)
+	a.client = relay.NewOrderClient(relay.OrderClientConfig{Address: a.relayAt, Queue: a.orders, Seed: a.random.Int63(), Log: log})
+	a.reader = relay.NewEventReader(relay.EventReaderConfig{Address: a.relayAt, Codec: a.codec, Sink: a.events.Post,
+		Seed: a.random.Int63(), Log: log})
 	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
 	if cfg.MessagesPeers() {
 		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, a.events.Post, log); err != nil {
