--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -46,7 +46,7 @@
 	PeerListen  string
 	Peers       []string // the assigners in the order of their numbers
 	PeersAll    string   // reaches all of them
-	Known       wire.List
+	Known       wire.EndpointList
 	Settings    assign.Config
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -4,17 +4,17 @@
 
 // file has the members of the configuration file.
 type file struct {
-	Name       string         `json:"name"`
-	Listen     string         `json:"listen"`
-	Discovery  string         `json:"discovery"`
-	Seed       string         `json:"seed"` // hexadecimal
-	Limits     limits         `json:"limits"`
-	PeerListen string         `json:"peer_listen"`
-	Peers      []string       `json:"peers"`
-	PeersAll   string         `json:"peers_all"`
-	Relay      relay          `json:"relay"`
-	Known      *wire.List     `json:"known"`
-	Settings   map[string]any `json:"settings"` // see package settings
+	Name       string             `json:"name"`
+	Listen     string             `json:"listen"`
+	Discovery  string             `json:"discovery"`
+	Seed       string             `json:"seed"` // hexadecimal
+	Limits     limits             `json:"limits"`
+	PeerListen string             `json:"peer_listen"`
+	Peers      []string           `json:"peers"`
+	PeersAll   string             `json:"peers_all"`
+	Relay      relay              `json:"relay"`
+	Known      *wire.EndpointList `json:"known"`
+	Settings   map[string]any     `json:"settings"` // see package settings
 }
 
 type limits struct {
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return update, true, fmt.Errorf("answer: %w", err)
 	}
-	update, err = w.codec.List(body)
+	update, err = w.codec.DecodeEndpointList(body)
 	return update, response.Close, err
 }
 
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -22,7 +22,7 @@
 
 // Encoder writes orders as the relay takes them.
 type Encoder interface {
-	Order(order assign.Order) (string, error)
+	EncodeOrder(order assign.Order) (string, error)
 }
 
 // Queue holds orders between the module and the relay.
@@ -127,7 +127,7 @@
 			q.acknowledgments.request(request)
 			continue
 		}
-		text, err := q.encoder.Order(order)
+		text, err := q.encoder.EncodeOrder(order)
 		if err != nil {
 			q.log.Error().Err(err).Msg("order dropped: it cannot be written")
 			continue
@@ -272,7 +272,7 @@
 }
 
 func (q *Queue) appendRequest(call *Call, sequence int) {
-	text, err := q.encoder.Order(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
+	text, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
 	if err != nil {
 		q.log.Error().Err(err).Msg("acknowledgment request dropped: it cannot be written")
 		return
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -234,8 +234,8 @@
 	var got []string
 	for part := 0; len(got) < len(orders); part++ {
 		call, err := queue.Take(t.Context())
-		if err != nil || len(wire.Call(call.Orders)) > 60100 || call.Orders[len(call.Orders)-1] != "fence,7,0" {
-			t.Fatalf("%d bytes, %v, %v", len(wire.Call(call.Orders)), call.Orders[len(call.Orders)-1], err)
+		if err != nil || len(wire.EncodeCall(call.Orders)) > 60100 || call.Orders[len(call.Orders)-1] != "fence,7,0" {
+			t.Fatalf("%d bytes, %v, %v", len(wire.EncodeCall(call.Orders)), call.Orders[len(call.Orders)-1], err)
 		}
 		if part == 1 {
 			queue.Ambiguous(call)
@@ -247,7 +247,7 @@
 		got = append(got, call.Orders[:len(call.Orders)-1]...)
 	}
 	for i, order := range orders {
-		text, err := queue.encoder.Order(order)
+		text, err := queue.encoder.EncodeOrder(order)
 		if err != nil || i >= len(got) || got[i] != text {
 			t.Fatalf("order %d of %d is not %s (%v)", i, len(got), text, err)
 		}
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -90,7 +90,7 @@
 		return answer, false, err
 	}
 	defer c.conn.CloseWith(ctx)()
-	body := wire.Call(orders)
+	body := wire.EncodeCall(orders)
 	request := c.conn.NewRequest(http.MethodPost, "/")
 	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
 	request.Body = io.NopCloser(bytes.NewReader(body))
@@ -116,10 +116,10 @@
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return answer, fmt.Errorf("answer: %w", err)
 	}
-	if answer, err = wire.ReadAnswer(text); err != nil {
+	if answer, err = wire.DecodeAnswer(text); err != nil {
 		return answer, err
 	}
-	if answer.Taken > orders {
+	if answer.Accepted > orders {
 		return answer, ErrTooManyTaken
 	}
 	return answer, nil
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -153,7 +153,7 @@
 	if item.name == "" {
 		return nil, true
 	}
-	event, err := r.codec.Event(item.name, item.data)
+	event, err := r.codec.DecodeRelayEvent(item.name, item.data)
 	if err == nil {
 		return event, true
 	}
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -100,8 +100,8 @@
 		c.log.Info().Str("code", answer.Code).Msg("relay: call put off")
 		c.queue.NotTaken(call)
 		backoff.Sleep(ctx, deferredDelay)
-	case answer.Taken < len(call.Orders):
-		c.orderRejected(call, answer.Taken)
+	case answer.Accepted < len(call.Orders):
+		c.orderRejected(call, answer.Accepted)
 	default:
 		c.settled()
 	}
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -88,7 +88,7 @@
 
 // decode reads a message and checks that it may come from this client.
 func (s *session) decode(line []byte) (wire.Message, error) {
-	message, err := s.server.codec.Line(line)
+	message, err := s.server.codec.DecodeMessage(line)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/settings/hosts_test.go
+++ b/internal/settings/hosts_test.go
@@ -59,7 +59,7 @@
 	}
 	codec := wire.NewCodec(cfg.Settings, time.Unix(0, 0))
 	for _, metrics := range []string{`{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`, `{"util":0.61,"qps":93,"latency_ms":140}`} {
-		message, err := codec.Line([]byte(`{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
+		message, err := codec.DecodeMessage([]byte(`{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
 			"interval":1000,"metrics":` + metrics + `}`))
 		if err != nil || !reflect.DeepEqual(message, wire.Report{Event: report}) {
 			t.Errorf("%s: got %+v (%v), want %+v", metrics, message, err, report)
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -8,29 +8,25 @@
 	"io"
 	"strconv"
 	"strings"
+
+	"madderhollow/internal/member"
 )
 
-// Answer is what the relay said of a call: how many orders it took, or the error that it gave.
+// Answer is the relay's answer to a call: the number of orders that it accepted, or an error code.
 type Answer struct {
-	Taken int
-	Code  string // CodeBusy, CodeSyntax or another word; empty if Taken holds
+	Accepted int
+	Code     string // CodeBusy, CodeSyntax or another code; empty if the call succeeded
 }
 
-// The codes of the relay's errors that have a meaning here.
-const (
-	CodeBusy   = "BUSY"   // its run has not begun
-	CodeSyntax = "SYNTAX" // it cannot read the call
-)
-
-// answerParser collects an Answer from the tokens of a document.
+// answerParser collects an Answer from the tokens of an XML document.
 type answerParser struct {
 	answer  Answer
-	found   bool
-	element string // the innermost one that is open, in lower case
+	found   bool   // the document has stated an answer
+	element string // innermost open element, in lower case
 }
 
-// ReadAnswer decodes the relay's answer. An error's code may stand in an element or an attribute.
-func ReadAnswer(body []byte) (Answer, error) {
+// DecodeAnswer decodes the relay's answer. The code of an error may be in an element or in an attribute.
+func DecodeAnswer(body []byte) (Answer, error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	parser := answerParser{}
 	for {
@@ -39,20 +35,20 @@
 			return parser.answer, nil
 		}
 		if err != nil {
-			return Answer{}, fmt.Errorf("relay's answer: %w", err)
+			return Answer{}, fmt.Errorf("relay answer: %w", err)
 		}
-		if err := parser.take(token); err != nil {
-			return Answer{}, fmt.Errorf("relay's answer: %w", err)
+		if err := parser.apply(token); err != nil {
+			return Answer{}, fmt.Errorf("relay answer: %w", err)
 		}
 	}
 }
 
-func (p *answerParser) take(token xml.Token) error {
+func (p *answerParser) apply(token xml.Token) error {
 	switch token := token.(type) {
 	case xml.StartElement:
 		p.element = strings.ToLower(token.Name.Local)
 		for _, attribute := range token.Attr {
-			if strings.EqualFold(attribute.Name.Local, "code") {
+			if strings.EqualFold(attribute.Name.Local, codeAttribute) {
 				p.setCode(attribute.Value)
 			}
 		}
@@ -66,14 +62,14 @@
 
 func (p *answerParser) text(text string) error {
 	switch p.element {
-	case "taken":
-		taken, err := strconv.Atoi(text)
-		if err != nil || taken < 0 {
-			return &MemberError{"taken", strconv.Quote(text), "a whole number not below 0"}
+	case acceptedElement:
+		accepted, err := strconv.Atoi(text)
+		if err != nil || accepted < 0 {
+			return &member.Error{Member: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
 		}
-		p.answer.Taken = taken
+		p.answer.Accepted = accepted
 		p.found = true
-	case "code", "error":
+	case codeElement, errorElement:
 		if text != "" {
 			p.setCode(text)
 		}
--- /dev/null
+++ b/internal/wire/answer_test.go
@@ -0,0 +1,28 @@
+package wire
+
+import "testing"
+
+func TestDecodeAnswer(t *testing.T) {
+	for body, want := range map[string]Answer{
+		`<?xml version="1.0"?><Response><results><item><taken>3</taken></item></results></Response>`: {Accepted: 3},
+		`<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>`:                     {Code: "BUSY"},
+		`<Response><error code="SYNTAX"/></Response>`:                                                {Code: "SYNTAX"},
+	} {
+		if got, err := DecodeAnswer([]byte(body)); err != nil || got != want {
+			t.Errorf("%s: got %+v (%v), want %+v", body, got, err, want)
+		}
+	}
+}
+
+func TestDecodeAnswerRejectsInvalidAnswers(t *testing.T) {
+	for _, test := range []invalidInput{
+		{input: ``},
+		{input: `ok`},
+		{input: `<Response><results><item><taken>3</taken>`},
+		{input: `<a><taken>-1</taken></a>`, member: "taken"},
+		{input: `<a><taken></taken></a>`},
+	} {
+		got, err := DecodeAnswer([]byte(test.input))
+		test.check(t, got, err)
+	}
+}
--- a/internal/wire/bytes_test.go
+++ b/internal/wire/bytes_test.go
@@ -9,7 +9,7 @@
 	"madderhollow/internal/golden"
 )
 
-// relayOrders has every order that goes to the relay, with figures of every size.
+// relayOrders returns every type of order for the relay, with numbers of every magnitude.
 func relayOrders() []assign.Order {
 	var orders []assign.Order
 	for _, table := range []int{0, 4, 65534} {
@@ -17,10 +17,10 @@
 		for _, weight := range []float64{0, 0.1, 1, 1.5, 1.0 / 3, 1e-9, 1234567.875, 1e9} {
 			orders = append(orders, assign.SetWeight{Table: table, Endpoint: "s-5:x", Weight: weight})
 		}
-		for _, kinds := range [][]int{nil, {0}, {1}, {0, 1}} {
-			orders = append(orders, assign.AttachTable{Proxy: 5, Table: table, RequestClasses: kinds},
-				assign.SetRateLimit{Table: table, RequestClasses: kinds, Limit: 0.9, Retries: 1},
-				assign.SetRateLimit{Table: assign.AllProxies, RequestClasses: kinds, Limit: 1e9})
+		for _, classes := range [][]int{nil, {0}, {1}, {0, 1}} {
+			orders = append(orders, assign.AttachTable{Proxy: 5, Table: table, RequestClasses: classes},
+				assign.SetRateLimit{Table: table, RequestClasses: classes, Limit: 0.9, Retries: 1},
+				assign.SetRateLimit{Table: assign.AllProxies, RequestClasses: classes, Limit: 1e9})
 		}
 		orders = append(orders, assign.EjectEndpoint{Endpoint: "s", Ejected: true}, assign.EjectEndpoint{Endpoint: "s"},
 			assign.AcknowledgmentRequest{Sequence: table}, assign.AcknowledgmentRequest{Sequence: table, AllProxies: true})
@@ -28,18 +28,18 @@
 	return orders
 }
 
-// TestRelayBytes compares what goes to the relay, order by order and as one call, with the bytes of an earlier build.
-func TestRelayBytes(t *testing.T) {
+// TestEncodedOrdersMatchRecordedBytes compares encoded orders, one by one and as one call, with recorded bytes.
+func TestEncodedOrdersMatchRecordedBytes(t *testing.T) {
 	var got bytes.Buffer
 	var texts []string
 	for _, order := range relayOrders() {
-		text, err := testCodec().Order(order)
+		text, err := testCodec().EncodeOrder(order)
 		if err != nil {
 			t.Fatalf("%#v: %v", order, err)
 		}
 		texts = append(texts, text)
 		fmt.Fprintln(&got, text)
 	}
-	fmt.Fprintf(&got, "%s\n%s%s", Call(texts), Pong(), Refused())
+	fmt.Fprintf(&got, "%s\n%s%s", EncodeCall(texts), Pong(), Refused())
 	golden.Compare(t, "relay_bytes.txt", got.Bytes())
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,9 +1,8 @@
-// Package wire reads and writes the messages of the platform's own protocol: each is decoded once, into an event of package
-// assign or a small message of its own, and encoded once. It opens no connection.
+// Package wire decodes and encodes the messages of the platform's protocol: reports, endpoint lists, relay events, orders
+// and the relay's answers. Each message is decoded once, into an event of package assign or a small type of this package.
+// The package does no I/O beyond reading the io.Reader of a Stream.
 //
-// What the messages call heard, usage, joined, left and applied are assign.EndpointLoadReport, ProxyTrafficReport,
-// ProxyConnected, ProxyDisconnected and Acknowledged; put, wipe, attach, gate, eject and fence are SetWeight, ClearTable,
-// AttachTable, SetRateLimit, EjectEndpoint and AcknowledgmentRequest. Times on the wire are milliseconds.
+// names.go has the table of the protocol's names, with the term and the unit that each stands for.
 package wire
 
 import (
@@ -18,49 +17,41 @@
 )
 
 const (
-	millisecondsPerSecond = 1000
-	microsPerMillisecond  = 1000
-	// maxNumber bounds counts and times: above it a number is a broken counter, and sums of it lose their digits.
+	millisecondsPerSecond      = 1000
+	microsecondsPerMillisecond = 1000
+	// maxNumber bounds counts and times. A larger value is a defective counter, and sums of it lose digits.
 	maxNumber = 1e9
-	// maxUnixTime bounds the time of an endpoint's start, in ms: the year 5138, well below what a Duration holds.
+	// maxUnixTime bounds the start time of an endpoint, in ms: the year 5138, well below the range of time.Duration.
 	maxUnixTime = 1e14
-	// maxBusy bounds a busy fraction: 1 is full, and what is measured strays by some tenths.
+	// maxBusy bounds a busy fraction. 1 is full; measured values exceed that by some tenths.
 	maxBusy = 4
-	// tolerance stretches the bounds that the settings give: clocks and timers are late on a busy machine.
+	// tolerance multiplies the bounds derived from the settings, because clocks and timers are late on a busy machine.
 	tolerance = 10
 )
 
-// Errors of messages whose form is right. MemberError is for a member out of range.
+// Errors of messages that parse but cannot be used. A member with an unusable value is a *member.Error.
 var (
-	ErrUnknownMessage = errors.New("unknown message")
-	ErrUnknownZone    = errors.New("unknown locality")
-	ErrUnknownProxy   = errors.New("unknown node")
-	ErrUnknownClass   = errors.New("unknown route")
-	ErrNoName         = errors.New("no name")
-	ErrCannotEncode   = errors.New("cannot be written")
+	ErrUnknownMessage = errors.New("unknown message type")
+	ErrUnknownZone    = errors.New("unknown zone")
+	ErrUnknownProxy   = errors.New("unknown proxy")
+	ErrUnknownClass   = errors.New("unknown request class")
+	ErrNoEndpointName = errors.New("endpoint name is empty")
+	ErrCannotEncode   = errors.New("order cannot be encoded")
 )
 
-// MemberError tells which member of a message cannot be used, its value and what it should be.
-type MemberError struct {
-	Member string
-	Value  string // as in the message; "missing" if it is not there
-	Want   string
-}
-
-func (e *MemberError) Error() string { return fmt.Sprintf("%s=%s: want %s", e.Member, e.Value, e.Want) }
-
-// Codec holds what of the configuration the messages refer to by name or by position. Any number of goroutines may use it.
+// Codec holds the part of the configuration that messages refer to by name or by position. It does not change, so any
+// number of goroutines may use it.
 type Codec struct {
 	loadMetrics []assign.LoadMetric
-	classes     []string
+	classes     []string // names of the request classes, by position
 	zones       []string
-	proxies     int
-	maxLatency  float64   // ms: no answer comes after all deadlines
-	maxInterval float64   // ms, of a report
-	epoch       time.Time // when the assigner's clock showed 0
+	proxies     int       // proxy numbers are below this
+	maxLatency  float64   // ms; no answer arrives after all deadlines
+	maxInterval float64   // ms, that a report covers
+	epoch       time.Time // wall clock's time at 0 of the assigner's clock
 }
 
-// NewCodec makes a codec. Epoch is the wall clock's time at which the assigner's clock showed 0.
+// NewCodec returns a codec for a configuration. Epoch is the wall clock's time at 0 of the assigner's clock.
 func NewCodec(config assign.Config, epoch time.Time) *Codec {
 	codec := &Codec{
 		loadMetrics: config.Reports.LoadMetrics,
@@ -80,13 +71,13 @@
 	if deadline > 0 {
 		codec.maxLatency = min(maxNumber, tolerance*deadline*millisecondsPerSecond)
 	}
-	codec.maxInterval = codec.longestInterval(config.Reports)
+	codec.maxInterval = codec.maxReportInterval(config.Reports)
 	return codec
 }
 
-// longestInterval is what a report may cover, ms. Where reports a second are capped, those of a large fleet take their
-// turns, and each then tells of the time since its last.
-func (c *Codec) longestInterval(reports assign.ReportConfig) float64 {
+// maxReportInterval returns the longest time that a report may cover, ms. Under a cap on reports per second the proxies of
+// a large fleet report in turn, so a report covers the time since the proxy's previous one.
+func (c *Codec) maxReportInterval(reports assign.ReportConfig) float64 {
 	interval := reports.Interval
 	if interval <= 0 {
 		return maxNumber
@@ -97,49 +88,25 @@
 	return min(maxNumber, tolerance*interval*millisecondsPerSecond)
 }
 
-// checkZone checks the name of a zone. A deployment may have none; then messages name none.
+// checkZone checks the name of a zone. Messages of a deployment without zones have no zone name.
 func (c *Codec) checkZone(name string) error {
 	noZones := name == "" && len(c.zones) == 0
 	if !noZones && !slices.Contains(c.zones, name) {
-		return fmt.Errorf("%w %q", ErrUnknownZone, name)
+		return fmt.Errorf("%w %q in %q", ErrUnknownZone, name, zoneMember)
 	}
 	return nil
 }
 
-// proxy reads the number of a proxy.
-func (c *Codec) proxy(node *float64) (int, error) {
-	number, err := count("node", node)
-	if err != nil {
-		return 0, err
-	}
+// proxy returns the number of a proxy; nil is a missing one.
+func (c *Codec) proxy(checks *memberChecks, value *float64) int {
+	number := checks.count(proxyMember, "number of a proxy", value)
 	if number >= c.proxies {
-		return 0, fmt.Errorf("%w %d of %d", ErrUnknownProxy, number, c.proxies)
+		checks.keep(fmt.Errorf("%w %d in %q, want one below %d", ErrUnknownProxy, number, proxyMember, c.proxies))
 	}
-	return number, nil
+	return number
 }
 
-// number reads a member from 0 to a bound. A missing one is nil.
-func number(member string, value *float64, bound float64) (float64, error) {
-	if value == nil {
-		return 0, &MemberError{member, "missing", fmt.Sprintf("a number from 0 to %g", bound)}
-	}
-	if !(*value >= 0 && *value <= bound) {
-		return 0, &MemberError{member, fmt.Sprint(*value), fmt.Sprintf("a number from 0 to %g", bound)}
-	}
-	return *value, nil
+// isOrderArgument reports whether a name can be written into an order.
+func isOrderArgument(name string) bool {
+	return name != "" && !strings.ContainsAny(name, reservedCharacters)
 }
-
-// count reads a member that is a whole number.
-func count(member string, value *float64) (int, error) {
-	n, err := number(member, value, maxNumber)
-	if err != nil {
-		return 0, err
-	}
-	if n != math.Trunc(n) {
-		return 0, &MemberError{member, fmt.Sprint(n), "a whole number"}
-	}
-	return int(n), nil
-}
-
-// IsPlain tells whether a name can stand in an order.
-func IsPlain(name string) bool { return name != "" && !strings.ContainsAny(name, ",;*+") }
--- /dev/null
+++ b/internal/wire/codec_test.go
@@ -0,0 +1,86 @@
+package wire
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"madderhollow/assign"
+	"madderhollow/internal/member"
+	"madderhollow/internal/testconfig"
+)
+
+// testCodec returns the codec of a small deployment with two zones, six proxies and two request classes. Its clock shows 0
+// at 1000 s of Unix time.
+func testCodec() *Codec {
+	config := testconfig.New([]string{"a", "b"}, 6, "read", "sign")
+	config.RequestClasses[0].Deadline = 3
+	config.RequestClasses[1].Deadline = 4
+	config.Reports = assign.ReportConfig{Interval: 1, LoadMetrics: []assign.LoadMetric{assign.MetricBusy, assign.MetricInFlight}}
+	return NewCodec(config, time.UnixMilli(1_000_000))
+}
+
+// invalidInput is an input that must be rejected, and why.
+type invalidInput struct {
+	input  string
+	member string // name in the member.Error; empty: the error is another one
+	is     error  // sentinel; nil: the error is another one
+}
+
+// check fails the test unless the error of decoding is the expected one.
+func (i invalidInput) check(t *testing.T, got any, err error) {
+	t.Helper()
+	if err == nil {
+		t.Errorf("%s: got %#v, want an error", i.input, got)
+		return
+	}
+	var memberError *member.Error
+	if i.member != "" && (!errors.As(err, &memberError) || memberError.Member != i.member) {
+		t.Errorf("%s: got error %q, want one of member %s", i.input, err, i.member)
+	}
+	if i.is != nil && !errors.Is(err, i.is) {
+		t.Errorf("%s: got error %q, want %q", i.input, err, i.is)
+	}
+}
+
+func TestZoneNameIsRequiredOnlyWithZones(t *testing.T) {
+	for _, test := range []struct {
+		zones  []string
+		line   string
+		usable bool
+	}{
+		{nil, `{"@type":"collector"}`, true},
+		{nil, `{"@type":"collector","locality":"a"}`, false},
+		{[]string{"a"}, `{"@type":"collector"}`, false},
+		{[]string{"a"}, `{"@type":"collector","locality":"a"}`, true},
+		{[]string{""}, `{"@type":"collector","locality":""}`, true},
+		{nil, `{"@type":"heard","endpoint":"s","total":1,"errors":0,"rtt":5,"interval":1000}`, true},
+	} {
+		codec := NewCodec(testconfig.New(test.zones, 1), time.Now())
+		if _, err := codec.DecodeMessage([]byte(test.line)); (err == nil) != test.usable {
+			t.Errorf("zones %q: %s: got error %v, want usable %t", test.zones, test.line, err, test.usable)
+		}
+	}
+	if _, err := NewCodec(assign.DefaultConfig(), time.Now()).DecodeRelayEvent("joined", "node=1&w=2&cold=1"); err != nil {
+		t.Errorf("event without a zone: got error %v, want none", err)
+	}
+}
+
+// Under a cap on reports per second, a proxy of a large fleet reports at many times the report interval. Rejecting such
+// reports would close the connection of every collector.
+func TestReportIntervalBoundFollowsReportCap(t *testing.T) {
+	for _, test := range []struct {
+		limit    float64
+		interval int
+		usable   bool
+	}{{120, 24386, true}, {120, 60000, true}, {120, 700000, false}, {0, 24386, false}, {50000, 24386, false}} {
+		config := testconfig.New(nil, 2400, "a", "b", "c")
+		config.Reports.Interval, config.Reports.MaxPerSecond = 1, test.limit
+		codec := NewCodec(config, time.Now())
+		line := fmt.Sprintf(`{"@type":"usage","node":7,"route":"b","total":30,"errors":0,"interval":%d}`, test.interval)
+		if _, err := codec.DecodeMessage([]byte(line)); (err == nil) != test.usable {
+			t.Errorf("%g reports per second, interval of %d ms: got error %v, want usable %t", test.limit, test.interval, err, test.usable)
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/endpointlist.go
@@ -0,0 +1,93 @@
+package wire
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"strconv"
+	"time"
+
+	"madderhollow/assign"
+	"madderhollow/internal/member"
+)
+
+// DecodeEndpointList decodes an answer of discovery. One entry that cannot be used makes the whole list unusable: an
+// endpoint left out of a full list would count as removed.
+func (c *Codec) DecodeEndpointList(body []byte) (assign.EndpointUpdate, error) {
+	var list EndpointList
+	if err := json.Unmarshal(body, &list); err != nil {
+		return assign.EndpointUpdate{}, fmt.Errorf("malformed endpoint list: %w", err)
+	}
+	return c.EndpointUpdate(list)
+}
+
+// EndpointUpdate converts an endpoint list into an event.
+func (c *Codec) EndpointUpdate(list EndpointList) (assign.EndpointUpdate, error) {
+	if list.Version == nil || *list.Version < 0 {
+		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", &member.Error{Member: versionMember,
+			Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"})
+	}
+	if list.Full == nil {
+		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", &member.Error{Member: fullMember,
+			Value: member.Missing, Want: "whether the list is complete: true or false"})
+	}
+	update := assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full,
+		Endpoints: make([]assign.Endpoint, len(list.Endpoints))}
+	for i, entry := range list.Endpoints {
+		endpoint, err := c.endpoint(entry)
+		if err != nil {
+			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", update.Version, i, entry.Name, err)
+		}
+		update.Endpoints[i] = endpoint
+	}
+	return update, nil
+}
+
+func valueOrMissing(value *int64) string {
+	if value == nil {
+		return member.Missing
+	}
+	return strconv.FormatInt(*value, 10)
+}
+
+func (c *Codec) endpoint(entry ListedEndpoint) (assign.Endpoint, error) {
+	checks := &memberChecks{}
+	state, err := endpointState(entry.State)
+	checks.keep(err)
+	if !isOrderArgument(entry.Name) {
+		checks.keep(&member.Error{Member: nameMember, Value: strconv.Quote(entry.Name),
+			Want: "name of an endpoint: a string without " + reservedCharacters})
+	}
+	return assign.Endpoint{
+		Zone:        entry.Zone,
+		Group:       entry.Group,
+		Name:        entry.Name,
+		Weight:      checks.number(weightMember, "weight", &entry.Weight, maxNumber),
+		State:       state,
+		StartedAt:   c.clockTime(checks.number(startedAtMember, "Unix time of the start in ms", &entry.StartedAt, maxUnixTime)),
+		MachineType: entry.MachineType,
+	}, checks.err
+}
+
+func endpointState(state string) (assign.EndpointState, error) {
+	switch state {
+	case stateReady:
+		return assign.Ready, nil
+	case stateDraining:
+		return assign.Draining, nil
+	case stateRemoved:
+		return assign.Removed, nil
+	}
+	return 0, &member.Error{Member: stateMember, Value: strconv.Quote(state),
+		Want: fmt.Sprintf("state of an endpoint: %s, %s or %s", stateReady, stateDraining, stateRemoved)}
+}
+
+// clockTime converts a Unix time in ms to the assigner's clock, in s. Times before the clock's 0 become 0, which means long
+// ago.
+func (c *Codec) clockTime(unix float64) float64 {
+	if unix <= 0 {
+		return 0
+	}
+	sinceEpoch := time.UnixMicro(int64(unix * microsecondsPerMillisecond)).Sub(c.epoch)
+	return math.Max(0, sinceEpoch.Seconds())
+}
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -9,56 +9,68 @@
 	"madderhollow/assign"
 )
 
-// all stands for all tables or all request classes in an order.
-const all = "*"
+// callPrefix is the body of a call up to its orders.
+const callPrefix = "Action=CommitChanges&orders="
 
-// Order encodes one order of those that go to proxies. Others, and names that cannot be written, are ErrCannotEncode.
-func (c *Codec) Order(order assign.Order) (string, error) {
+// EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode for an order of another type or with a name
+// that contains a reserved character.
+func (c *Codec) EncodeOrder(order assign.Order) (string, error) {
 	switch order := order.(type) {
 	case assign.SetWeight:
-		return fmt.Sprintf("put,%d,%s,%s", order.Table, order.Endpoint, decimal(order.Weight)), nil
+		return encode(setWeightOrder, order.Table, order.Endpoint, decimal(order.Weight)), nil
 	case assign.ClearTable:
-		return fmt.Sprintf("wipe,%d", order.Table), nil
+		return encode(clearTableOrder, order.Table), nil
 	case assign.AttachTable:
 		classes, err := c.classNames(order.RequestClasses)
-		return fmt.Sprintf("attach,%d,%d,%s", order.Proxy, order.Table, classes), err
+		return encode(attachTableOrder, order.Proxy, order.Table, classes), err
 	case assign.SetRateLimit:
 		classes, err := c.classNames(order.RequestClasses)
-		return fmt.Sprintf("gate,%s,%s,%s,%d", tableName(order.Table), classes, decimal(order.Limit), order.Retries), err
+		return encode(setRateLimitOrder, tableName(order.Table), classes, decimal(order.Limit), order.Retries), err
 	case assign.EjectEndpoint:
 		if order.Ejected {
-			return "eject," + order.Endpoint, nil
+			return encode(ejectEndpointOrder, order.Endpoint), nil
 		}
-		return "uneject," + order.Endpoint, nil
+		return encode(restoreEndpointOrder, order.Endpoint), nil
 	case assign.AcknowledgmentRequest:
-		return fmt.Sprintf("fence,%d,%d", order.Sequence, digit(order.AllProxies)), nil
+		return encode(acknowledgmentRequestOrder, order.Sequence, digit(order.AllProxies)), nil
 	}
-	return "", fmt.Errorf("order of type %T: %w", order, ErrCannotEncode)
+	return "", fmt.Errorf("%w: type %T", ErrCannotEncode, order)
 }
 
-// classNames joins request classes, given by position, as an order has them.
+// encode joins the name of an order and its arguments, which are strings and integers.
+func encode(name string, arguments ...any) string {
+	var text strings.Builder
+	text.WriteString(name)
+	for _, argument := range arguments {
+		text.WriteString(argumentSeparator)
+		fmt.Fprint(&text, argument)
+	}
+	return text.String()
+}
+
+// classNames joins request classes, given by position.
 func (c *Codec) classNames(classes []int) (string, error) {
 	if len(classes) == 0 {
-		return all, nil
+		return allTablesOrClasses, nil
 	}
 	names := make([]string, len(classes))
 	for i, class := range classes {
-		if class < 0 || class >= len(c.classes) || !IsPlain(c.classes[class]) {
-			return "", fmt.Errorf("request class %d: %w", class, ErrCannotEncode)
+		if class < 0 || class >= len(c.classes) || !isOrderArgument(c.classes[class]) {
+			return "", fmt.Errorf("%w: request class %d", ErrCannotEncode, class)
 		}
 		names[i] = c.classes[class]
 	}
-	return strings.Join(names, "+"), nil
+	return strings.Join(names, requestClassSeparator), nil
 }
 
 func tableName(table int) string {
 	if table == assign.AllProxies {
-		return all
+		return allTablesOrClasses
 	}
 	return strconv.Itoa(table)
 }
 
-// decimal writes a number without an exponent.
+// decimal formats a number without an exponent.
 func decimal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
 func digit(flag bool) int {
@@ -68,7 +80,7 @@
 	return 0
 }
 
-// Call returns the body of one call to the relay.
-func Call(orders []string) []byte {
-	return []byte("Action=CommitChanges&orders=" + url.QueryEscape(strings.Join(orders, ";")))
+// EncodeCall returns the body of a call to the relay with encoded orders.
+func EncodeCall(orders []string) []byte {
+	return []byte(callPrefix + url.QueryEscape(strings.Join(orders, orderSeparator)))
 }
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -6,65 +6,63 @@
 	"strconv"
 
 	"madderhollow/assign"
+	"madderhollow/internal/member"
 )
 
-// form reads the members of an event's data and keeps the first error.
-type form struct {
+// eventMembers reads the members of a relay event.
+type eventMembers struct {
+	memberChecks
 	values url.Values
-	err    error
 }
 
-// number reads a member that is a number from 0.
-func (f *form) number(member string) float64 {
-	text := f.values.Get(member)
+// parse returns a member that is a number from 0. Term is what it holds, with its unit.
+func (m *eventMembers) parse(name, term string) float64 {
+	text := m.values.Get(name)
 	value, err := strconv.ParseFloat(text, 64)
-	if err == nil {
-		_, err = number(member, &value, maxNumber)
-	} else {
-		err = &MemberError{member, strconv.Quote(text), "a number"}
-	}
-	if f.err == nil {
-		f.err = err
+	if err != nil {
+		m.keep(&member.Error{Member: name, Value: strconv.Quote(text), Want: term + ": a number"})
+		return 0
 	}
-	return value
+	return m.number(name, term, &value, maxNumber)
 }
 
-// Event decodes one event of the relay's stream into assign.ProxyConnected, ProxyDisconnected or Acknowledged.
-func (c *Codec) Event(name, data string) (assign.Event, error) {
+// DecodeRelayEvent decodes one event of the relay's stream, with its type and its data, into assign.ProxyConnected,
+// assign.ProxyDisconnected or assign.Acknowledged.
+func (c *Codec) DecodeRelayEvent(eventType, data string) (assign.Event, error) {
 	values, err := url.ParseQuery(data)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+		return nil, fmt.Errorf("%s: %w", eventType, err)
 	}
-	f := &form{values: values}
-	event, err := c.event(name, f)
-	if err == nil {
-		err = f.err
-	}
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", name, err)
+	members := &eventMembers{values: values}
+	event := c.relayEvent(eventType, members)
+	if members.err != nil {
+		return nil, fmt.Errorf("%s: %w", eventType, members.err)
 	}
 	return event, nil
 }
 
-func (c *Codec) event(name string, values *form) (assign.Event, error) {
-	node := values.number("node")
-	if values.err != nil {
-		return nil, values.err
-	}
-	proxy, err := c.proxy(&node)
-	if err != nil {
-		return nil, err
-	}
-	switch name {
-	case "joined":
-		zone := values.values.Get("locality")
-		return assign.ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: values.number("w"), Fresh: values.number("cold") != 0},
-			c.checkZone(zone)
-	case "left":
-		return assign.ProxyDisconnected{Proxy: proxy}, nil
-	case "applied":
-		return assign.Acknowledged{Proxy: proxy, Sequence: int(values.number("nonce")),
-			Latency: values.number("latency") / millisecondsPerSecond}, nil
+func (c *Codec) relayEvent(eventType string, members *eventMembers) assign.Event {
+	number := members.parse(proxyMember, "number of a proxy")
+	proxy := c.proxy(&members.memberChecks, &number)
+	switch eventType {
+	case proxyConnectedType:
+		zone := members.values.Get(zoneMember)
+		members.keep(c.checkZone(zone))
+		return assign.ProxyConnected{
+			Proxy:       proxy,
+			Zone:        zone,
+			TypicalRate: members.parse(typicalRateMember, "typical rate in 1/s"),
+			Fresh:       members.parse(freshMember, "whether the proxy is fresh") != 0,
+		}
+	case proxyDisconnectedType:
+		return assign.ProxyDisconnected{Proxy: proxy}
+	case acknowledgedType:
+		return assign.Acknowledged{
+			Proxy:    proxy,
+			Sequence: int(members.parse(sequenceMember, "sequence number")),
+			Latency:  members.parse(ackLatencyMember, "latency in ms") / millisecondsPerSecond,
+		}
 	}
-	return nil, ErrUnknownMessage
+	members.keep(ErrUnknownMessage)
+	return nil
 }
--- /dev/null
+++ b/internal/wire/relayevents_test.go
@@ -0,0 +1,37 @@
+package wire
+
+import (
+	"testing"
+
+	"madderhollow/assign"
+)
+
+func TestDecodeRelayEvent(t *testing.T) {
+	for event, want := range map[[2]string]assign.Event{
+		{"joined", "node=3&locality=a&w=21.5&cold=1"}: assign.ProxyConnected{Proxy: 3, Zone: "a", TypicalRate: 21.5, Fresh: true},
+		{"left", "node=3"}:                            assign.ProxyDisconnected{Proxy: 3},
+		{"applied", "node=3&nonce=905&latency=310.5"}: assign.Acknowledged{Proxy: 3, Sequence: 905, Latency: 0.3105},
+	} {
+		if got, err := testCodec().DecodeRelayEvent(event[0], event[1]); err != nil || got != want {
+			t.Errorf("%v: got %#v (%v), want %#v", event, got, err, want)
+		}
+	}
+}
+
+func TestDecodeRelayEventRejectsInvalidEvents(t *testing.T) {
+	for _, test := range []struct {
+		eventType string
+		invalidInput
+	}{
+		{"joined", invalidInput{input: "node=6&locality=a&w=1&cold=0", is: ErrUnknownProxy}},
+		{"joined", invalidInput{input: "node=1&locality=q&w=1&cold=0", is: ErrUnknownZone}},
+		{"joined", invalidInput{input: "node=1&locality=a&w=NaN&cold=0", member: "w"}},
+		{"left", invalidInput{input: "node=", member: "node"}},
+		{"left", invalidInput{input: "%zz"}},
+		{"applied", invalidInput{input: "node=1&nonce=-1&latency=0", member: "nonce"}},
+		{"odd", invalidInput{input: "node=1", is: ErrUnknownMessage}},
+	} {
+		got, err := testCodec().DecodeRelayEvent(test.eventType, test.input)
+		test.check(t, got, err)
+	}
+}
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -4,162 +4,134 @@
 	"encoding/json"
 	"fmt"
 	"slices"
+	"strconv"
 
 	"madderhollow/assign"
+	"madderhollow/internal/member"
 	"madderhollow/internal/settings"
 )
 
-// Message is what a client may send to the assigner's address: Ping, Collector or Report.
+// Message is a message that a client sends to the assigner's address: Ping, Collector or Report.
 type Message interface{ isMessage() }
 
-// Ping asks whether the assigner can take up its work.
+// Ping asks whether the assigner is ready. The answer is Pong.
 type Ping struct{}
 
-// Collector states the zone whose reports a connection brings.
+// Collector identifies the connection as that of a collector, and names the zone whose reports it sends.
 type Collector struct{ Zone string }
 
-// Report is an assign.EndpointLoadReport or an assign.ProxyTrafficReport.
+// Report holds an assign.EndpointLoadReport or an assign.ProxyTrafficReport.
 type Report struct{ Event assign.Event }
 
 func (Ping) isMessage()      {}
 func (Collector) isMessage() {}
 func (Report) isMessage()    {}
 
-// Pong returns the answer to Ping.
-func Pong() []byte { return []byte(`{"@type":"pong"}` + "\n") }
+// Pong returns the line that answers Ping.
+func Pong() []byte { return []byte(`{"@type":"` + pongType + `"}` + "\n") }
 
-// Refused returns what a client is told whose connection is closed.
-func Refused() []byte { return []byte(`{"@type":"refused"}` + "\n") }
+// Refused returns the line that a client receives before its connection is closed.
+func Refused() []byte { return []byte(`{"@type":"` + refusedType + `"}` + "\n") }
 
-// The types of messages at the assigner's address.
-const (
-	pingType           = "ping"
-	collectorType      = "collector"
-	endpointReportType = "heard"
-	proxyTrafficType   = "usage"
-)
-
-// missingMetric stands in a load report's row until the metric was found.
+// missingMetric marks a metric that the load report has not stated.
 const missingMetric = -1
 
-// members are those of all messages at the assigner's address; a pointer tells a missing one.
-type members struct {
-	Type     string          `json:"@type"`
-	Locality string          `json:"locality"`
-	Endpoint string          `json:"endpoint"`
-	Route    string          `json:"route"`
-	Node     *float64        `json:"node"`
-	Total    *float64        `json:"total"`
-	Errors   *float64        `json:"errors"`
-	RTT      *float64        `json:"rtt"`
-	Interval *float64        `json:"interval"`
-	Metrics  json.RawMessage `json:"metrics"`
-}
-
-// Line decodes one line that came in at the assigner's address. After an error the line is to be skipped.
-func (c *Codec) Line(line []byte) (Message, error) {
-	var fields members
-	if err := json.Unmarshal(line, &fields); err != nil {
-		return nil, fmt.Errorf("not a message: %w", err)
+// DecodeMessage decodes one line received at the assigner's address.
+func (c *Codec) DecodeMessage(line []byte) (Message, error) {
+	var members reportMembers
+	if err := json.Unmarshal(line, &members); err != nil {
+		return nil, fmt.Errorf("malformed message: %w", err)
 	}
-	switch fields.Type {
+	switch members.Type {
 	case pingType:
 		return Ping{}, nil
 	case collectorType:
-		if err := c.checkZone(fields.Locality); err != nil {
-			return nil, fmt.Errorf("%s: %w", fields.Type, err)
+		if err := c.checkZone(members.Zone); err != nil {
+			return nil, fmt.Errorf("%s: %w", members.Type, err)
 		}
-		return Collector{fields.Locality}, nil
-	case endpointReportType:
-		report, err := c.endpointReport(&fields)
-		return reported(fields.Type, report, err)
-	case proxyTrafficType:
-		report, err := c.proxyTraffic(&fields)
-		return reported(fields.Type, report, err)
-	}
-	return nil, fmt.Errorf("%w %q", ErrUnknownMessage, fields.Type)
+		return Collector{members.Zone}, nil
+	case endpointLoadReportType:
+		report, err := c.endpointLoadReport(&members)
+		return reportMessage(members.Type, report, err)
+	case proxyTrafficReportType:
+		report, err := c.proxyTrafficReport(&members)
+		return reportMessage(members.Type, report, err)
+	}
+	return nil, fmt.Errorf("%w %q", ErrUnknownMessage, members.Type)
 }
 
-func reported(messageType string, event assign.Event, err error) (Message, error) {
+func reportMessage(messageType string, event assign.Event, err error) (Message, error) {
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", messageType, err)
 	}
 	return Report{event}, nil
 }
 
-// totals are what both reports have.
-type totals struct {
-	total    int
+// commonMembers are the members that both reports have.
+type commonMembers struct {
+	requests int // or attempts
 	failed   int
 	interval float64 // s
 }
 
-func (c *Codec) totals(fields *members) (sums totals, err error) {
-	if sums.total, err = count("total", fields.Total); err != nil {
-		return sums, err
-	}
-	if sums.failed, err = count("errors", fields.Errors); err != nil {
-		return sums, err
-	}
-	interval, err := number("interval", fields.Interval, c.maxInterval)
-	if err != nil {
-		return sums, err
-	}
+func (c *Codec) commonMembers(checks *memberChecks, members *reportMembers) commonMembers {
+	requests := checks.count(requestsMember, "requests or attempts", members.Requests)
+	failed := checks.count(failedMember, "failed requests or attempts", members.Failed)
+	interval := checks.number(reportIntervalMember, "report interval in ms", members.Interval, c.maxInterval)
 	if interval == 0 {
-		return sums, &MemberError{"interval", "0", "more than 0"}
+		checks.keep(&member.Error{Member: reportIntervalMember, Value: "0", Want: "report interval in ms: more than 0"})
 	}
-	sums.interval = interval / millisecondsPerSecond
-	return sums, nil
+	return commonMembers{requests, failed, interval / millisecondsPerSecond}
 }
 
-func (c *Codec) endpointReport(fields *members) (report assign.EndpointLoadReport, err error) {
-	sums, err := c.totals(fields)
-	if err != nil {
-		return report, err
-	}
-	if err := c.checkZone(fields.Locality); err != nil {
-		return report, err
-	}
-	if fields.Endpoint == "" {
-		return report, fmt.Errorf("endpoint: %w", ErrNoName)
-	}
-	if sums.failed > sums.total { // an attempt ends once; a request of usage may fail an interval after it came
-		return report, &MemberError{"errors", fmt.Sprint(sums.failed), fmt.Sprintf("at most the total of %d", sums.total)}
-	}
-	report = assign.EndpointLoadReport{Zone: fields.Locality, Endpoint: fields.Endpoint, Interval: sums.interval, Attempts: sums.total,
-		Failed: sums.failed, Load: c.load(fields.Metrics)}
-	if sums.total > sums.failed { // without successful attempts there is no latency of them
-		latency, err := number("rtt", fields.RTT, c.maxLatency)
-		if err != nil {
-			return report, err
-		}
-		report.MeanLatency = latency / millisecondsPerSecond
-	}
-	return report, nil
+func (c *Codec) endpointLoadReport(members *reportMembers) (assign.EndpointLoadReport, error) {
+	checks := &memberChecks{}
+	counts := c.commonMembers(checks, members)
+	checks.keep(c.checkZone(members.Zone))
+	if members.Endpoint == "" {
+		checks.keep(fmt.Errorf("%q: %w", endpointMember, ErrNoEndpointName))
+	}
+	// Only attempts are checked against their failures: a request may fail in an interval after that of its arrival.
+	if counts.failed > counts.requests {
+		checks.keep(&member.Error{Member: failedMember, Value: strconv.Itoa(counts.failed),
+			Want: fmt.Sprintf("failed attempts: at most the %d attempts", counts.requests)})
+	}
+	latency := 0.0
+	if counts.requests > counts.failed { // without a successful attempt the latency has no meaning and may be missing
+		latency = checks.number(meanLatencyMember, "mean latency in ms", members.MeanLatency, c.maxLatency)
+	}
+	return assign.EndpointLoadReport{
+		Zone:        members.Zone,
+		Endpoint:    members.Endpoint,
+		Interval:    counts.interval,
+		MeanLatency: latency / millisecondsPerSecond,
+		Attempts:    counts.requests,
+		Failed:      counts.failed,
+		Load:        c.load(members.Load),
+	}, checks.err
 }
 
-func (c *Codec) proxyTraffic(fields *members) (report assign.ProxyTrafficReport, err error) {
-	sums, err := c.totals(fields)
-	if err != nil {
-		return report, err
-	}
-	proxy, err := c.proxy(fields.Node)
-	if err != nil {
-		return report, err
-	}
-	if !slices.Contains(c.classes, fields.Route) {
-		return report, fmt.Errorf("%w %q", ErrUnknownClass, fields.Route)
-	}
-	return assign.ProxyTrafficReport{Proxy: proxy, RequestClass: fields.Route, Interval: sums.interval, Requests: sums.total,
-		Failed: sums.failed}, nil
+func (c *Codec) proxyTrafficReport(members *reportMembers) (assign.ProxyTrafficReport, error) {
+	checks := &memberChecks{}
+	counts := c.commonMembers(checks, members)
+	proxy := c.proxy(checks, members.Proxy)
+	if !slices.Contains(c.classes, members.RequestClass) {
+		checks.keep(fmt.Errorf("%w %q in %q", ErrUnknownClass, members.RequestClass, requestClassMember))
+	}
+	return assign.ProxyTrafficReport{
+		Proxy:        proxy,
+		RequestClass: members.RequestClass,
+		Interval:     counts.interval,
+		Requests:     counts.requests,
+		Failed:       counts.failed,
+	}, checks.err
 }
 
-// load puts a load report's figures, which come by name, into the order of the configured metrics. A report that lacks
-// one, or has one that cannot be, is left out whole: a zero in its place would pass for an idle endpoint. The attempts
-// beside it stand.
-func (c *Codec) load(metrics json.RawMessage) []float64 {
+// load returns the values of a load report in the order of the configured metrics. A report with a missing or invalid
+// metric is dropped whole, because a zero in its place would look like an idle endpoint. The rest of the message is used.
+func (c *Codec) load(data json.RawMessage) []float64 {
 	values := map[string]float64{}
-	if len(metrics) == 0 || len(c.loadMetrics) == 0 || json.Unmarshal(metrics, &values) != nil {
+	if len(data) == 0 || len(c.loadMetrics) == 0 || json.Unmarshal(data, &values) != nil {
 		return nil
 	}
 	row := slices.Repeat([]float64{missingMetric}, len(c.loadMetrics))
@@ -169,7 +141,7 @@
 		if column < 0 {
 			continue
 		}
-		if _, err := number(name, &value, maxOf(metric)); err != nil {
+		if !member.InRange(value, maxOf(metric)) {
 			return nil
 		}
 		row[column] = settings.LoadValue(metric, value)
@@ -180,7 +152,7 @@
 	return row
 }
 
-// maxOf bounds a load metric.
+// maxOf returns the upper bound of a load metric, in its unit on the wire.
 func maxOf(metric assign.LoadMetric) float64 {
 	if metric == assign.MetricBusy {
 		return maxBusy
--- /dev/null
+++ b/internal/wire/reports_test.go
@@ -0,0 +1,74 @@
+package wire
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"madderhollow/assign"
+)
+
+func TestDecodeMessage(t *testing.T) {
+	for line, want := range map[string]Message{
+		`{"@type":"ping"}`:                     Ping{},
+		`{"@type":"collector","locality":"a"}`: Collector{"a"},
+		`{"@type":"heard","locality":"a","endpoint":"s","total":12,"errors":3,"rtt":41.5,"interval":500,"metrics":{"inflight":7,"util":0.5}}`: Report{assign.EndpointLoadReport{
+			Zone: "a", Endpoint: "s", Attempts: 12, Failed: 3, MeanLatency: 0.0415, Interval: 0.5, Load: []float64{0.5, 7}}},
+		`{"@type":"usage","node":5,"route":"sign","total":0,"errors":1,"interval":1000}`: Report{assign.ProxyTrafficReport{
+			Proxy: 5, RequestClass: "sign", Failed: 1, Interval: 1}},
+	} {
+		if got, err := testCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s\n got %#v (%v)\nwant %#v", line, got, err, want)
+		}
+	}
+}
+
+// An invalid load report does not invalidate the attempts of the same message, nor the other way round.
+func TestDecodeMessageDropsInvalidLoadAlone(t *testing.T) {
+	const twoAttempts = `{"@type":"heard","locality":"b","endpoint":"s","total":2,"errors":%s,"interval":500,"metrics":%s}`
+	succeeded := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, MeanLatency: 0.001, Interval: 0.5}
+	failed := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, Failed: 2, Interval: 0.5, Load: []float64{0.5, 7}}
+	for name, test := range map[string]struct {
+		failed, load string
+		want         assign.EndpointLoadReport
+	}{
+		"missing metric":               {`0,"rtt":1`, `{"util":0.5}`, succeeded},
+		"negative metric":              {`0,"rtt":1`, `{"inflight":7,"util":-1}`, succeeded},
+		"metric above its bound":       {`0,"rtt":1`, `{"inflight":7,"util":1e6}`, succeeded},
+		"load of another type":         {`0,"rtt":1`, `"none"`, succeeded},
+		"no latency, all attempts bad": {`2`, `{"inflight":7,"util":0.5}`, failed},
+	} {
+		line := fmt.Sprintf(twoAttempts, test.failed, test.load)
+		want := Report{test.want}
+		if got, err := testCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %s\n got %#v (%v)\nwant %#v", name, line, got, err, want)
+		}
+	}
+}
+
+func TestDecodeMessageRejectsInvalidMessages(t *testing.T) {
+	for _, test := range []invalidInput{
+		{input: ``},
+		{input: `[]`},
+		{input: `{"@type":"other"}`, is: ErrUnknownMessage},
+		{input: `{"@type":"collector","locality":"q"}`, is: ErrUnknownZone},
+		{input: `{"@type":"collector"}`, is: ErrUnknownZone},
+		{input: `{"@type":"usage","route":"sign","total":9,"errors":1,"interval":1000}`, member: "node"},
+		{input: `{"@type":"usage","node":6,"route":"sign","total":9,"errors":1,"interval":1000}`, is: ErrUnknownProxy},
+		{input: `{"@type":"usage","node":1,"route":"odd","total":9,"errors":1,"interval":1000}`, is: ErrUnknownClass},
+		{input: `{"@type":"usage","node":1,"route":"sign","total":9,"interval":1000}`, member: "errors"},
+		{input: `{"@type":"usage","node":1,"route":"sign","total":9.5,"errors":1,"interval":1000}`, member: "total"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":3,"rtt":4,"interval":500}`, member: "errors"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":-1,"errors":0,"rtt":4,"interval":500}`, member: "total"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":NaN,"interval":500}`},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1e99,"interval":500}`, member: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":0}`, member: "interval"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"","total":1,"errors":0,"rtt":1,"interval":500}`, is: ErrNoEndpointName},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"interval":500}`, member: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":99000,"interval":500}`, member: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":99000}`, member: "interval"},
+	} {
+		got, err := testCodec().DecodeMessage([]byte(test.input))
+		test.check(t, got, err)
+	}
+}
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -3,35 +3,37 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
 	"io"
 	"strings"
 )
 
 const (
-	// maxEventSize bounds a line of the event stream and the data of one event, in bytes; the relay's are under 100.
+	// maxEventSize bounds a line of the event stream and the data of one event, in bytes. The relay's events are under 100.
 	maxEventSize = 64 << 10
-	// streamBufferSize is that of the reader, in bytes.
+	// streamBufferSize is the size of the reader's buffer, in bytes.
 	streamBufferSize = 4096
-	// defaultEventName is that of an event which states none.
-	defaultEventName = "message"
+	// defaultEventType is the type of an event that states none.
+	defaultEventType = "message"
 	byteOrderMark    = "\ufeff"
 )
 
-// ErrEventTooLong is an event stream whose line, or whose event's data, is longer than maxEventSize.
-var ErrEventTooLong = errors.New("event stream: an event is too long")
+// ErrEventTooLong reports a line or the data of an event longer than maxEventSize. The stream cannot be read further.
+var ErrEventTooLong = errors.New("event stream: event too long")
 
-// Stream reads an event stream in the form of server-sent events (text/event-stream).
+// Stream reads server-sent events (text/event-stream). It must not be used by two goroutines at once.
 type Stream struct {
 	reader  *bufio.Reader
-	started bool
-	afterCR bool // a line ended in CR: an LF right behind it is part of its end
+	started bool // the first line has been read
+	afterCR bool // the previous line ended in CR, so an LF that follows belongs to its end
 }
 
-// NewStream reads from r.
+// NewStream returns a stream that reads from r. Closing r is the caller's job.
 func NewStream(r io.Reader) *Stream { return &Stream{reader: bufio.NewReaderSize(r, streamBufferSize)} }
 
-// Next returns the next event, or an event without a name for a heartbeat, which is a comment between events.
-func (s *Stream) Next() (name, data string, err error) {
+// Next blocks until the next event or heartbeat and returns it. A heartbeat is a comment between events; its type is empty.
+// Errors of the reader are wrapped; at the end of the stream that is io.EOF.
+func (s *Stream) Next() (eventType, data string, err error) {
 	var lines []string
 	size := 0
 	for {
@@ -41,20 +43,20 @@
 		}
 		if line == "" {
 			if len(lines) > 0 {
-				return nameOrDefault(name), strings.Join(lines, "\n"), nil
+				return typeOrDefault(eventType), strings.Join(lines, "\n"), nil
 			}
-			name = ""
+			eventType = ""
 			continue
 		}
 		field, value, _ := strings.Cut(line, ":")
 		value = strings.TrimPrefix(value, " ")
 		switch field {
-		case "": // within an event a comment proves life too, but the event's end will do so soon
-			if name == "" && len(lines) == 0 {
+		case "": // a comment; within an event it is skipped, because the event itself serves as a heartbeat
+			if eventType == "" && len(lines) == 0 {
 				return "", "", nil
 			}
 		case "event":
-			name = value
+			eventType = value
 		case "data":
 			size += len(value)
 			lines = append(lines, value)
@@ -65,20 +67,20 @@
 	}
 }
 
-func nameOrDefault(name string) string {
-	if name == "" {
-		return defaultEventName
+func typeOrDefault(eventType string) string {
+	if eventType == "" {
+		return defaultEventType
 	}
-	return name
+	return eventType
 }
 
-// line reads a line without its end, which may be LF, CR or both.
+// line reads a line without its end, which may be LF, CR or CR LF.
 func (s *Stream) line() (string, error) {
 	var line strings.Builder
 	for {
 		char, err := s.reader.ReadByte()
 		if err != nil {
-			return "", err
+			return "", fmt.Errorf("event stream: %w", err)
 		}
 		if s.afterCR && char == '\n' {
 			s.afterCR = false
