--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -42,7 +42,7 @@
 	if out != "[\"end\",1]\n" {
 		t.Errorf("reply %q", out)
 	}
-	for _, want := range []string{"line 2 skipped: left: field 1", "line 3 skipped", "line 5: flush before any mark"} {
+	for _, want := range []string{`line 2 skipped: left: "field 1"`, "line 3 skipped", "line 5: flush before any mark"} {
 		if !strings.Contains(diag, want) {
 			t.Errorf("no %q in %q", want, diag)
 		}
--- a/internal/simproto/bytes_test.go
+++ b/internal/simproto/bytes_test.go
@@ -8,8 +8,8 @@
 	"madderhollow/internal/golden"
 )
 
-// TestSimulatorBytes compares what goes to the simulator for a fixed list of orders with the bytes of an earlier build.
-func TestSimulatorBytes(t *testing.T) {
+// TestEncodedLinesMatchRecordedBytes compares the lines for a fixed list of orders with recorded bytes.
+func TestEncodedLinesMatchRecordedBytes(t *testing.T) {
 	orders := []assign.Order{assign.WatchEndpoints{Enabled: true}, assign.WatchEndpoints{}, assign.FetchEndpoints{}, assign.HealthCheck{Endpoint: "a:1"}, assign.Log{Message: `two "known" tasks`},
 		assign.SendPeerMessage{To: -1, Data: []byte("hi 7")}, assign.SendPeerMessage{To: 2, Data: []byte{0, 255}}, assign.SetTimer{Delay: 0.1, ID: 0}, assign.SetTimer{Delay: 1, ID: 77}}
 	for _, table := range []int{0, 117, 65534} {
@@ -18,10 +18,10 @@
 		for _, weight := range []float64{0, 0.1, 1, 1.5, 1.0 / 3, 1e-9, 1234567.875, 1e9} {
 			orders = append(orders, assign.SetWeight{Table: table, Endpoint: "s-5:x", Weight: weight})
 		}
-		for _, kinds := range [][]int{nil, {0}, {1}, {0, 1}, {0, 2, 5}} {
-			orders = append(orders, assign.AttachTable{Proxy: 5, Table: table, RequestClasses: kinds},
-				assign.SetRateLimit{Table: table, RequestClasses: kinds, Limit: 0.9, Retries: 1},
-				assign.SetRateLimit{Table: assign.AllProxies, RequestClasses: kinds, Limit: 1e9})
+		for _, classes := range [][]int{nil, {0}, {1}, {0, 1}, {0, 2, 5}} {
+			orders = append(orders, assign.AttachTable{Proxy: 5, Table: table, RequestClasses: classes},
+				assign.SetRateLimit{Table: table, RequestClasses: classes, Limit: 0.9, Retries: 1},
+				assign.SetRateLimit{Table: assign.AllProxies, RequestClasses: classes, Limit: 1e9})
 		}
 	}
 	var got bytes.Buffer
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -3,61 +3,73 @@
 import (
 	"encoding/base64"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strconv"
 
 	"madderhollow/assign"
 )
 
-// Encode turns one order of an instance into a line of the reply, without its end.
+// ErrUnknownOrder reports an order of a type that the protocol has no message for.
+var ErrUnknownOrder = errors.New("unknown order type")
+
+// Encode encodes one order of an instance as a line of the reply, without the line end.
 func Encode(instance int, order assign.Order) ([]byte, error) {
-	values := values(instance, order)
+	values := orderFields(instance, order)
 	if values == nil {
-		return nil, fmt.Errorf("order of unknown type %T", order)
+		return nil, fmt.Errorf("%w %T", ErrUnknownOrder, order)
+	}
+	return encodeLine(values)
+}
+
+func encodeLine(values []any) ([]byte, error) {
+	line, err := json.Marshal(values)
+	if err != nil {
+		return nil, fmt.Errorf("encode %v: %w", values[0], err)
 	}
-	return json.Marshal(values)
+	return line, nil
 }
 
-// values gives an order's message: its name, the instance and the rest in the protocol's order; nil if there is none.
-func values(instance int, order assign.Order) []any {
+// orderFields returns the name and the fields of an order's message, nil if the type is unknown.
+func orderFields(instance int, order assign.Order) []any {
 	switch order := order.(type) {
 	case assign.SetWeight:
-		return []any{"setLine", instance, order.Table, decimal(order.Weight), order.Endpoint}
+		return []any{setWeightName, instance, order.Table, decimal(order.Weight), order.Endpoint}
 	case assign.ClearTable:
-		return []any{"wipe", instance, order.Table}
+		return []any{clearTableName, instance, order.Table}
 	case assign.AttachTable:
-		return []any{"handTable", instance, order.Proxy, order.Table, classMask(order.RequestClasses)}
+		return []any{attachTableName, instance, order.Proxy, order.Table, classMask(order.RequestClasses)}
 	case assign.SetRateLimit:
-		return []any{"gateClass", instance, order.Retries, decimal(order.Limit), order.Table, classMask(order.RequestClasses)}
+		return []any{setRateLimitName, instance, order.Retries, decimal(order.Limit), order.Table, classMask(order.RequestClasses)}
 	case assign.EjectEndpoint:
-		return []any{"withdraw", instance, order.Ejected, order.Endpoint}
+		return []any{ejectEndpointName, instance, order.Ejected, order.Endpoint}
 	case assign.AcknowledgmentRequest:
-		return []any{"nonce", instance, order.Sequence, order.AllProxies}
+		return []any{acknowledgmentRequestName, instance, order.Sequence, order.AllProxies}
 	case assign.SetTimer:
-		return []any{"after", instance, decimal(order.Delay * millisecondsPerSecond), order.ID}
+		return []any{setTimerName, instance, decimal(order.Delay * millisecondsPerSecond), order.ID}
 	case assign.Log:
-		return []any{"journalLine", instance, order.String()}
+		return []any{logName, instance, order.String()}
 	case assign.HealthCheck:
-		return []any{"inspect", instance, order.Endpoint}
+		return []any{healthCheckName, instance, order.Endpoint}
 	case assign.SendPeerMessage:
-		return []any{"publish", instance, order.To, base64.StdEncoding.EncodeToString(order.Data)}
+		return []any{sendPeerMessageName, instance, order.To, base64.StdEncoding.EncodeToString(order.Data)}
 	case assign.WatchEndpoints:
-		return []any{"track", instance, order.Enabled}
+		return []any{watchEndpointsName, instance, order.Enabled}
 	case assign.FetchEndpoints:
-		return []any{"getList", instance}
+		return []any{fetchEndpointsName, instance}
 	}
 	return nil
 }
 
-// EncodeFault reports that an instance's code broke.
+// EncodeFault encodes the report that an instance panicked.
 func EncodeFault(instance int, reason string) ([]byte, error) {
-	return json.Marshal([]any{"fault", instance, reason})
+	return encodeLine([]any{faultName, instance, reason})
 }
 
-// EncodeEnd closes a reply.
-func EncodeEnd(batch json.Number) []byte { return []byte(`["end",` + batch.String() + `]`) }
+// EncodeEnd encodes the line that ends a reply.
+func EncodeEnd(batch json.Number) []byte { return []byte(`["` + endName + `",` + batch.String() + `]`) }
 
-// classMask packs positions of request classes into bits; none stands for all and is 0.
+// classMask packs positions of request classes into bits. No position stands for all classes and is 0.
 func classMask(classes []int) int64 {
 	var mask int64
 	for _, class := range classes {
@@ -66,5 +78,5 @@
 	return mask
 }
 
-// decimal writes a number without an exponent.
+// decimal formats a number without an exponent.
 func decimal(x float64) json.RawMessage { return strconv.AppendFloat(nil, x, 'f', -1, 64) }
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -4,39 +4,44 @@
 	"encoding/base64"
 	"fmt"
 	"math"
+	"strconv"
+
+	"madderhollow/internal/member"
 )
 
 const (
 	millisecondsPerSecond = 1000
-	maxID                 = 65535   // of proxies, tables and the like
-	maxExactInteger       = 1 << 53 // above it a float64 skips whole numbers
+	maxID                 = 65535   // of proxies, shards and sequence numbers
+	maxExactInteger       = 1 << 53 // above it float64 does not represent every whole number
 )
 
-// FieldError tells which field of a message cannot be read.
-type FieldError struct {
-	Message string
-	Field   int    // by position, from 0 behind the name
-	Want    string // what should stand there
-}
-
-func (e *FieldError) Error() string {
-	return fmt.Sprintf("%s: field %d: want %s", e.Message, e.Field, e.Want)
-}
-
-// fields reads the values of one message by position and keeps the first error.
+// fields reads the fields of one message by position and keeps the first error. Its methods return a zero value for an
+// invalid field, so the caller may go on reading and look at err once.
 type fields struct {
-	message string
+	message string // name, and the entry within the message if any
 	values  []any
 	err     error
 }
 
+// fail records that a field is invalid, unless there is an error already.
 func (f *fields) fail(i int, want string) {
 	if f.err == nil {
-		f.err = &FieldError{f.message, i, want}
+		f.err = fmt.Errorf("%s: %w", f.message, &member.Error{Member: fmt.Sprintf("field %d", i), Value: valueText(f.at(i)), Want: want})
 	}
 }
 
-// at gives a value, nil if it is null or missing.
+// valueText returns the text of a field's value for an error.
+func valueText(value any) string {
+	switch value := value.(type) {
+	case nil:
+		return member.Missing
+	case string:
+		return strconv.Quote(value)
+	}
+	return fmt.Sprint(value)
+}
+
+// at returns a field's value, nil if it is null or missing.
 func (f *fields) at(i int) any {
 	if i < len(f.values) {
 		return f.values[i]
@@ -56,8 +61,8 @@
 
 func (f *fields) notNegative(i int) float64 {
 	v := f.number(i)
-	if v < 0 {
-		f.fail(i, "a number not below 0")
+	if !member.InRange(v, math.MaxFloat64) {
+		f.fail(i, "a number from 0")
 	}
 	return v
 }
@@ -77,7 +82,7 @@
 func (f *fields) count(i int) int {
 	v := f.integer(i)
 	if v < 0 {
-		f.fail(i, "a whole number not below 0")
+		f.fail(i, "a whole number from 0")
 	}
 	return v
 }
@@ -85,7 +90,7 @@
 func (f *fields) id(i int) int {
 	v := f.count(i)
 	if v > maxID {
-		f.fail(i, "a number below 65536")
+		f.fail(i, fmt.Sprintf("a whole number from 0 to %d", maxID))
 	}
 	return v
 }
@@ -93,7 +98,7 @@
 func (f *fields) text(i int) string {
 	v, ok := f.at(i).(string)
 	if !ok {
-		f.fail(i, "a text")
+		f.fail(i, "a string")
 	}
 	return v
 }
@@ -114,22 +119,22 @@
 	return data
 }
 
-// loadReport reads an array of numbers, nil if it is null.
-func (f *fields) loadReport(i int) []float64 {
+// numbers reads an array of numbers; null or a missing field is nil.
+func (f *fields) numbers(i int) []float64 {
 	v := f.at(i)
 	if v == nil {
 		return nil
 	}
 	row, ok := v.([]any)
 	if !ok {
-		f.fail(i, "a load report")
+		f.fail(i, "an array of numbers")
 		return nil
 	}
 	values := make([]float64, 0, len(row))
 	for _, cell := range row {
 		x, ok := cell.(float64)
 		if !ok || !isFinite(x) {
-			f.fail(i, "numbers in the load report")
+			f.fail(i, "an array of numbers")
 			return nil
 		}
 		values = append(values, x)
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -1,6 +1,8 @@
-// Package simproto reads and writes the operators' simulator protocol: JSON arrays, one a line, in which a message's name
-// comes first and its values follow in a fixed order. Decoder turns lines into events of package assign and a few
-// messages of its own, Encode turns orders into lines. Units, names and ids are translated and nothing else is done.
+// Package simproto decodes and encodes the simulator's protocol: one JSON array per line. A Decoder converts lines into
+// events of package assign and a few messages of this package; Encode converts orders into lines. The package translates
+// names, units and identifiers, decides nothing and does no I/O.
+//
+// names.go has the table of the protocol's names, with the fields and units of each message.
 package simproto
 
 import (
@@ -12,7 +14,7 @@
 // Message is one of the message types below.
 type Message interface{ isMessage() }
 
-// OpenInstance starts an incarnation of an assigner. What came before for the instance belongs to its former one.
+// OpenInstance starts an incarnation of an assigner. Earlier messages for the instance belong to its previous incarnation.
 type OpenInstance struct {
 	Instance int
 	Seed     int64
@@ -28,16 +30,16 @@
 	Event    assign.Event
 }
 
-// BatchStart opens a batch of events, all of the same time.
+// BatchStart opens a batch of events that all happen at the same time.
 type BatchStart struct {
 	Now   float64     // s
-	Batch json.Number // its number, to be given back as it came
+	Batch json.Number // number of the batch; the reply repeats it digit by digit
 }
 
 // BatchEnd asks for the reply to the batch.
 type BatchEnd struct{}
 
-// UnknownMessage has a name that is not known. It is to be passed over.
+// UnknownMessage is a message whose name this package does not know. Hosts ignore it.
 type UnknownMessage struct{ Name string }
 
 func (OpenInstance) isMessage()   {}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
 
 	"madderhollow/assign"
+	"madderhollow/internal/member"
 )
 
 func decode(t *testing.T, line string) Message {
@@ -18,12 +20,12 @@
 	return message
 }
 
-// eventOf is the event of a message, which must be for instance 3.
+// eventOf returns the event of a message, which must be for instance 3.
 func eventOf(t *testing.T, message Message) assign.Event {
 	t.Helper()
 	m, ok := message.(InstanceEvent)
 	if !ok || m.Instance != 3 {
-		t.Fatalf("got %#v", message)
+		t.Fatalf("got %#v, want an event for instance 3", message)
 	}
 	return m.Event
 }
@@ -55,7 +57,7 @@
 	}
 }
 
-func TestDecodeOtherMessages(t *testing.T) {
+func TestDecodeBatchAndUnknownMessages(t *testing.T) {
 	for line, want := range map[string]Message{
 		`["halt",3]`:           HaltInstance{3},
 		`["mark",8412.25,12]`:  BatchStart{8.41225, json.Number("12")},
@@ -68,14 +70,14 @@
 	}
 }
 
-func TestDecodeStart(t *testing.T) {
+func TestDecodeOpenInstance(t *testing.T) {
 	message := decode(t, `["openInstance",4,9007199254740993,{"az":"n","new":{"key":[1,"x"]},"roundMs":2,
 		"classes":[{"name":"r","effect":"keyed","group":"cell","worth":2,"onTimeMs":1500,"deadlineMs":3000,
 		"onlyZones":["n"]},{"effect":"odd"}],"familyInfo":{"bareMs":6000.0,"homeOnly":[false,true]},
 		"report":{"columns":["load_share","mean_ms"]}}]`)
 	open, ok := message.(OpenInstance)
 	if !ok || open.Seed != 9007199254740993 || open.Instance != 4 {
-		t.Fatalf("got %#v", message)
+		t.Fatalf("got %#v, want the start of instance 4 with its seed", message)
 	}
 	want := assign.DefaultConfig()
 	want.Zone, want.MaxTimeWithoutPick, want.MinBatchInterval = "n", 6, 0.002
@@ -90,26 +92,50 @@
 	}
 }
 
-// A bad line is named by message and field, and never becomes an event.
-func TestBadLinesAreNamed(t *testing.T) {
-	for line, want := range map[string]string{
-		`{"a":1}`: "array", `[`: "array", `[]`: "empty", `[7]`: "name",
-		`["left"]`: "left: field 0", `["left",3,"x"]`: "left: field 1", `["left",3,70000]`: "left: field 1",
-		`["left",3,-1]`: "left: field 1", `["ring",3,1.5]`: "ring: field 1",
-		`["tally",3,"n",1,0,1,"a",-4,null]`: "tally: field 6", `["tally",3,"n",1,0,1,"a",4,["x"]]`: "tally: field 7",
-		`["connected",3,41,"n",6.5,"yes"]`: "connected: field 4", `["update",3,1,"Q",[]]`: "update: field 2",
-		`["update",3,1,"D",[["n",0,"a",1,"odd",null,""]]]`: "entry 0: field 4",
-		`["datagram",3,2,"*"]`:                             "datagram: field 2", `["openInstance",3,1,[]]`: "field 2",
-		`["mark","x",1]`: "mark: field 0",
+// A line that cannot be decoded is reported with its message and field.
+func TestDecodeReportsMessageAndFieldOfInvalidLine(t *testing.T) {
+	for _, test := range []struct {
+		line    string
+		message string // name of the message, and of the entry, before the field
+		field   string
+	}{
+		{`["left"]`, "left", "field 0"},
+		{`["left",3,"x"]`, "left", "field 1"},
+		{`["left",3,70000]`, "left", "field 1"},
+		{`["left",3,-1]`, "left", "field 1"},
+		{`["ring",3,1.5]`, "ring", "field 1"},
+		{`["tally",3,"n",1,0,1,"a",-4,null]`, "tally", "field 6"},
+		{`["tally",3,"n",1,0,1,"a",4,["x"]]`, "tally", "field 7"},
+		{`["connected",3,41,"n",6.5,"yes"]`, "connected", "field 4"},
+		{`["update",3,1,"Q",[]]`, "update", "field 2"},
+		{`["update",3,1,"D",[["n",0,"a",1,"odd",null,""]]]`, "update: entry 0", "field 4"},
+		{`["datagram",3,2,"*"]`, "datagram", "field 2"},
+		{`["openInstance",3,1,[]]`, "openInstance", "field 2"},
+		{`["mark","x",1]`, "mark", "field 0"},
+		{`["mark",1,1.5]`, "mark", "field 1"},
 	} {
-		message, err := NewDecoder().Decode([]byte(line))
-		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v, want one with %q (message %#v)", line, err, want, message)
+		message, err := NewDecoder().Decode([]byte(test.line))
+		var memberError *member.Error
+		if !errors.As(err, &memberError) || memberError.Member != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
+			t.Errorf("%s: got error %v, want one of %s: %s (message %#v)", test.line, err, test.message, test.field, message)
 		}
 	}
 }
 
-func TestEncode(t *testing.T) {
+func TestDecodeRejectsLineThatIsNoMessage(t *testing.T) {
+	for line, want := range map[string]error{
+		`{"a":1}`: ErrNotArray,
+		`[`:       ErrNotArray,
+		`[]`:      ErrEmptyMessage,
+		`[7]`:     ErrNoName,
+	} {
+		if message, err := NewDecoder().Decode([]byte(line)); !errors.Is(err, want) {
+			t.Errorf("%s: got error %v, want %v (message %#v)", line, err, want, message)
+		}
+	}
+}
+
+func TestEncodeOrder(t *testing.T) {
 	for want, order := range map[string]assign.Order{
 		`["setLine",3,117,0.75,"a:1"]`:  assign.SetWeight{Table: 117, Endpoint: "a:1", Weight: 0.75},
 		`["handTable",3,41,117,6]`:      assign.AttachTable{Proxy: 41, Table: 117, RequestClasses: []int{1, 2}},
@@ -128,8 +154,8 @@
 			t.Errorf("got %s (%v), want %s", got, err, want)
 		}
 	}
-	if _, err := Encode(3, nil); err == nil {
-		t.Error("an unknown order was encoded")
+	if got, err := Encode(3, nil); !errors.Is(err, ErrUnknownOrder) {
+		t.Errorf("order without a type: got %s (%v), want error %q", got, err, ErrUnknownOrder)
 	}
 }
 
@@ -143,7 +169,7 @@
 		event, _ := message.(InstanceEvent)
 		report, ok := event.Event.(assign.EndpointLoadReport)
 		if err == nil && ok && (report.Attempts < 0 || report.Failed < 0 || report.Interval < 0) {
-			t.Errorf("%s became %+v", line, report)
+			t.Errorf("%s: got %+v, which has a negative number", line, report)
 		}
 	})
 }
