--- a/internal/settings/hosts_test.go
+++ b/internal/settings/hosts_test.go
@@ -12,22 +12,23 @@
 	"madderhollow/internal/wire"
 )
 
-const object = `{"az":"x","balancers":2,"caps":{"peers":false},"classes":[{"name":"read","effect":"safe","worth":3,
+// settingsObject is a deployment's settings as both hosts receive them.
+const settingsObject = `{"az":"x","balancers":2,"caps":{"peers":false},"classes":[{"name":"read","effect":"safe","worth":3,
 	"onTimeMs":1000,"deadlineMs":3000,"group":"all"},{"name":"sign","effect":"unsafe","onlyZones":["x"]}],
 	"familyInfo":{"bareMs":6000,"homeOnly":[false,true],"mutating":[false,true],"proxyCount":6},"unknown":{"key":[1,"z"]},
 	"report":{"columns":["load_share","mean_ms","tps"],"via":"inline"},"roundMs":2,"zones":["x","y"]}`
 
-// fromSimulator is the configuration that the simulator's host hands over, and the event of a report there.
+// fromSimulator returns the configuration and the event of a report that the simulator's host passes to the module.
 func fromSimulator(t *testing.T) (assign.Config, assign.Event) {
 	t.Helper()
 	decoder := simproto.NewDecoder()
-	message, err := decoder.Decode([]byte(`["openInstance",0,7,` + object + `]`))
+	message, err := decoder.Decode([]byte(`["openInstance",0,7,` + settingsObject + `]`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	open, ok := message.(simproto.OpenInstance)
 	if !ok {
-		t.Fatalf("got %#v", message)
+		t.Fatalf("got %#v, want the start of an instance", message)
 	}
 	message, err = decoder.Decode([]byte(`["tally",0,"x",41.5,3,1000,"t",212,[0.61,140,93]]`))
 	if err != nil {
@@ -35,27 +36,27 @@
 	}
 	report, ok := message.(simproto.InstanceEvent)
 	if !ok {
-		t.Fatalf("got %#v", message)
+		t.Fatalf("got %#v, want an event", message)
 	}
 	return open.Config, report.Event
 }
 
-// Both hosts must hand the module the same configuration and events, or the bench's figures say nothing of the sockets.
-func TestBothHostsHandOverTheSame(t *testing.T) {
+// Measurements in the simulator are valid for the daemon only if both hosts pass the same configuration and events.
+func TestBothHostsPassSameConfigAndEvents(t *testing.T) {
 	simulated, report := fromSimulator(t)
 	cfg, err := config.Parse(fmt.Appendf(nil, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
-		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":%s}`, object),
+		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":%s}`, settingsObject),
 		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(simulated, cfg.Settings) || simulated.MinBatchInterval != 0.002 {
-		t.Errorf("simulator %+v\nsockets %+v", simulated, cfg.Settings)
+		t.Errorf("got %+v in the simulator\nand %+v in the daemon, want the same, with batches at least 2 ms apart", simulated, cfg.Settings)
 	}
-	// Load figures come as a row there and by name here, in whatever order.
+	// Load values are an array in the simulator's protocol and an object in the daemon's.
 	load, ok := report.(assign.EndpointLoadReport)
 	if !ok || load.Load[1] != 0.14 {
-		t.Errorf("got %+v", report)
+		t.Errorf("got %+v, want a load report with a service time of 0.14 s", report)
 	}
 	codec := wire.NewCodec(cfg.Settings, time.Unix(0, 0))
 	for _, metrics := range []string{`{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`, `{"util":0.61,"qps":93,"latency_ms":140}`} {
--- /dev/null
+++ b/internal/settings/mappings.go
@@ -0,0 +1,119 @@
+package settings
+
+import "madderhollow/assign"
+
+// mapping connects a member of a settings object to the field that it sets.
+type mapping struct {
+	path string // dotted
+	set  func(value any)
+}
+
+// configMappings returns the table of all settings except those of request classes: path, field and, by the function, type and
+// unit. assign.Config documents the fields.
+func configMappings(config *assign.Config) []mapping {
+	return []mapping{
+		{"az", text(&config.Zone)},
+		{"zones", list(&config.Zones)},
+		{"roundMs", milliseconds(&config.MinBatchInterval)},
+		{"discovery", listMode(&config.ListMode)},
+		{"caps.peers", flag(&config.PeerMessages)},
+		{"report.columns", loadMetrics(&config.Reports.LoadMetrics)},
+		{"familyInfo.admission", admissionMode(&config.Admission)},
+		{"familyInfo.bareMs", milliseconds(&config.MaxTimeWithoutPick)},
+		{"familyInfo.countedOverMs", milliseconds(&config.Channel.MessageWindow)},
+		{"familyInfo.homeOnly", ownZoneOnly(config.RequestClasses)},
+		{"familyInfo.intakePerS", number(&config.Reports.MaxPerSecond)}, // 1/s
+		{"familyInfo.intervalMs", milliseconds(&config.Reports.Interval)},
+		{"familyInfo.messagesMost", number(&config.Channel.MessageLimit)}, // messages per MessageWindow
+		{"familyInfo.partitionsN", number(&config.Shards)},
+		{"familyInfo.pendingMax", number(&config.Channel.QueueLimit)},      // lines
+		{"familyInfo.perMessage", number(&config.Channel.MessageOverhead)}, // lines
+		{"familyInfo.propagationMs", milliseconds(&config.Channel.MeanTransit)},
+		{"familyInfo.proxyCount", number(&config.ProxyCount)},
+		{"familyInfo.usualHow", count(&config.Retries)},
+		{"obligations.coldFrom", number(&config.WarmUp.InitialFraction)}, // fraction of the capacity
+		{"obligations.coldMs", milliseconds(&config.WarmUp.Duration)},
+		{"obligations.droppedStayOpen", flag(&config.RemovalIsAdvisory)},
+		{"obligations.fallMs", milliseconds(&config.WarmUp.OverloadWindow)},
+		{"obligations.tipMultiple", number(&config.WarmUp.OverloadMultiple)}, // multiple of the capacity
+	}
+}
+
+// classMappings returns the table of an entry of "classes".
+func classMappings(class *assign.RequestClassConfig) []mapping {
+	return []mapping{
+		{"name", text(&class.Name)},
+		{"group", text(&class.Group)},
+		{"effect", retrySafety(&class.RetrySafety)},
+		{"worth", number(&class.PriorityWeight)},
+		{"onTimeMs", dividedMilliseconds(&class.LatencyObjective)},
+		{"deadlineMs", dividedMilliseconds(&class.Deadline)},
+		{"onlyZones", list(&class.AllowedZones)},
+	}
+}
+
+// Words of "discovery". Any other word is assign.ListPushed.
+const discoveryOnRequest = "on_request" // assign.ListOnRequest
+
+func listMode(field *assign.ListMode) func(any) {
+	return func(value any) {
+		if value == discoveryOnRequest {
+			*field = assign.ListOnRequest
+		}
+	}
+}
+
+// Words of "familyInfo.admission". Any other word is assign.AdmitByRate.
+const (
+	admissionOff   = "off"   // assign.AdmissionIgnored
+	admissionRatio = "ratio" // assign.AdmitByRatio
+)
+
+func admissionMode(field *assign.AdmissionMode) func(any) {
+	return func(value any) {
+		switch value {
+		case admissionOff:
+			*field = assign.AdmissionIgnored
+		case admissionRatio:
+			*field = assign.AdmitByRatio
+		}
+	}
+}
+
+// Words of "effect" of a request class. Any other word is assign.NotIdempotent, which allows no retry.
+const (
+	effectSafe  = "safe"  // assign.SafeToRetry
+	effectKeyed = "keyed" // assign.IdempotencyKey
+)
+
+func retrySafety(field *assign.RetrySafety) func(any) {
+	return func(value any) {
+		switch value {
+		case effectSafe:
+			*field = assign.SafeToRetry
+		case effectKeyed:
+			*field = assign.IdempotencyKey
+		}
+	}
+}
+
+// ownZoneOnly sets, by position, which request classes must stay in the proxy's zone.
+func ownZoneOnly(classes []assign.RequestClassConfig) func(any) {
+	return func(value any) {
+		var flags []bool
+		list(&flags)(value)
+		for i := range min(len(flags), len(classes)) {
+			classes[i].OwnZoneOnly = flags[i]
+		}
+	}
+}
+
+func loadMetrics(field *[]assign.LoadMetric) func(any) {
+	return func(value any) {
+		var names []string
+		list(&names)(value)
+		for _, name := range names {
+			*field = append(*field, LoadMetric(name))
+		}
+	}
+}
--- a/internal/settings/any_settings_test.go
+++ b/internal/settings/random_settings_test.go
@@ -14,13 +14,13 @@
 	"madderhollow/internal/testconfig"
 )
 
-// oddValue draws a value that no member has.
-func oddValue(random *rand.Rand) any {
+// invalidValue draws a value that is invalid for most members.
+func invalidValue(random *rand.Rand) any {
 	return []any{nil, "odd", -1.0, 0.0, 1e300, true, []any{}, []any{"a", 1.0, nil}, map[string]any{"x": 1.0},
 		math.MaxInt64 * 1.0}[random.Intn(10)]
 }
 
-// corrupt takes members out of an object, puts others in, and gives some another type or an absurd value.
+// corrupt removes members of an object, adds others, and sets some to a value of another type or out of range.
 func corrupt(random *rand.Rand, object map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		switch value := object[name].(type) {
@@ -33,14 +33,14 @@
 		case 0:
 			delete(object, name)
 		case 1:
-			object[name] = oddValue(random)
+			object[name] = invalidValue(random)
 		case 2:
 			object["new."+name] = object[name]
 		}
 	}
 }
 
-// corruptList corrupts the objects of a list, and at times cuts it short.
+// corruptList corrupts the objects of a list, and sometimes removes its last elements.
 func corruptList(random *rand.Rand, list []any) []any {
 	for _, element := range list {
 		if object, ok := element.(map[string]any); ok {
@@ -53,7 +53,7 @@
 	return list
 }
 
-// corruptSettings is a small deployment's settings after that.
+// corruptSettings returns the corrupted settings of a small deployment.
 func corruptSettings(t *testing.T, random *rand.Rand) map[string]any {
 	t.Helper()
 	text, err := json.Marshal(testconfig.Settings())
@@ -68,12 +68,12 @@
 	return object
 }
 
-// zoneOf deals zones by number, one of them without a name.
+// zoneOf returns one of four zones by number; the last has no name.
 func zoneOf(i int) string { return []string{"x", "y", "z", ""}[i%4] }
 
 func nameOf(i int) string { return string(rune('a' + i)) }
 
-// fullList is a list of twelve endpoints.
+// fullList returns a full list of twelve endpoints.
 func fullList() assign.EndpointUpdate {
 	update := assign.EndpointUpdate{Full: true}
 	for i := range 12 {
@@ -82,7 +82,7 @@
 	return update
 }
 
-// randomEvents draws events of one batch.
+// randomEvents draws the events of one batch.
 func randomEvents(random *rand.Rand, now float64, classes []assign.RequestClassConfig, sequence int) []assign.Event {
 	i := random.Intn(12)
 	events := []assign.Event{
@@ -99,8 +99,8 @@
 	return events
 }
 
-// canBeWritten tells whether an order has no weight below 0 and no number that is none.
-func canBeWritten(order assign.Order) bool {
+// encodable reports whether the numbers of an order are finite and not negative.
+func encodable(order assign.Order) bool {
 	switch order := order.(type) {
 	case assign.SetWeight:
 		return order.Weight >= 0 && order.Weight < math.MaxFloat64 && order.Table >= 0
@@ -114,9 +114,9 @@
 	return true
 }
 
-// Whatever settings another deployment hands over, with members missing, new, empty or of another type, the module takes
-// them, decides by what it can read, and orders nothing that cannot be written.
-func TestAnySettingsAreBorne(t *testing.T) {
+// For settings with missing, unknown, empty or invalid members, the module decides with what remains, and each of its orders
+// can be encoded.
+func TestTranslateAcceptsCorruptSettings(t *testing.T) {
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		object := corruptSettings(t, random)
@@ -129,8 +129,8 @@
 				if request, ok := order.(assign.AcknowledgmentRequest); ok {
 					sequence = request.Sequence
 				}
-				if !canBeWritten(order) {
-					t.Logf("seed %d: settings %v: ordered %#v", seed, object, order)
+				if !encodable(order) {
+					t.Logf("seed %d: settings %v: got order %#v, want finite numbers from 0", seed, object, order)
 					return false
 				}
 			}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"madderhollow/internal/settings"
 )
 
-// Members that are missing, of another type or out of range leave the defaults, and unknown ones change nothing.
-func TestTranslateLeavesDefaults(t *testing.T) {
+// Members that are missing, of another type or out of range leave the defaults; unknown members are ignored.
+func TestTranslateKeepsDefaultsForInvalidMembers(t *testing.T) {
 	for name, object := range map[string]map[string]any{
 		"nothing":       {},
 		"unknown":       {"what": map[string]any{"is": "this"}, "admission": "off", "zone": "x"},
@@ -21,7 +21,7 @@
 		want := assign.DefaultConfig()
 		got := settings.Translate(object)
 		if len(got.RequestClasses) != 0 {
-			t.Errorf("%s: classes %+v", name, got.RequestClasses)
+			t.Errorf("%s: got request classes %+v, want none", name, got.RequestClasses)
 		}
 		got.RequestClasses = nil
 		if !reflect.DeepEqual(got, want) {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestTranslateReadsUnitsAndWords(t *testing.T) {
+func TestTranslateConvertsUnitsAndWords(t *testing.T) {
 	got := settings.Translate(map[string]any{
 		"discovery": "on_request",
 		"familyInfo": map[string]any{"admission": "ratio", "messagesMost": 20.0, "countedOverMs": 10000.0, "usualHow": 2.0,
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestLoadMetricsHaveTwoNames(t *testing.T) {
+func TestLoadMetricMapsBothNames(t *testing.T) {
 	for metric, names := range map[assign.LoadMetric][]string{
 		assign.MetricBusy: {"load_share", "util"}, assign.MetricInFlight: {"concurrent", "inflight"},
 		assign.MetricServiceTime: {"mean_ms", "latency_ms"}, assign.MetricCompletionRate: {"tps", "qps"},
@@ -61,11 +61,17 @@
 	} {
 		for _, name := range names {
 			if got := settings.LoadMetric(name); got != metric {
-				t.Errorf("%s is %s, want %s", name, got, metric)
+				t.Errorf("%s: got %s, want %s", name, got, metric)
 			}
 		}
 	}
-	if settings.LoadValue(assign.MetricServiceTime, 140) != 0.14 || settings.LoadValue(assign.MetricBusy, 0.5) != 0.5 {
-		t.Error("a unit is converted wrongly")
+}
+
+func TestLoadValueConvertsServiceTimeAlone(t *testing.T) {
+	if got := settings.LoadValue(assign.MetricServiceTime, 140); got != 0.14 {
+		t.Errorf("service time of 140 ms: got %g s, want 0.14 s", got)
+	}
+	if got := settings.LoadValue(assign.MetricBusy, 0.5); got != 0.5 {
+		t.Errorf("busy fraction of 0.5: got %g, want 0.5", got)
 	}
 }
