--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -59,7 +59,7 @@
 	startedAt := time.Now()
 	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
 	codec := wire.NewCodec(cfg.Settings, clockZero)
-	known, err := codec.EndpointUpdate(cfg.Known)
+	known, err := codec.EndpointUpdate(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
@@ -100,9 +100,9 @@
 	a.client = relay.NewOrderClient(a.relayAt, a.orders, a.random.Int63(), log)
 	a.reader = relay.NewEventReader(a.relayAt, a.codec, a.events.Post, a.random.Int63(), log)
 	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
-	if cfg.MessagesPeers() {
+	if cfg.UsesPeers() {
 		var err error
-		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, a.events.Post, log); err != nil {
+		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersBroadcast, cfg.Peers, a.events.Post, log); err != nil {
 			return err
 		}
 	}
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -55,7 +55,7 @@
 	case err != nil:
 		return exitConfiguration
 	}
-	cfg, err := config.Await(ctx, env, retry)
+	cfg, err := config.LoadWithRetry(ctx, env, retry)
 	if ctx.Err() != nil {
 		return exitOK
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,195 +1,109 @@
-// Package config reads what an assigner is told at its start: the JSON file that EDGE_CONFIG names (file.go has its form),
-// and the environment variables that go before it. reread.go is for what a running program takes from a new file.
+// Package config loads the configuration of an assigner: the JSON file that EDGE_CONFIG names, and the environment variables
+// that override members of it.
+//
+// file.go has the members of the file, load.go reads it at the start, update.go while the program runs.
 package config
 
 import (
-	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"net/netip"
-	"os"
 	"strconv"
 	"time"
 
 	"madderhollow/assign"
-	"madderhollow/internal/backoff"
+	"madderhollow/internal/member"
 	"madderhollow/internal/settings"
 	"madderhollow/internal/wire"
 )
 
-// The environment variables.
-const (
-	fileVariable      = "EDGE_CONFIG"
-	nameVariable      = "EDGE_NAME"
-	listenVariable    = "EDGE_LISTEN"
-	discoveryVariable = "EDGE_DISCOVERY"
-)
-
-// The limits where the configuration names none: those of the platform's scored days.
+// Limits where the file states none.
 const (
 	defaultMemoryMB    = 192
 	defaultDescriptors = 1024
 )
 
-// Config is what the program runs by.
+// Config is the validated configuration of an assigner. Nothing changes it after Load. Addresses are host:port, with an IP
+// address as host.
 type Config struct {
-	Path        string // of the file it came from
-	Name        string // of this assigner, for the log
-	Listen      string // addresses are host:port
-	Discovery   string
-	Relay       string
-	Seed        int64
-	Cores       float64 // share of CPU cores; 0: not stated
-	MemoryMB    int
-	Descriptors int
-	PeerListen  string
-	Peers       []string // the assigners in the order of their numbers
-	PeersAll    string   // reaches all of them
-	Known       wire.EndpointList
-	Settings    assign.Config
-}
-
-// ErrNoFile is an environment that names no file.
-var ErrNoFile = errors.New(fileVariable + " is not set")
-
-// MemberError tells which member of the configuration cannot be used, its value and what it should be.
-type MemberError struct {
-	Member string // dotted path
-	Value  string
-	Want   string
-}
-
-func (e *MemberError) Error() string {
-	return fmt.Sprintf("configuration: %s is %q: want %s", e.Member, e.Value, e.Want)
-}
-
-// Retry says how long a file that cannot be used may still be in the making: whoever starts an assigner may write its file
-// at the same moment.
-type Retry struct {
-	Timeout  time.Duration
-	Interval time.Duration // between two looks
-	Now      func() time.Time
-	Sleep    func(context.Context, time.Duration) // ends with the context
-}
-
-// DefaultRetry tells of a fault in the file within a second all the same.
-func DefaultRetry() Retry {
-	return Retry{Timeout: 600 * time.Millisecond, Interval: 20 * time.Millisecond, Now: time.Now, Sleep: backoff.Sleep}
-}
-
-// Await is Load, trying again for a while where the file is missing or cannot be used.
-func Await(ctx context.Context, env func(string) string, retry Retry) (*Config, error) {
-	for end := retry.Now().Add(retry.Timeout); ; retry.Sleep(ctx, retry.Interval) {
-		config, err := Load(env)
-		if err == nil || errors.Is(err, ErrNoFile) || retry.Now().After(end) {
-			return config, err
-		}
-		if ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-	}
-}
-
-// Load reads the file that EDGE_CONFIG names; the other variables go before what stands in it.
-func Load(env func(string) string) (*Config, error) {
-	path := env(fileVariable)
-	if path == "" {
-		return nil, ErrNoFile
-	}
-	data, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
-	}
-	config, err := Parse(data, env)
-	if err != nil {
-		return nil, err
-	}
-	config.Path = path
-	return config, nil
+	Path             string // of the file
+	Name             string // of this assigner, for the log
+	Listen           string // for collectors
+	Discovery        string
+	Relay            string
+	Seed             int64
+	Cores            float64  // share of CPU cores; 0: not stated
+	MemoryMB         int      // limit of the process
+	Descriptors      int      // limit on open file descriptors of the process
+	PeerListen       string   // for datagrams of other assigners
+	Peers            []string // all assigners, by number
+	PeersBroadcast   string   // reaches all of them; empty: none
+	InitialEndpoints wire.EndpointList
+	Settings         assign.Config
 }
 
-// Parse is Load on a file's bytes.
-func Parse(data []byte, env func(string) string) (*Config, error) {
-	var f file
-	if err := json.Unmarshal(data, &f); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
-	}
-	override(&f.Name, env(nameVariable))
-	override(&f.Listen, env(listenVariable))
-	override(&f.Discovery, env(discoveryVariable))
-	config, err := f.config()
-	if err != nil {
-		return nil, err
-	}
-	return config, config.validate()
-}
+// UsesPeers reports whether the settings allow messages between assigners and there are other assigners.
+func (c *Config) UsesPeers() bool { return c.Settings.PeerMessages && len(c.Peers) > 0 }
 
-func override(member *string, value string) {
-	if value != "" {
-		*member = value
-	}
-}
-
-// config makes a configuration of a file's members.
-func (f *file) config() (*Config, error) {
+// newConfig converts the members of a file.
+func newConfig(members *file) (*Config, error) {
 	const seedBase, seedBits = 16, 64
-	seed, err := strconv.ParseUint(f.Seed, seedBase, seedBits)
+	seed, err := strconv.ParseUint(members.Seed, seedBase, seedBits)
 	if err != nil {
-		return nil, &MemberError{"seed", f.Seed, "a hexadecimal number of at most 16 digits"}
+		return nil, memberError(seedMember, strconv.Quote(members.Seed), "a hexadecimal number of at most 16 digits")
 	}
-	if len(f.Settings) == 0 {
-		return nil, &MemberError{"settings", "missing", "an object"}
+	if len(members.Settings) == 0 {
+		return nil, memberError(settingsMember, member.Missing, "an object")
 	}
-	if f.Known == nil {
-		return nil, &MemberError{"known", "missing", "a list"}
+	if members.InitialEndpoints == nil {
+		return nil, memberError(initialEndpointsMember, member.Missing, "an endpoint list")
 	}
 	return &Config{
-		Name:        f.Name,
-		Listen:      f.Listen,
-		Discovery:   f.Discovery,
-		Relay:       f.Relay.Address,
-		Seed:        int64(seed),
-		Cores:       f.Limits.Cores,
-		MemoryMB:    orDefault(int(f.Limits.MemoryMB), defaultMemoryMB),
-		Descriptors: orDefault(f.Limits.Sockets, defaultDescriptors),
-		PeerListen:  f.PeerListen,
-		Peers:       f.Peers,
-		PeersAll:    f.PeersAll,
-		Known:       *f.Known,
-		Settings:    settings.Translate(f.Settings),
+		Name:             members.Name,
+		Listen:           members.Listen,
+		Discovery:        members.Discovery,
+		Relay:            members.Relay.Address,
+		Seed:             int64(seed),
+		Cores:            members.Limits.Cores,
+		MemoryMB:         orDefault(int(members.Limits.MemoryMB), defaultMemoryMB),
+		Descriptors:      orDefault(members.Limits.Descriptors, defaultDescriptors),
+		PeerListen:       members.PeerListen,
+		Peers:            members.Peers,
+		PeersBroadcast:   members.PeersBroadcast,
+		InitialEndpoints: *members.InitialEndpoints,
+		Settings:         settings.Translate(members.Settings),
 	}, nil
 }
 
-func orDefault(value, standard int) int {
+func orDefault(value, defaultValue int) int {
 	if value <= 0 {
-		return standard
+		return defaultValue
 	}
 	return value
 }
 
-// MessagesPeers tells whether the settings allow messages between assigners and there are others.
-func (c *Config) MessagesPeers() bool { return c.Settings.PeerMessages && len(c.Peers) > 0 }
+func memberError(name, value, want string) error {
+	return fmt.Errorf("configuration: %w", &member.Error{Member: name, Value: value, Want: want})
+}
 
-// validate checks the members that could end the program later.
+// validate checks the members that would otherwise fail while the program runs.
 func (c *Config) validate() error {
-	if _, err := wire.NewCodec(c.Settings, time.Now()).EndpointUpdate(c.Known); err != nil {
-		return fmt.Errorf("configuration: known: %w", err)
+	if _, err := wire.NewCodec(c.Settings, time.Now()).EndpointUpdate(c.InitialEndpoints); err != nil {
+		return fmt.Errorf("configuration: %q: %w", initialEndpointsMember, err)
 	}
-	addresses := []namedAddress{{"listen", c.Listen}, {"discovery", c.Discovery}, {"relay.address", c.Relay}}
-	if c.MessagesPeers() {
+	addresses := []namedAddress{{listenMember, c.Listen}, {discoveryMember, c.Discovery}, {relayAddressMember, c.Relay}}
+	if c.UsesPeers() {
 		addresses = append(addresses, c.peerAddresses()...)
 	}
 	return checkAddresses(addresses...)
 }
 
 func (c *Config) peerAddresses() []namedAddress {
-	addresses := []namedAddress{{"peer_listen", c.PeerListen}}
+	addresses := []namedAddress{{peerListenMember, c.PeerListen}}
 	for _, peer := range c.Peers {
-		addresses = append(addresses, namedAddress{"peers", peer})
+		addresses = append(addresses, namedAddress{peersMember, peer})
 	}
-	if c.PeersAll != "" {
-		addresses = append(addresses, namedAddress{"peers_all", c.PeersAll})
+	if c.PeersBroadcast != "" {
+		addresses = append(addresses, namedAddress{peersBroadcastMember, c.PeersBroadcast})
 	}
 	return addresses
 }
@@ -200,10 +114,11 @@
 	address string
 }
 
+// checkAddresses returns an error about the first address that is invalid.
 func checkAddresses(addresses ...namedAddress) error {
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.address); err != nil {
-			return &MemberError{a.member, a.address, "an IP address and a port"}
+			return memberError(a.member, strconv.Quote(a.address), "an IP address and a port")
 		}
 	}
 	return nil
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -2,25 +2,39 @@
 
 import "madderhollow/internal/wire"
 
-// file has the members of the configuration file.
+// Members of the configuration file that errors name; dotted if nested.
+const (
+	seedMember             = "seed"
+	settingsMember         = "settings"
+	initialEndpointsMember = "known"
+	listenMember           = "listen"
+	discoveryMember        = "discovery"
+	relayMember            = "relay"
+	relayAddressMember     = "relay.address"
+	peerListenMember       = "peer_listen"
+	peersMember            = "peers"
+	peersBroadcastMember   = "peers_all"
+)
+
+// file maps the members of the configuration file. Unknown members are ignored.
 type file struct {
-	Name       string             `json:"name"`
-	Listen     string             `json:"listen"`
-	Discovery  string             `json:"discovery"`
-	Seed       string             `json:"seed"` // hexadecimal
-	Limits     limits             `json:"limits"`
-	PeerListen string             `json:"peer_listen"`
-	Peers      []string           `json:"peers"`
-	PeersAll   string             `json:"peers_all"`
-	Relay      relay              `json:"relay"`
-	Known      *wire.EndpointList `json:"known"`
-	Settings   map[string]any     `json:"settings"` // see package settings
+	Name             string             `json:"name"`
+	Listen           string             `json:"listen"`
+	Discovery        string             `json:"discovery"`
+	Seed             string             `json:"seed"` // hexadecimal
+	Limits           limits             `json:"limits"`
+	PeerListen       string             `json:"peer_listen"`
+	Peers            []string           `json:"peers"`
+	PeersBroadcast   string             `json:"peers_all"`
+	Relay            relay              `json:"relay"`
+	InitialEndpoints *wire.EndpointList `json:"known"`
+	Settings         map[string]any     `json:"settings"` // see package settings
 }
 
 type limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors of all kinds
+	Cores       float64 `json:"cores"`     // share of CPU cores
+	MemoryMB    float64 `json:"memory_mb"` // 2^20 bytes
+	Descriptors int     `json:"sockets"`   // open file descriptors, not only of sockets
 }
 
 type relay struct {
--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,91 @@
+package config
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"madderhollow/internal/backoff"
+)
+
+// Environment variables.
+const (
+	fileVariable      = "EDGE_CONFIG"    // path of the file
+	nameVariable      = "EDGE_NAME"      // overrides "name"
+	listenVariable    = "EDGE_LISTEN"    // overrides "listen"
+	discoveryVariable = "EDGE_DISCOVERY" // overrides "discovery"
+)
+
+// ErrNoFile reports that the environment names no file.
+var ErrNoFile = errors.New(fileVariable + " is not set")
+
+// Retry describes how LoadWithRetry repeats its attempts. Whoever starts an assigner may write its file at the same moment.
+type Retry struct {
+	Timeout  time.Duration // after the first attempt; the attempt after it is the last one
+	Interval time.Duration // between attempts
+	Now      func() time.Time
+	Sleep    func(context.Context, time.Duration) // returns early if the context ends
+}
+
+// DefaultRetry returns a Retry that reports an invalid file within a second.
+func DefaultRetry() Retry {
+	return Retry{Timeout: 600 * time.Millisecond, Interval: 20 * time.Millisecond, Now: time.Now, Sleep: backoff.Sleep}
+}
+
+// LoadWithRetry is Load, repeated while the file is missing or invalid. It blocks until the file is valid, the timeout has
+// passed or the context ends, and returns the last attempt's error or the context's. ErrNoFile is not retried.
+func LoadWithRetry(ctx context.Context, env func(string) string, retry Retry) (*Config, error) {
+	for end := retry.Now().Add(retry.Timeout); ; retry.Sleep(ctx, retry.Interval) {
+		config, err := Load(env)
+		if err == nil || errors.Is(err, ErrNoFile) || retry.Now().After(end) {
+			return config, err
+		}
+		if ctx.Err() != nil {
+			return nil, fmt.Errorf("configuration: %w", ctx.Err())
+		}
+	}
+}
+
+// Load reads and validates the file that EDGE_CONFIG names. The other environment variables override its members.
+func Load(env func(string) string) (*Config, error) {
+	path := env(fileVariable)
+	if path == "" {
+		return nil, ErrNoFile
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	config, err := Parse(data, env)
+	if err != nil {
+		return nil, err
+	}
+	config.Path = path
+	return config, nil
+}
+
+// Parse is Load on the content of a file. An invalid member is a *member.Error.
+func Parse(data []byte, env func(string) string) (*Config, error) {
+	var members file
+	if err := json.Unmarshal(data, &members); err != nil {
+		return nil, fmt.Errorf("configuration: %w", err)
+	}
+	override(&members.Name, env(nameVariable))
+	override(&members.Listen, env(listenVariable))
+	override(&members.Discovery, env(discoveryVariable))
+	config, err := newConfig(&members)
+	if err != nil {
+		return nil, err
+	}
+	return config, config.validate()
+}
+
+// override replaces a member by the value of an environment variable that is set.
+func override(field *string, value string) {
+	if value != "" {
+		*field = value
+	}
+}
--- /dev/null
+++ b/internal/config/update_test.go
@@ -0,0 +1,39 @@
+package config
+
+import (
+	"errors"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"madderhollow/internal/member"
+)
+
+func TestUpdateNamesMembersThatNeedRestart(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, path, validFile)
+	before, err := LoadUpdate(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeFile(t, path, `{"name":"n9","discovery":"127.0.0.1:5","relay":{"address":"127.0.0.1:6"},"seed":"2","more":1}`)
+	after, err := LoadUpdate(path)
+	if err != nil || after.Discovery != "127.0.0.1:5" || after.Relay != "127.0.0.1:6" {
+		t.Fatalf("got %+v (%v), want the addresses of the new file", after, err)
+	}
+	if got, want := after.NeedsRestart(before), []string{"more", "name"}; !slices.Equal(got, want) {
+		t.Errorf("got members %v, want %v", got, want)
+	}
+	if got := after.NeedsRestart(nil); got != nil {
+		t.Errorf("without an earlier file: got members %v, want none", got)
+	}
+}
+
+func TestLoadUpdateRejectsInvalidAddress(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, path, `{"discovery":"nowhere"}`)
+	var memberError *member.Error
+	if _, err := LoadUpdate(path); !errors.As(err, &memberError) || memberError.Member != discoveryMember {
+		t.Errorf("got error %v, want one of member %s", err, discoveryMember)
+	}
+}
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -26,7 +26,7 @@
 	discovery *handover.Address
 	relay     *handover.Address
 	log       zerolog.Logger
-	start     *config.Reread // what the program started with, against which the rest is compared; nil: not known
+	start     *config.Update // what the program started with, against which the rest is compared; nil: not known
 	until     time.Time      // when looking ends; zero: nothing to look for
 	lastError string         // that was logged
 }
@@ -38,7 +38,7 @@
 
 // Run reads the file at each signal, until the context ends. Whatever cannot be read leaves the addresses as they are.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	r.start, _ = config.Again(r.path) // of what cannot be read any more nothing is compared
+	r.start, _ = config.LoadUpdate(r.path) // of what cannot be read any more nothing is compared
 	retry := time.NewTimer(0)
 	defer retry.Stop()
 	for {
@@ -62,7 +62,7 @@
 
 // look reads the file once and tells whether that settles the signal.
 func (r *Reloader) look() (done bool) {
-	reread, err := config.Again(r.path)
+	reread, err := config.LoadUpdate(r.path)
 	if err == nil && r.move(reread) {
 		r.until = time.Time{}
 		return true
@@ -82,7 +82,7 @@
 }
 
 // move sets the addresses and tells whether one is new.
-func (r *Reloader) move(reread *config.Reread) bool {
+func (r *Reloader) move(reread *config.Update) bool {
 	discoveryMoved := r.discovery.Move(reread.Discovery)
 	relayMoved := r.relay.Move(reread.Relay)
 	if !discoveryMoved && !relayMoved {
