--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -102,7 +102,14 @@
 	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
 	if cfg.UsesPeers() {
 		var err error
-		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersBroadcast, cfg.Peers, a.events.Post, log); err != nil {
+		a.peers, err = peer.Open(peer.Config{
+			Listen:    cfg.PeerListen,
+			Peers:     cfg.Peers,
+			Broadcast: cfg.PeersBroadcast,
+			Sink:      a.events.Post,
+			Log:       log,
+		})
+		if err != nil {
 			return err
 		}
 	}
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -60,7 +60,7 @@
 	mustClose(t, held[site.status])
 	up := eventually.True(soon, func() bool {
 		_, err := site.health()
-		return err == nil && strings.Contains(daemon.log.String(), "peers are heard")
+		return err == nil && strings.Contains(daemon.log.String(), "peer socket bound")
 	})
 	if !up {
 		t.Errorf("status page or peers do not come\n%s", daemon.text())
--- a/internal/peer/bytes_test.go
+++ b/internal/peer/bytes_test.go
@@ -9,8 +9,8 @@
 	"madderhollow/internal/golden"
 )
 
-// TestPeerBytes compares the datagrams that peers get for a fixed list of messages with those of an earlier build.
-func TestPeerBytes(t *testing.T) {
+// TestDatagramsMatchRecordedBytes compares the datagrams that peers receive for a fixed list of messages with recorded bytes.
+func TestDatagramsMatchRecordedBytes(t *testing.T) {
 	receiver := listenUDP(t)
 	address := receiver.LocalAddr().String()
 	socket, _ := start(t, "127.0.0.1:0", address, address)
@@ -19,7 +19,7 @@
 	for _, to := range []int{-1, 0} {
 		for _, data := range [][]byte{{}, []byte("hi 7"), {0, 255, 10}, bytes.Repeat([]byte{7}, 256)} {
 			socket.Send(to, data)
-			if err := receiver.SetReadDeadline(time.Now().Add(soon)); err != nil {
+			if err := receiver.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 				t.Fatal(err)
 			}
 			n, err := receiver.Read(buffer)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,5 @@
-// Package peer carries the short messages between assigners, as UDP datagrams.
+// Package peer exchanges short messages between assigners as UDP datagrams. Delivery is not guaranteed, and no decision
+// depends on it: without a socket the assigner works on.
 package peer
 
 import (
@@ -14,75 +15,109 @@
 
 	"madderhollow/assign"
 	"madderhollow/internal/backoff"
+	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/eventqueue"
 )
 
 const (
-	// maxMessageSize is the protocol's limit, in bytes; a longer one voids all.
+	// maxMessageSize is the protocol's limit on a datagram, in bytes. A longer one invalidates the whole run.
 	maxMessageSize = 256
-	// readRetryDelay is the delay after a failed read, so that a broken socket burns no core.
+	// readRetryDelay is the pause after a failed read. It keeps a broken socket from using a whole core.
 	readRetryDelay = 10 * time.Millisecond
-	// openRetryDelay is the delay between attempts to open the socket: the process before may hold it still, for as long as
-	// it takes to die.
-	openRetryDelay = 100 * time.Millisecond
+	// bindRetryDelay is the pause between attempts to bind the socket. A previous process may hold the address until it has
+	// ended.
+	bindRetryDelay = 100 * time.Millisecond
 )
 
-// Socket owns the datagram socket. Send may be called by any goroutine.
+// Errors of datagrams that are dropped.
+var (
+	ErrUnknownPeer    = errors.New("unknown peer")
+	ErrMessageTooLong = fmt.Errorf("message longer than %d bytes", maxMessageSize)
+)
+
+// Config configures a Socket. Addresses are IP:port.
+type Config struct {
+	Listen    string          // address to bind; required
+	Peers     []string        // addresses of all assigners, in the order of their numbers
+	Broadcast string          // address that reaches all peers; empty: there is none
+	Sink      eventqueue.Sink // receives assign.PeerMessageReceived; Run blocks while it does; required
+	Log       zerolog.Logger
+}
+
+// Socket owns the datagram socket. Send may be called by any goroutine at any time, Run once.
 type Socket struct {
-	address netip.AddrPort
-	conn    atomic.Pointer[net.UDPConn] // nil: not open yet
-	peers   []netip.AddrPort            // by number
-	numbers map[netip.AddrPort]int      // of the peers, by address
-	all     netip.AddrPort              // reaches all peers; invalid: there is no such address
-	sink    eventqueue.Sink
-	log     zerolog.Logger
+	listen    netip.AddrPort
+	conn      atomic.Pointer[net.UDPConn] // nil: not bound
+	peers     []netip.AddrPort            // by number
+	numbers   map[netip.AddrPort]int      // of the peers, by address
+	broadcast netip.AddrPort              // invalid: there is none
+	sink      eventqueue.Sink
+	log       zerolog.Logger
+	binding   *conditionlog.Condition // used by Open and then by Run alone
 }
 
-// Open listens for the peers, given in the order of their numbers. Where the address is not to be had yet, Run tries on:
-// no decision needs what peers say.
-func Open(listen, all string, peers []string, sink eventqueue.Sink, log zerolog.Logger) (*Socket, error) {
-	socket := &Socket{numbers: map[netip.AddrPort]int{}, sink: sink, log: log}
-	var err error
-	for number, peer := range peers {
+// Open validates the addresses and tries to bind the socket. A failed bind is no error: Run repeats it. The caller must call
+// Run, which closes the socket.
+func Open(config Config) (*Socket, error) {
+	log := config.Log.With().Str("component", "peer").Logger()
+	socket := &Socket{
+		numbers: map[netip.AddrPort]int{},
+		sink:    config.Sink,
+		log:     log,
+		binding: conditionlog.New(conditionlog.Config{
+			Log:       log,
+			Failing:   "peer socket bind failed; retrying",
+			Recovered: "peer socket bound",
+		}),
+	}
+	for number, peer := range config.Peers {
 		address, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return nil, fmt.Errorf("peers: %w", err)
+			return nil, fmt.Errorf("address of peer %d: %w", number, err)
 		}
 		socket.peers = append(socket.peers, address)
 		socket.numbers[address] = number
 	}
-	if all != "" {
-		if socket.all, err = netip.ParseAddrPort(all); err != nil {
-			return nil, fmt.Errorf("peers_all: %w", err)
+	var err error
+	if config.Broadcast != "" {
+		if socket.broadcast, err = netip.ParseAddrPort(config.Broadcast); err != nil {
+			return nil, fmt.Errorf("peer broadcast address: %w", err)
 		}
 	}
-	if socket.address, err = netip.ParseAddrPort(listen); err != nil {
-		return nil, fmt.Errorf("peer_listen: %w", err)
-	}
-	if err := socket.open(); err != nil {
-		socket.log.Warn().Err(err).Msg("peers are not heard yet")
+	if socket.listen, err = netip.ParseAddrPort(config.Listen); err != nil {
+		return nil, fmt.Errorf("peer listen address: %w", err)
 	}
+	socket.bind()
 	return socket, nil
 }
 
-func (s *Socket) open() error {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.address))
+// bind makes one attempt to bind the socket, and logs if it failed.
+func (s *Socket) bind() {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
 	if err != nil {
-		return fmt.Errorf("peer_listen: %w", err)
+		s.binding.Fail(err, nil)
+		return
 	}
+	s.binding.Recover()
 	s.conn.Store(conn)
-	return nil
 }
 
-// Run reads until the context ends and then gives the socket back.
+// Run receives datagrams until the context ends, and then closes the socket. While the socket is not bound it tries to bind
+// it.
 func (s *Socket) Run(ctx context.Context) {
-	conn := s.awaitOpen(ctx)
+	conn := s.awaitBound(ctx)
 	if conn == nil {
 		return
 	}
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // which ends the read under way
+	closeConn := func() { _ = conn.Close() }  // the only error is that it is closed already
+	stop := context.AfterFunc(ctx, closeConn) // unblocks the read
 	defer stop()
-	defer func() { _ = conn.Close() }() // an error says that it was closed before
+	defer closeConn()
+	reading := conditionlog.New(conditionlog.Config{
+		Log:       s.log,
+		Failing:   "datagram read failed; retrying",
+		Recovered: "datagram read succeeded",
+	})
 	buffer := make([]byte, maxMessageSize+1)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buffer)
@@ -90,54 +125,78 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(readRetryDelay)
+			reading.Fail(err, nil)
+			backoff.Sleep(ctx, readRetryDelay)
 			continue
 		}
+		reading.Recover()
 		if s.receive(ctx, from, buffer[:n]) != nil {
 			return
 		}
 	}
 }
 
-// awaitOpen waits until the socket is open; nil: the context ended before.
-func (s *Socket) awaitOpen(ctx context.Context) *net.UDPConn {
+// awaitBound blocks until the socket is bound. It returns nil if the context ends before.
+func (s *Socket) awaitBound(ctx context.Context) *net.UDPConn {
 	for s.conn.Load() == nil {
-		if backoff.Sleep(ctx, openRetryDelay); ctx.Err() != nil {
+		if backoff.Sleep(ctx, bindRetryDelay); ctx.Err() != nil {
 			return nil
 		}
-		if s.open() == nil {
-			s.log.Info().Msg("peers are heard")
-		}
+		s.bind()
 	}
 	return s.conn.Load()
 }
 
-// receive hands on a datagram of a peer. The error is the sink's.
+// receive passes a datagram of a peer to the sink and drops any other. The error is the sink's.
 func (s *Socket) receive(ctx context.Context, from netip.AddrPort, data []byte) error {
-	number, known := s.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-	if !known || len(data) > maxMessageSize {
-		s.log.Warn().Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
+	number, err := s.sender(from, data)
+	if err != nil {
+		s.log.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
 		return nil
 	}
 	return s.sink(ctx, assign.PeerMessageReceived{From: number, Data: append([]byte(nil), data...)})
 }
 
-// Send sends to one peer, by its number, or to all where to is negative. What cannot be sent is logged; while the socket
-// is not open it goes nowhere.
+// sender returns the number of the peer that sent a datagram.
+func (s *Socket) sender(from netip.AddrPort, data []byte) (number int, err error) {
+	number, known := s.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	if !known {
+		return 0, ErrUnknownPeer
+	}
+	if len(data) > maxMessageSize {
+		return 0, ErrMessageTooLong
+	}
+	return number, nil
+}
+
+// Send sends a message to one peer, by its number, or to all peers if to is negative. It does not block for longer than a
+// system call. Errors are logged; while the socket is not bound, messages are dropped.
 func (s *Socket) Send(to int, data []byte) {
 	conn := s.conn.Load()
 	if conn == nil {
 		return
 	}
-	address := s.all
+	address, err := s.destination(to, data)
+	if err != nil {
+		s.log.Error().Err(err).Int("to", to).Int("bytes", len(data)).Msg("datagram invalid; not sent")
+		return
+	}
+	if _, err := conn.WriteToUDPAddrPort(data, address); err != nil {
+		s.log.Warn().Err(err).Int("to", to).Int("bytes", len(data)).Msg("datagram send failed")
+	}
+}
+
+// destination returns the address for a message.
+func (s *Socket) destination(to int, data []byte) (netip.AddrPort, error) {
+	address := s.broadcast
 	if to >= 0 && to < len(s.peers) {
 		address = s.peers[to]
 	}
-	if !address.IsValid() || len(data) > maxMessageSize || to >= len(s.peers) {
-		s.log.Error().Int("to", to).Int("bytes", len(data)).Msg("datagram not sent")
-		return
+	if !address.IsValid() || to >= len(s.peers) {
+		return netip.AddrPort{}, ErrUnknownPeer
 	}
-	if _, err := conn.WriteToUDPAddrPort(data, address); err != nil {
-		s.log.Warn().Err(err).Msg("datagram not sent")
+	if len(data) > maxMessageSize {
+		return netip.AddrPort{}, ErrMessageTooLong
 	}
+	return address, nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"net"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -12,26 +13,26 @@
 	"madderhollow/assign"
 )
 
-// soon is what anything may take on a busy machine.
-const soon = 5 * time.Second
+// timeout bounds every wait, so that a busy machine does not fail a test.
+const timeout = 5 * time.Second
 
-// listenUDP opens a datagram socket at a free port, until the end of the test.
+// listenUDP binds a datagram socket to a free port and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // some tests close it before
+	t.Cleanup(func() { _ = conn.Close() }) // the only error is that the test has closed it
 	return conn
 }
 
 // start opens a socket and runs it until the end of the test.
-func start(t *testing.T, listen, all string, peers ...string) (*Socket, chan assign.Event) {
+func start(t *testing.T, listen, broadcast string, peers ...string) (*Socket, chan assign.Event) {
 	t.Helper()
 	events := make(chan assign.Event, 1000)
 	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	socket, err := Open(listen, all, peers, sink, zerolog.Nop())
+	socket, err := Open(Config{Listen: listen, Peers: peers, Broadcast: broadcast, Sink: sink, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +50,10 @@
 	}
 }
 
-// mustReceive reads a datagram, which must be a text.
+// mustReceive fails the test unless the next datagram is a text.
 func mustReceive(t *testing.T, at *net.UDPConn, want string) {
 	t.Helper()
-	if err := at.SetReadDeadline(time.Now().Add(soon)); err != nil {
+	if err := at.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 1000)
@@ -61,28 +62,34 @@
 	}
 }
 
-// Datagrams come with the sender's number; who is no peer, and what is too long, is left out, and nothing too long goes
-// out, which would void all.
-func TestDatagrams(t *testing.T) {
-	free, first, all, other := listenUDP(t), listenUDP(t), listenUDP(t), listenUDP(t)
-	ours := free.LocalAddr()
+// checkReceived fails the test unless the event is the message "hi" of peer 1.
+func checkReceived(t *testing.T, got assign.Event) {
+	t.Helper()
+	if want := (assign.PeerMessageReceived{From: 1, Data: []byte("hi")}); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+// Received datagrams carry the sender's number. Datagrams of unknown senders and oversized ones are dropped, and oversized
+// ones are not sent.
+func TestSocketDropsOversizedAndUnknownDatagrams(t *testing.T) {
+	free, first, broadcast, other := listenUDP(t), listenUDP(t), listenUDP(t), listenUDP(t)
+	own := free.LocalAddr()
 	if err := free.Close(); err != nil {
 		t.Fatal(err)
 	}
-	peers := []string{ours.String(), first.LocalAddr().String(), all.LocalAddr().String()}
-	socket, events := start(t, ours.String(), peers[2], peers...)
-	mustSend(t, other, []byte("who"), ours)
-	mustSend(t, first, make([]byte, maxMessageSize+1), ours)
-	mustSend(t, first, []byte("hi"), ours)
+	peers := []string{own.String(), first.LocalAddr().String(), broadcast.LocalAddr().String()}
+	socket, events := start(t, own.String(), peers[2], peers...)
+	mustSend(t, other, []byte("who"), own)
+	mustSend(t, first, make([]byte, maxMessageSize+1), own)
+	mustSend(t, first, []byte("hi"), own)
 	select {
 	case event := <-events:
-		if want := (assign.PeerMessageReceived{From: 1, Data: []byte("hi")}); !reflect.DeepEqual(event, want) {
-			t.Errorf("got %+v", event)
-		}
-	case <-time.After(soon):
-		t.Error("nothing arrived")
+		checkReceived(t, event)
+	case <-time.After(timeout):
+		t.Error("got no event, want the message of peer 1")
 	}
-	for to, conn := range map[int]*net.UDPConn{1: first, -1: all} {
+	for to, conn := range map[int]*net.UDPConn{1: first, -1: broadcast} {
 		socket.Send(to, make([]byte, maxMessageSize+1))
 		socket.Send(len(peers), []byte("nobody"))
 		socket.Send(to, []byte("hello"))
@@ -90,27 +97,38 @@
 	}
 }
 
-// Where the address is still another's, it is opened once that one is gone; till then what is sent goes nowhere.
-func TestAddressStillHeld(t *testing.T) {
+// While another socket holds the address, messages to send are dropped; the socket binds once the address is free.
+func TestSocketBindsOnceAddressIsFree(t *testing.T) {
 	held, other := listenUDP(t), listenUDP(t)
-	ours := held.LocalAddr()
-	socket, events := start(t, ours.String(), "", ours.String(), other.LocalAddr().String())
+	own := held.LocalAddr()
+	socket, events := start(t, own.String(), "", own.String(), other.LocalAddr().String())
 	socket.Send(1, []byte("early"))
 	if err := held.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(soon); ; {
-		mustSend(t, other, []byte("hi"), ours)
+	for end := time.Now().Add(timeout); ; {
+		mustSend(t, other, []byte("hi"), own)
 		select {
 		case event := <-events:
-			if want := (assign.PeerMessageReceived{From: 1, Data: []byte("hi")}); !reflect.DeepEqual(event, want) {
-				t.Errorf("got %+v", event)
-			}
+			checkReceived(t, event)
 			return
-		case <-time.After(10 * time.Millisecond): // datagrams to a closed port are lost
+		case <-time.After(10 * time.Millisecond): // datagrams to an unbound port are lost, so send again
 			if time.Now().After(end) {
-				t.Fatal("nothing arrived")
+				t.Fatal("got no event, want the message of peer 1")
 			}
 		}
 	}
 }
+
+func TestOpenRejectsInvalidAddresses(t *testing.T) {
+	const valid = "127.0.0.1:1"
+	for want, config := range map[string]Config{
+		"peer listen address":    {Listen: "nowhere", Peers: []string{valid}},
+		"peer broadcast address": {Listen: valid, Broadcast: "nowhere"},
+		"address of peer 1":      {Listen: valid, Peers: []string{valid, "nowhere"}},
+	} {
+		if _, err := Open(config); err == nil || !strings.HasPrefix(err.Error(), want+": ") {
+			t.Errorf("got error %v, want one about the %s", err, want)
+		}
+	}
+}
