--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -99,7 +99,13 @@
 	a.watcher = discovery.New(a.discoveryAt, known, a.codec, a.events.Post, cfg.MemoryMB, a.random.Int63(), log)
 	a.client = relay.NewOrderClient(a.relayAt, a.orders, a.random.Int63(), log)
 	a.reader = relay.NewEventReader(a.relayAt, a.codec, a.events.Post, a.random.Int63(), log)
-	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
+	a.server = reportserver.New(reportserver.Config{
+		Codec:       a.codec,
+		Sink:        a.events.Report,
+		Descriptors: cfg.Descriptors,
+		MemoryMB:    cfg.MemoryMB,
+		Log:         log,
+	})
 	if cfg.UsesPeers() {
 		var err error
 		a.peers, err = peer.Open(peer.Config{
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -22,7 +22,7 @@
 // ErrNoFile reports that the environment names no file.
 var ErrNoFile = errors.New(fileVariable + " is not set")
 
-// Retry describes how LoadWithRetry repeats its attempts. Whoever starts an assigner may write its file at the same moment.
+// Retry describes how LoadWithRetry repeats its attempts. The file may be written while the assigner starts.
 type Retry struct {
 	Timeout  time.Duration // after the first attempt; the attempt after it is the last one
 	Interval time.Duration // between attempts
--- a/internal/reportserver/connections.go
+++ b/internal/reportserver/connections.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// maxCollectors stay open: there is one a zone, and the remains of broken ones.
+	// maxCollectors bounds the connections of collectors. There is one collector per zone; others are left over from broken
+	// connections.
 	maxCollectors = 16
-	// minEvictionAge is how old an unidentified connection is at least before it goes for want of descriptors: a
-	// collector's first line may be on its way.
+	// minEvictionAge is the age before which an unidentified connection is not evicted: the first line of a collector may
+	// still be on its way.
 	minEvictionAge = 100 * time.Millisecond
 )
 
-// client is one connection. It is unidentified until it states the zone whose reports it brings.
+// client is one connection. It is unidentified until it names its zone as a collector. The session's goroutine uses it, and
+// connections reads it.
 type client struct {
 	conn       net.Conn
 	acceptedAt time.Time
@@ -30,15 +32,15 @@
 	return c
 }
 
-// identified tells whether it is a collector's.
+// identified reports whether the client is a collector.
 func (c *client) identified() bool { return c.zone.Load() != nil }
 
-// close ends its reads and writes. It may be closed more than once.
+// close closes the connection, which ends blocked reads and writes. It may be called again.
 func (c *client) close() {
-	_ = c.conn.Close() // the only error is that it was closed before
+	_ = c.conn.Close() // the only error is that it is closed already
 }
 
-// connections knows all that are open, and which may stay when there are too many.
+// connections holds the open connections and selects those to close when there are too many. Any goroutine may use it.
 type connections struct {
 	mu      sync.Mutex
 	clients map[*client]struct{}
@@ -49,7 +51,7 @@
 	return &connections{clients: map[*client]struct{}{}, max: limit}
 }
 
-// add takes in a connection, closed if the context has ended.
+// add records a connection, and closes it if the context has ended, since closeAll may have run already.
 func (cs *connections) add(ctx context.Context, c *client) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -59,7 +61,7 @@
 	cs.clients[c] = struct{}{}
 }
 
-// remove gives a connection back.
+// remove closes and forgets a connection.
 func (cs *connections) remove(c *client) {
 	c.close()
 	cs.mu.Lock()
@@ -67,6 +69,7 @@
 	delete(cs.clients, c)
 }
 
+// closeAll closes all connections. Their sessions then remove them.
 func (cs *connections) closeAll() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -81,8 +84,8 @@
 	return len(cs.clients)
 }
 
-// makeRoom tells whether another connection may be accepted. Where there are too many, unidentified ones that had time for
-// their first line are closed; whoever comes next waits with the kernel meanwhile.
+// makeRoom reports whether another connection may be accepted. If not, it evicts all unidentified connections of at least
+// minEvictionAge; new ones wait in the kernel's queue until the evicted ones are removed.
 func (cs *connections) makeRoom() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -97,7 +100,7 @@
 	return false
 }
 
-// limitCollectors closes the collector that was silent longest where there are too many.
+// limitCollectors evicts the collector that has been silent for longest if there are more than maxCollectors.
 func (cs *connections) limitCollectors() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- /dev/null
+++ b/internal/reportserver/connections_test.go
@@ -0,0 +1,54 @@
+package reportserver
+
+import (
+	"testing"
+	"time"
+
+	"madderhollow/internal/collectortest"
+	"madderhollow/internal/eventually"
+)
+
+// At the connection limit unidentified connections are evicted; collectors stay, and new ones are accepted soon.
+func TestUnidentifiedConnectionsAreEvictedAtLimit(t *testing.T) {
+	const limit = 5
+	address, events, server := startServer(t, limit)
+	collector := dial(t, address)
+	mustReport(t, collector, 1)
+	next(t, events)
+	for range 20 {
+		connect(t, address)
+	}
+	sentAt := time.Now()
+	if err := dial(t, address).Ping(timeout); err != nil || time.Since(sentAt) > identificationTimeout {
+		t.Errorf("got the pong of a new collector after %v (%v), want one within %v", time.Since(sentAt), err, identificationTimeout)
+	}
+	if n := server.connections.count(); n > limit {
+		t.Errorf("got %d open connections, want at most %d", n, limit)
+	}
+	if err := collector.Ping(timeout); err != nil {
+		t.Errorf("first collector: got no pong: %v", err)
+	}
+}
+
+// Clients that only claim to be collectors must not pile up: the one that has been silent for longest is evicted.
+func TestStalestCollectorIsEvictedAboveLimit(t *testing.T) {
+	address, events, server := startServer(t, 1000)
+	first := dial(t, address)
+	mustReport(t, first, 1)
+	next(t, events)
+	var last *collectortest.Collector
+	for i := range maxCollectors {
+		last = dial(t, address)
+		mustReport(t, last, i)
+		next(t, events)
+	}
+	if err := first.Ping(timeout); err == nil {
+		t.Error("first collector: got a pong, want the connection closed")
+	}
+	if err := last.Ping(timeout); err != nil {
+		t.Errorf("last collector: got no pong: %v", err)
+	}
+	if !eventually.True(timeout, func() bool { return server.connections.count() == maxCollectors }) {
+		t.Errorf("got %d open connections, want %d", server.connections.count(), maxCollectors)
+	}
+}
--- a/internal/reportserver/lines.go
+++ b/internal/reportserver/lines.go
@@ -3,40 +3,42 @@
 import (
 	"bufio"
 	"errors"
+	"fmt"
+	"slices"
 	"sync/atomic"
 	"time"
 )
 
 const (
-	// maxLineSize is the protocol's limit on one message, in bytes.
+	// maxLineSize is the protocol's limit on a line, in bytes.
 	maxLineSize = 1 << 20
-	// maxUnidentifiedLineSize bounds a line of an unidentified connection, in bytes: ping and collector are under 100, and
-	// a thousand such connections must fit into memory.
+	// maxUnidentifiedLineSize bounds the lines of an unidentified connection, in bytes. Its valid messages have under 100,
+	// and the lines of a thousand such connections must fit into memory.
 	maxUnidentifiedLineSize = 4 << 10
-	// lineTimeout is what a line may take from its first byte to its last. Bytes come in pieces, but a line that has been
-	// waiting for so long has lost its end, or never had one.
+	// lineTimeout bounds the time from a line's first byte to its last. A line may arrive in pieces, but one that takes
+	// longer is cut off.
 	lineTimeout = 2 * time.Second
-	// identifyTimeout is what a client has to identify itself as a collector. It is owed that, or a word, within 3 s of
-	// connecting, and may be closed after 1 s.
-	identifyTimeout = 1200 * time.Millisecond
-	// readBufferSize is that of a connection, in bytes.
+	// identificationTimeout bounds the time from accepting a connection to its identification. By the protocol such a
+	// connection may be closed after 1 s, and must have been answered or closed after 3 s.
+	identificationTimeout = 1200 * time.Millisecond
+	// readBufferSize is the size of a connection's read buffer, in bytes.
 	readBufferSize = 1024
 )
 
-// Errors of a line that is skipped while the connection goes on.
+// Errors of a line that was skipped. A collector's connection is read further after them.
 var (
-	ErrLineTooLong = errors.New("the line is too long")
-	ErrNoMemory    = errors.New("no memory is left for long lines")
+	ErrLineTooLong         = errors.New("line too long")
+	ErrLineBudgetExhausted = errors.New("line memory budget exhausted")
 )
 
-// byteBudget is shared by the lines under way of all connections, so that those who only say that they are collectors
-// cannot fill the memory.
+// byteBudget bounds the memory of the lines that all connections are reading, because any client can claim to be a
+// collector. Any goroutine may use it.
 type byteBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// reserve takes bytes out of the budget, if they are left.
+// reserve takes n bytes from the budget and reports whether they were available.
 func (b *byteBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) > b.limit {
 		b.release(n)
@@ -45,22 +47,24 @@
 	return true
 }
 
+// release returns n reserved bytes.
 func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
 
-// lineReader cuts what a client sends into lines.
+// lineReader splits a connection's bytes into lines. Only the session's goroutine uses it.
 type lineReader struct {
 	client *client
 	reader *bufio.Reader
 	budget *byteBudget
-	long   []byte // a line's beginning where it is longer than the reader's buffer; its bytes are reserved
+	prefix []byte // start of a line longer than the read buffer; its bytes are reserved in the budget
 }
 
 func newLineReader(c *client, budget *byteBudget) *lineReader {
 	return &lineReader{client: c, reader: bufio.NewReaderSize(c.conn, readBufferSize), budget: budget}
 }
 
-// next reads a line, with its end. It is valid until the next call. ErrLineTooLong and ErrNoMemory are of a line that was
-// skipped, except that an unidentified connection's is not read to its end.
+// next blocks until a line is complete and returns it with its end; it is valid until the next call. After ErrLineTooLong
+// and ErrLineBudgetExhausted the line has been skipped, except that too long a line of an unidentified connection is not read
+// to its end. Other errors are the connection's.
 func (l *lineReader) next() ([]byte, error) {
 	if err := l.setDeadline(); err != nil {
 		return nil, err
@@ -69,73 +73,80 @@
 	if !l.client.identified() {
 		maxSize = maxUnidentifiedLineSize
 	}
-	var skip error
+	var skipped error
 	for {
 		part, err := l.reader.ReadSlice('\n')
 		l.client.lastRead.Store(time.Now().UnixNano())
-		ended := err == nil
-		if !ended && !errors.Is(err, bufio.ErrBufferFull) {
-			return nil, err
+		complete := err == nil
+		if !complete && !errors.Is(err, bufio.ErrBufferFull) {
+			return nil, fmt.Errorf("read line: %w", err)
 		}
-		if len(l.long)+len(part) > maxSize+len("\n") {
+		if len(l.prefix)+len(part) > maxSize+len("\n") {
 			if !l.client.identified() {
 				return nil, ErrLineTooLong
 			}
-			skip = ErrLineTooLong
+			skipped = ErrLineTooLong
 		}
-		if ended {
-			return l.finish(part, skip)
+		if complete {
+			return l.finish(part, skipped)
 		}
-		if skip == nil && !l.keep(part) {
-			skip = ErrNoMemory
+		if skipped == nil && !l.keep(part) {
+			skipped = ErrLineBudgetExhausted
 		}
-		if skip != nil {
+		if skipped != nil {
 			l.discard()
 		}
 	}
 }
 
-// setDeadline bounds the next line. An unidentified client has one end for all it may do; a collector may be silent for
-// as long as it likes between lines.
+// setDeadline sets the read deadline for the next line. An unidentified client has one deadline for all its lines. A
+// collector may be silent between lines without limit, so for it setDeadline blocks until the line has begun.
 func (l *lineReader) setDeadline() error {
 	if !l.client.identified() {
-		return l.client.conn.SetReadDeadline(l.client.acceptedAt.Add(identifyTimeout))
+		return l.setReadDeadline(l.client.acceptedAt.Add(identificationTimeout))
 	}
 	if l.reader.Buffered() == 0 {
-		if err := l.client.conn.SetReadDeadline(time.Time{}); err != nil {
+		if err := l.setReadDeadline(time.Time{}); err != nil {
 			return err
 		}
 		if _, err := l.reader.Peek(1); err != nil {
-			return err
+			return fmt.Errorf("await line: %w", err)
 		}
 	}
-	return l.client.conn.SetReadDeadline(time.Now().Add(lineTimeout))
+	return l.setReadDeadline(time.Now().Add(lineTimeout))
+}
+
+func (l *lineReader) setReadDeadline(deadline time.Time) error {
+	if err := l.client.conn.SetReadDeadline(deadline); err != nil {
+		return fmt.Errorf("set read deadline: %w", err)
+	}
+	return nil
 }
 
-// finish gives the line that a part ends.
-func (l *lineReader) finish(part []byte, skip error) ([]byte, error) {
+// finish returns the line that a part completes, or the reason why it was skipped.
+func (l *lineReader) finish(part []byte, skipped error) ([]byte, error) {
 	line := part
-	if len(l.long) > 0 {
-		line = append(l.long, part...)
+	if len(l.prefix) > 0 {
+		line = slices.Concat(l.prefix, part)
 	}
 	l.discard()
-	if skip != nil {
-		return nil, skip
+	if skipped != nil {
+		return nil, skipped
 	}
 	return line, nil
 }
 
-// keep adds to the line's beginning, if there is room for it.
+// keep appends a part to the line's prefix and reports whether the budget allowed it.
 func (l *lineReader) keep(part []byte) bool {
 	if !l.budget.reserve(len(part)) {
 		return false
 	}
-	l.long = append(l.long, part...)
+	l.prefix = append(l.prefix, part...)
 	return true
 }
 
-// discard gives back the bytes that are held.
+// discard drops the line's prefix and releases its bytes.
 func (l *lineReader) discard() {
-	l.budget.release(len(l.long))
-	l.long = nil
+	l.budget.release(len(l.prefix))
+	l.prefix = nil
 }
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -1,13 +1,13 @@
-// Package reportserver is the server side: collectors bring reports to the assigner's address, and anyone may ping.
+// Package reportserver serves the assigner's address: collectors send reports there, and any client may ping.
 //
-// Four jobs, a file each: accepting (server.go), which connections may stay when there are too many (connections.go), the
-// lines of a connection within a budget of bytes (lines.go), and the session of one client (session.go). Each connection
-// has a goroutine of its own, which Serve starts and waits for.
+// The files have one job each: accepting connections (server.go), which connections stay open when there are too many
+// (connections.go), reading lines within a budget of memory (lines.go), and the session of one client (session.go).
 package reportserver
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -15,96 +15,138 @@
 
 	"github.com/rs/zerolog"
 
+	"madderhollow/internal/backoff"
+	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/eventqueue"
 	"madderhollow/internal/wire"
 )
 
 const (
-	// spareDescriptors of the limit stay for what is no client: listener, relay, discovery, peers, runtime.
+	// spareDescriptors are reserved for everything but clients: listener, relay, discovery, peers, runtime.
 	spareDescriptors = 64
-	// lineMemoryFraction is the part of the memory that lines under way share, as a divisor.
-	lineMemoryFraction = 8
-	// acceptRetryDelay is the pause before the next attempt where descriptors are short, so that it burns no core.
+	// lineMemoryDivisor sets the budget for lines being read, as a fraction of the memory limit.
+	lineMemoryDivisor = 8
+	bytesPerMB        = 1 << 20
+	// acceptRetryDelay is the pause before the next accept when descriptors are short. It keeps the loop from using a whole
+	// core.
 	acceptRetryDelay = 5 * time.Millisecond
-	// At most limitedLogBurst lines in limitedLogPeriod tell of unidentified connections and malformed messages, which come
-	// by the hundreds; they are counted.
+	// limitedLogBurst lines are logged in each limitedLogPeriod about malformed lines and unidentified connections, which
+	// may occur by the hundreds. The counters have them all.
 	limitedLogBurst  = 5
 	limitedLogPeriod = 10 * time.Second
 )
 
-// Server owns the listener and every connection at it.
+// Config configures a Server.
+type Config struct {
+	Codec *wire.Codec     // decodes lines; required
+	Sink  eventqueue.Sink // receives the reports; the goroutine of each connection calls it and may block in it; required
+	// Descriptors is the process's limit on open file descriptors. All but spareDescriptors of them are for clients, and at
+	// least one is.
+	Descriptors int
+	MemoryMB    int // the process's memory limit, of which lines being read get 1/8
+	Log         zerolog.Logger
+}
+
+// Stats are the server's counters since its start.
+type Stats struct {
+	Reports                       int64 // passed to the sink
+	MalformedLines                int64 // skipped, or the reason for closing the connection
+	UnidentifiedConnectionsClosed int64 // closed by the server before they identified themselves as a collector's
+}
+
+// Server accepts connections and owns them. Serve is called once; Stats by any goroutine.
 type Server struct {
 	codec       *wire.Codec
 	sink        eventqueue.Sink
 	log         zerolog.Logger
-	limitedLog  zerolog.Logger
+	limitedLog  zerolog.Logger // at most limitedLogBurst lines per limitedLogPeriod
 	connections *connections
 	lineBudget  *byteBudget
 
-	reports, malformed, refused atomic.Int64
-}
-
-// Stats are for operators.
-type Stats struct {
-	Reports   int64 // handed on
-	Malformed int64 // lines that could not be used
-	Refused   int64 // connections closed that had not identified themselves as a collector's
+	reports, malformedLines, unidentifiedClosed atomic.Int64
 }
 
-// New makes a server that may hold so many descriptors, in so many MB of memory.
-func New(codec *wire.Codec, sink eventqueue.Sink, descriptors, memoryMB int, log zerolog.Logger) *Server {
+// New returns a server that has not begun to accept.
+func New(config Config) *Server {
+	log := config.Log.With().Str("component", "report_server").Logger()
 	return &Server{
-		codec:       codec,
-		sink:        sink,
+		codec:       config.Codec,
+		sink:        config.Sink,
 		log:         log,
-		limitedLog:  log.Sample(&zerolog.BurstSampler{Burst: limitedLogBurst, Period: limitedLogPeriod}),
-		connections: newConnections(max(1, descriptors-spareDescriptors)),
-		lineBudget:  &byteBudget{limit: int64(memoryMB) << 20 / lineMemoryFraction},
+		limitedLog:  log.Sample(newLogLimit()),
+		connections: newConnections(max(1, config.Descriptors-spareDescriptors)),
+		lineBudget:  &byteBudget{limit: int64(config.MemoryMB) * bytesPerMB / lineMemoryDivisor},
 	}
 }
 
-// Stats returns the counts.
+func newLogLimit() zerolog.Sampler {
+	return &zerolog.BurstSampler{Burst: limitedLogBurst, Period: limitedLogPeriod}
+}
+
+// Stats returns the counters.
 func (s *Server) Stats() Stats {
-	return Stats{s.reports.Load(), s.malformed.Load(), s.refused.Load()}
+	return Stats{
+		Reports:                       s.reports.Load(),
+		MalformedLines:                s.malformedLines.Load(),
+		UnidentifiedConnectionsClosed: s.unidentifiedClosed.Load(),
+	}
 }
 
-// Serve answers pings from its first connection on, so it is called once the assigner can take up its work. It accepts
-// until the context ends, then closes the listener and all connections and waits for their goroutines.
+// Serve accepts connections until the context ends, and then closes the listener and all connections and waits for their
+// goroutines. The caller must not call it before the assigner is ready, because the server answers pings from its first
+// connection on.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	stop := context.AfterFunc(ctx, func() {
-		_ = listener.Close() // the only error is that it was closed before
+		_ = listener.Close() // the only error is that it is closed already
 		s.connections.closeAll()
 	})
 	defer stop()
 	for {
-		for !s.connections.makeRoom() && ctx.Err() == nil {
-			time.Sleep(acceptRetryDelay)
-		}
-		conn, err := listener.Accept()
+		conn, err := s.accept(ctx, listener)
 		if err != nil {
-			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-				return
-			}
-			s.limitedLog.Warn().Err(err).Msg("accept failed")
-			time.Sleep(acceptRetryDelay)
-			continue
+			return
 		}
-		c := newClient(conn)
-		s.connections.add(ctx, c)
+		client := newClient(conn)
+		s.connections.add(ctx, client)
 		sessions.Add(1)
-		go func() {
+		go func() { // ends with the connection, at the latest when closeAll closes it; Serve waits for it
 			defer sessions.Done()
-			s.serve(ctx, c)
+			s.serve(ctx, client)
 		}()
 	}
 }
 
-// serve runs the session of a client and gives its connection back.
-func (s *Server) serve(ctx context.Context, c *client) {
-	defer s.connections.remove(c)
-	session := newSession(s, c)
+// accept waits until there is room for a connection and returns the next one. It retries failed attempts; the error is that
+// the listener is closed or the context has ended.
+func (s *Server) accept(ctx context.Context, listener net.Listener) (net.Conn, error) {
+	accepting := conditionlog.New(conditionlog.Config{
+		Log:       s.limitedLog,
+		Failing:   "accept failed; retrying",
+		Recovered: "accept succeeded",
+	})
+	for {
+		for !s.connections.makeRoom() && ctx.Err() == nil {
+			backoff.Sleep(ctx, acceptRetryDelay)
+		}
+		conn, err := listener.Accept()
+		if err == nil {
+			accepting.Recover()
+			return conn, nil
+		}
+		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
+			return nil, fmt.Errorf("accept: %w", err)
+		}
+		accepting.Fail(err, nil)
+		backoff.Sleep(ctx, acceptRetryDelay)
+	}
+}
+
+// serve runs the session of a client and then closes its connection.
+func (s *Server) serve(ctx context.Context, client *client) {
+	defer s.connections.remove(client)
+	session := newSession(s, client)
 	defer session.lines.discard()
 	if err := session.run(ctx); err != nil && ctx.Err() == nil {
 		session.refuse(err)
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -13,45 +13,53 @@
 )
 
 const (
-	// maxBadLinesFirst lines in a row that cannot be used end a collector which has brought no report yet, and maxBadLines
-	// one that has: what comes after is of no use, and a new connection begins with a whole line. Malformed reports come
-	// singly, among good ones.
-	maxBadLinesFirst = 4
-	maxBadLines      = 12
-	// writeTimeout is how long an answer may stay unread.
+	// maxMalformedLinesFirst malformed lines in a row close the connection of a collector without a valid report, and
+	// maxMalformedLines one with valid reports. Single malformed reports occur among valid ones; after a longer run the
+	// stream is out of step, and a new connection starts with a complete line.
+	maxMalformedLinesFirst = 4
+	maxMalformedLines      = 12
+	// writeTimeout bounds the time until the client has read an answer.
 	writeTimeout = 500 * time.Millisecond
-	// maxLoggedLine is how much of a line that was skipped goes into the log, in bytes.
-	maxLoggedLine = 200
+	// maxLoggedLineSize bounds the part of a malformed line that is logged, in bytes.
+	maxLoggedLineSize = 200
 )
 
-// Errors that end a session.
+// Errors that close a connection, besides those of lines.
 var (
-	ErrTimeout       = errors.New("it has not identified itself, or not ended its line, in time")
-	ErrEvicted       = errors.New("there were too many connections")
-	ErrNotIdentified = errors.New("a report from an unidentified connection")
-	ErrWrongZone     = errors.New("a report of another zone than its collector's")
+	ErrIdentificationTimeout = errors.New("identification timeout")
+	ErrLineTimeout           = errors.New("line timeout")
+	ErrEvicted               = errors.New("connection evicted: too many connections")
+	ErrNotIdentified         = errors.New("report from unidentified connection")
+	ErrWrongZone             = errors.New("report of another zone than its collector's")
 )
 
-// session is what one client has brought.
+// session handles the lines of one client, in the goroutine of its connection. It has three states:
+//
+//	unidentified   pings are answered; a collector message leads to identified; any other line, a line over
+//	               maxUnidentifiedLineSize, identificationTimeout or eviction leads to closed
+//	identified     reports go to the sink; malformed lines are skipped; too many of them in a row, lineTimeout or
+//	               eviction leads to closed
+//	closed         run has returned; refuse logs the reason and sends the client a last line
+//
+// A client that closes its connection, and the end of the context, lead to closed without refuse.
 type session struct {
-	server     *Server
-	client     *client
-	lines      *lineReader
-	hasReports bool // it has brought one
-	badLines   int  // in a row
+	server         *Server
+	client         *client // holds the state: identified or not
+	lines          *lineReader
+	hasReports     bool // a valid report has arrived
+	malformedLines int  // in a row
 }
 
 func newSession(s *Server, c *client) *session {
 	return &session{server: s, client: c, lines: newLineReader(c, s.lineBudget)}
 }
 
-// run takes a client's lines. The error, if any, is why its connection is to be closed; there is none where the client
-// closed it.
+// run handles lines until the connection has to be closed. The error is the reason, nil if the client closed it.
 func (s *session) run(ctx context.Context) error {
 	for {
 		line, err := s.lines.next()
 		if err != nil && !s.isSkipped(err) {
-			return reasonOf(err)
+			return s.closeReason(err)
 		}
 		var message wire.Message
 		if err == nil {
@@ -68,38 +76,41 @@
 	}
 }
 
-// isSkipped tells whether an error is of one line, behind which a collector's connection goes on.
+// isSkipped reports whether a read error concerns one skipped line of a collector, after which the next can be read.
 func (s *session) isSkipped(err error) bool {
-	return s.client.identified() && (errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrNoMemory))
+	return s.client.identified() && (errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrLineBudgetExhausted))
 }
 
-// reasonOf gives the reason for closing a connection that is not read any more. Half a line is none.
-func reasonOf(err error) error {
+// closeReason returns why the server closes a connection after a read error. It is nil if the client closed it, even within
+// a line.
+func (s *session) closeReason(err error) error {
 	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded) && s.client.identified():
+		return ErrLineTimeout
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return ErrTimeout
+		return ErrIdentificationTimeout
 	case errors.Is(err, net.ErrClosed):
 		return ErrEvicted
-	case errors.Is(err, ErrLineTooLong), errors.Is(err, ErrNoMemory):
+	case errors.Is(err, ErrLineTooLong), errors.Is(err, ErrLineBudgetExhausted):
 		return err
 	}
 	return nil
 }
 
-// decode reads a message and checks that it may come from this client.
+// decode decodes a line and checks that this client may send the message.
 func (s *session) decode(line []byte) (wire.Message, error) {
 	message, err := s.server.codec.DecodeMessage(line)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode line: %w", err)
 	}
 	zone := s.client.zone.Load()
-	if report, ok := endpointReport(message); ok && zone != nil && report.Zone != *zone {
-		return nil, fmt.Errorf("%w: of %q from that of %q", ErrWrongZone, report.Zone, *zone)
+	if report, ok := endpointLoadReport(message); ok && zone != nil && report.Zone != *zone {
+		return nil, fmt.Errorf("%w: got %q, want %q", ErrWrongZone, report.Zone, *zone)
 	}
 	return message, nil
 }
 
-func endpointReport(message wire.Message) (assign.EndpointLoadReport, bool) {
+func endpointLoadReport(message wire.Message) (assign.EndpointLoadReport, bool) {
 	report, ok := message.(wire.Report)
 	if !ok {
 		return assign.EndpointLoadReport{}, false
@@ -108,25 +119,26 @@
 	return event, ok
 }
 
-// skip counts a line that cannot be used. Where there were too many it returns the error, to end the session.
+// skip counts a malformed line. It returns the reason as an error if the connection has to be closed.
 func (s *session) skip(line []byte, reason error) error {
-	s.server.malformed.Add(1)
-	s.badLines++
-	tooMany := s.badLines >= maxBadLines || !s.hasReports && s.badLines >= maxBadLinesFirst
+	s.server.malformedLines.Add(1)
+	s.malformedLines++
+	tooMany := s.malformedLines >= maxMalformedLines || !s.hasReports && s.malformedLines >= maxMalformedLinesFirst
 	if tooMany || !s.client.identified() {
 		return reason
 	}
-	s.server.limitedLog.Warn().Err(reason).Bytes("start", line[:min(len(line), maxLoggedLine)]).Msg("line skipped")
+	s.server.limitedLog.Warn().Err(reason).Bytes("start", line[:min(len(line), maxLoggedLineSize)]).Msg("malformed line skipped")
 	return nil
 }
 
-// handle answers a message or hands it on. An error ends the session.
+// handle answers a ping, identifies the client or passes a report to the sink, which may block. An error closes the
+// connection.
 func (s *session) handle(ctx context.Context, message wire.Message) error {
 	switch message := message.(type) {
 	case wire.Ping:
 		return s.write(wire.Pong())
 	case wire.Collector:
-		s.badLines = 0
+		s.malformedLines = 0
 		s.client.zone.Store(&message.Zone)
 		s.server.connections.limitCollectors()
 		s.server.log.Info().Str("zone", message.Zone).Msg("collector connected")
@@ -134,7 +146,7 @@
 		if !s.client.identified() {
 			return ErrNotIdentified
 		}
-		s.badLines = 0
+		s.malformedLines = 0
 		s.hasReports = true
 		s.server.reports.Add(1)
 		return s.server.sink(ctx, message.Event)
@@ -142,23 +154,24 @@
 	return nil
 }
 
+// write sends a line to the client. It blocks for at most writeTimeout.
 func (s *session) write(line []byte) error {
 	if err := s.client.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("set write deadline: %w", err)
 	}
 	if _, err := s.client.conn.Write(line); err != nil {
-		return fmt.Errorf("answer: %w", err)
+		return fmt.Errorf("write answer: %w", err)
 	}
 	return nil
 }
 
-// refuse tells a client that its connection is closed, if it reads.
+// refuse logs why the connection is closed and sends the client a last line. The caller closes the connection.
 func (s *session) refuse(reason error) {
 	if zone := s.client.zone.Load(); zone != nil {
-		s.server.log.Warn().Err(reason).Str("zone", *zone).Msg("collector's connection closed")
+		s.server.log.Warn().Err(reason).Str("zone", *zone).Msg("collector connection closed")
 	} else {
-		s.server.refused.Add(1)
+		s.server.unidentifiedClosed.Add(1)
 		s.server.limitedLog.Info().Err(reason).Msg("unidentified connection closed")
 	}
-	_ = s.write(wire.Refused()) // the connection is closed next, whether the client heard it or not
+	_ = s.write(wire.Refused()) // best effort: the client may not read, or may be gone
 }
