--- a/internal/settings/mappings.go
+++ b/internal/settings/mappings.go
@@ -15,10 +15,10 @@
 		{"az", text(&config.Zone)},
 		{"zones", list(&config.Zones)},
 		{"roundMs", milliseconds(&config.MinBatchInterval)},
-		{"discovery", listMode(&config.ListMode)},
+		{"discovery", word(&config.ListMode, listModes())},
 		{"caps.peers", flag(&config.PeerMessages)},
 		{"report.columns", loadMetrics(&config.Reports.LoadMetrics)},
-		{"familyInfo.admission", admissionMode(&config.Admission)},
+		{"familyInfo.admission", word(&config.Admission, admissionModes())},
 		{"familyInfo.bareMs", milliseconds(&config.MaxTimeWithoutPick)},
 		{"familyInfo.countedOverMs", milliseconds(&config.Channel.MessageWindow)},
 		{"familyInfo.homeOnly", ownZoneOnly(config.RequestClasses)},
@@ -44,7 +44,7 @@
 	return []mapping{
 		{"name", text(&class.Name)},
 		{"group", text(&class.Group)},
-		{"effect", retrySafety(&class.RetrySafety)},
+		{"effect", word(&class.RetrySafety, retrySafeties())},
 		{"worth", number(&class.PriorityWeight)},
 		{"onTimeMs", dividedMilliseconds(&class.LatencyObjective)},
 		{"deadlineMs", dividedMilliseconds(&class.Deadline)},
@@ -52,49 +52,19 @@
 	}
 }
 
-// Words of "discovery". Any other word is assign.ListPushed.
-const discoveryOnRequest = "on_request" // assign.ListOnRequest
-
-func listMode(field *assign.ListMode) func(any) {
-	return func(value any) {
-		if value == discoveryOnRequest {
-			*field = assign.ListOnRequest
-		}
-	}
+// listModes has the words of "discovery". Any other word is assign.ListPushed.
+func listModes() map[string]assign.ListMode {
+	return map[string]assign.ListMode{"on_request": assign.ListOnRequest}
 }
 
-// Words of "familyInfo.admission". Any other word is assign.AdmitByRate.
-const (
-	admissionOff   = "off"   // assign.AdmissionIgnored
-	admissionRatio = "ratio" // assign.AdmitByRatio
-)
-
-func admissionMode(field *assign.AdmissionMode) func(any) {
-	return func(value any) {
-		switch value {
-		case admissionOff:
-			*field = assign.AdmissionIgnored
-		case admissionRatio:
-			*field = assign.AdmitByRatio
-		}
-	}
+// admissionModes has the words of "familyInfo.admission". Any other word is assign.AdmitByRate.
+func admissionModes() map[string]assign.AdmissionMode {
+	return map[string]assign.AdmissionMode{"off": assign.AdmissionIgnored, "ratio": assign.AdmitByRatio}
 }
 
-// Words of "effect" of a request class. Any other word is assign.NotIdempotent, which allows no retry.
-const (
-	effectSafe  = "safe"  // assign.SafeToRetry
-	effectKeyed = "keyed" // assign.IdempotencyKey
-)
-
-func retrySafety(field *assign.RetrySafety) func(any) {
-	return func(value any) {
-		switch value {
-		case effectSafe:
-			*field = assign.SafeToRetry
-		case effectKeyed:
-			*field = assign.IdempotencyKey
-		}
-	}
+// retrySafeties has the words of "effect" of a request class. Any other word is assign.NotIdempotent, which allows no retry.
+func retrySafeties() map[string]assign.RetrySafety {
+	return map[string]assign.RetrySafety{"safe": assign.SafeToRetry, "keyed": assign.IdempotencyKey}
 }
 
 // ownZoneOnly sets, by position, which request classes must stay in the proxy's zone.
--- a/internal/settings/setters.go
+++ b/internal/settings/setters.go
@@ -39,27 +39,23 @@
 }
 
 func number(field *float64) func(any) {
-	return func(value any) {
-		if v, ok := validNumber(value); ok {
-			*field = v
-		}
-	}
+	return converted(field, func(number float64) float64 { return number })
 }
 
 // milliseconds sets a field in seconds.
 func milliseconds(field *float64) func(any) {
-	return func(value any) {
-		if v, ok := validNumber(value); ok {
-			*field = v * secondsPerMillisecond
-		}
-	}
+	return converted(field, func(number float64) float64 { return number * secondsPerMillisecond })
 }
 
 // dividedMilliseconds sets a field in seconds.
 func dividedMilliseconds(field *float64) func(any) {
+	return converted(field, func(number float64) float64 { return number / millisecondsPerSecond })
+}
+
+func converted(field *float64, convert func(float64) float64) func(any) {
 	return func(value any) {
 		if v, ok := validNumber(value); ok {
-			*field = v / millisecondsPerSecond
+			*field = convert(v)
 		}
 	}
 }
@@ -91,3 +87,16 @@
 		*field = typed
 	}
 }
+
+// word sets an enumerated field to the value of a word. An unknown word leaves the field unchanged.
+func word[T any](field *T, values map[string]T) func(any) {
+	return func(value any) {
+		name, ok := value.(string)
+		if !ok {
+			return
+		}
+		if v, ok := values[name]; ok {
+			*field = v
+		}
+	}
+}
