--- a/internal/simproto/bytes_test.go
+++ b/internal/simproto/bytes_test.go
@@ -10,11 +10,25 @@
 
 // TestEncodedLinesMatchRecordedBytes compares the lines for a fixed list of orders with recorded bytes.
 func TestEncodedLinesMatchRecordedBytes(t *testing.T) {
-	orders := []assign.Order{assign.WatchEndpoints{Enabled: true}, assign.WatchEndpoints{}, assign.FetchEndpoints{}, assign.HealthCheck{Endpoint: "a:1"}, assign.Log{Message: `two "known" tasks`},
-		assign.SendPeerMessage{To: -1, Data: []byte("hi 7")}, assign.SendPeerMessage{To: 2, Data: []byte{0, 255}}, assign.SetTimer{Delay: 0.1, ID: 0}, assign.SetTimer{Delay: 1, ID: 77}}
+	orders := []assign.Order{
+		assign.WatchEndpoints{Enabled: true},
+		assign.WatchEndpoints{},
+		assign.FetchEndpoints{},
+		assign.HealthCheck{Endpoint: "a:1"},
+		assign.Log{Message: `two "known" tasks`},
+		assign.SendPeerMessage{To: -1, Data: []byte("hi 7")},
+		assign.SendPeerMessage{To: 2, Data: []byte{0, 255}},
+		assign.SetTimer{Delay: 0.1, ID: 0},
+		assign.SetTimer{Delay: 1, ID: 77},
+	}
 	for _, table := range []int{0, 117, 65534} {
-		orders = append(orders, assign.ClearTable{Table: table}, assign.AcknowledgmentRequest{Sequence: table}, assign.AcknowledgmentRequest{Sequence: table, AllProxies: true},
-			assign.EjectEndpoint{Endpoint: "a:1", Ejected: true}, assign.EjectEndpoint{Endpoint: "a:1"})
+		orders = append(orders,
+			assign.ClearTable{Table: table},
+			assign.AcknowledgmentRequest{Sequence: table},
+			assign.AcknowledgmentRequest{Sequence: table, AllProxies: true},
+			assign.EjectEndpoint{Endpoint: "a:1", Ejected: true},
+			assign.EjectEndpoint{Endpoint: "a:1"},
+		)
 		for _, weight := range []float64{0, 0.1, 1, 1.5, 1.0 / 3, 1e-9, 1234567.875, 1e9} {
 			orders = append(orders, assign.SetWeight{Table: table, Endpoint: "s-5:x", Weight: weight})
 		}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -23,7 +23,8 @@
 		return assign.ShardTrafficReport{Failed: message.count(1), RequestClass: message.text(2), Requests: message.count(3),
 			Interval: message.seconds(4), Shard: message.id(5)}, true
 	case proxyConnectedName:
-		return assign.ProxyConnected{Proxy: message.id(1), Zone: message.text(2), TypicalRate: message.notNegative(3), Fresh: message.flag(4)}, true
+		return assign.ProxyConnected{Proxy: message.id(1), Zone: message.text(2), TypicalRate: message.notNegative(3),
+			Fresh: message.flag(4)}, true
 	case proxyDisconnectedName:
 		return assign.ProxyDisconnected{Proxy: message.id(1)}, true
 	case acknowledgedName:
--- a/internal/simproto/names.go
+++ b/internal/simproto/names.go
@@ -16,10 +16,14 @@
 // decoded as a float64, which would lose digits.
 const exactField = 1
 
-// Messages with an event for an instance. Field 0 is the instance; the comments list the fields from 1.
+// Messages with an event for an instance. Field 0 is the instance; the comments list the fields from 1. A load report is an
+// array of numbers or null.
 const (
-	endpointUpdateName      = "update"     // assign.EndpointUpdate: version, mode, entries
-	endpointLoadReportName  = "tally"      // assign.EndpointLoadReport: zone, mean latency in ms, failed, interval in ms, endpoint, attempts, load or null
+	endpointUpdateName = "update" // assign.EndpointUpdate: version, mode, entries
+
+	// assign.EndpointLoadReport: zone, mean latency in ms, failed, interval in ms, endpoint, attempts, load report.
+	endpointLoadReportName = "tally"
+
 	proxyTrafficReportName  = "usage"      // assign.ProxyTrafficReport: interval in ms, proxy, requests, failed, request class
 	shardTrafficReportName  = "heat"       // assign.ShardTrafficReport: failed, request class, requests, interval in ms, shard
 	proxyConnectedName      = "connected"  // assign.ProxyConnected: proxy, zone, typical rate in 1/s, fresh
@@ -27,7 +31,7 @@
 	acknowledgedName        = "receipt"    // assign.Acknowledged: latency in ms, proxy, sequence number
 	shardAssignedName       = "given"      // assign.ShardAssigned: assigned, shard
 	shardEntryName          = "held"       // assign.ShardEntry: shard, endpoint, weight
-	healthCheckResultName   = "statusBack" // assign.HealthCheckResult: endpoint, code, latency in ms, load or null
+	healthCheckResultName   = "statusBack" // assign.HealthCheckResult: endpoint, code, latency in ms, load report
 	peerMessageReceivedName = "datagram"   // assign.PeerMessageReceived: sending assigner, data in base64
 	timerFiredName          = "ring"       // assign.TimerFired: id
 )
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -23,24 +23,29 @@
 
 // EndpointUpdate converts an endpoint list into an event.
 func (c *Codec) EndpointUpdate(list EndpointList) (assign.EndpointUpdate, error) {
-	if list.Version == nil || *list.Version < 0 {
-		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", &member.Error{Member: versionMember,
-			Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"})
-	}
-	if list.Full == nil {
-		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", &member.Error{Member: fullMember,
-			Value: member.Missing, Want: "whether the list is complete: true or false"})
+	if err := checkHeader(list); err != nil {
+		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", err)
 	}
-	update := assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full,
-		Endpoints: make([]assign.Endpoint, len(list.Endpoints))}
+	endpoints := make([]assign.Endpoint, len(list.Endpoints))
 	for i, entry := range list.Endpoints {
 		endpoint, err := c.endpoint(entry)
 		if err != nil {
-			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", update.Version, i, entry.Name, err)
+			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", *list.Version, i, entry.Name, err)
 		}
-		update.Endpoints[i] = endpoint
+		endpoints[i] = endpoint
+	}
+	return assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full, Endpoints: endpoints}, nil
+}
+
+// checkHeader checks the members of a list besides its entries.
+func checkHeader(list EndpointList) error {
+	if list.Version == nil || *list.Version < 0 {
+		return &member.Error{Member: versionMember, Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"}
+	}
+	if list.Full == nil {
+		return &member.Error{Member: fullMember, Value: member.Missing, Want: "whether the list is complete: true or false"}
 	}
-	return update, nil
+	return nil
 }
 
 func valueOrMissing(value *int64) string {
@@ -56,7 +61,7 @@
 	checks.keep(err)
 	if !isOrderArgument(entry.Name) {
 		checks.keep(&member.Error{Member: nameMember, Value: strconv.Quote(entry.Name),
-			Want: "name of an endpoint: a string without " + reservedCharacters})
+			Want: fmt.Sprintf("name of an endpoint: a string, not empty, without any of %q", reservedCharacters)})
 	}
 	return assign.Endpoint{
 		Zone:        entry.Zone,
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -8,7 +8,8 @@
 )
 
 func FuzzLine(f *testing.F) {
-	f.Add([]byte(`{"@type":"heard","locality":"a","endpoint":"s","total":12,"errors":3,"rtt":41.5,"interval":500,"metrics":{"inflight":7,"util":0.5}}`))
+	f.Add([]byte(`{"@type":"heard","locality":"a","endpoint":"s","total":12,"errors":3,"rtt":41.5,"interval":500,` +
+		`"metrics":{"inflight":7,"util":0.5}}`))
 	f.Add([]byte(`{"@type":"usage","node":5,"route":"sign","total":0,"errors":1,"interval":1000}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		message, err := testCodec().DecodeMessage(line)
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// This file maps the names in the protocol's messages to the terms of this program. No other package uses the names, except
-// the fakes of the protocol's other side. Times on the wire are milliseconds and become seconds.
+// This file maps the names in the protocol's messages to the terms of this program. Only this package and the fakes of the
+// protocol's other side use the names. Times on the wire are milliseconds and become seconds.
 
 // Types of messages at the assigner's address, in member "@type".
 const (
@@ -52,7 +52,7 @@
 	Load         json.RawMessage `json:"metrics"`  // object; the names are those of settings.LoadMetric
 }
 
-// Members of an endpoint list and of its entries, besides those of ListedEndpoint.
+// Members of EndpointList and ListedEndpoint that errors name.
 const (
 	versionMember   = "index"    // version of the list
 	fullMember      = "snapshot" // the list is complete
@@ -108,7 +108,7 @@
 	reservedCharacters    = allTablesOrClasses + argumentSeparator + requestClassSeparator + orderSeparator
 )
 
-// Elements of the relay's answer to a call, and the attribute that an error's code may stand in. Case is not significant.
+// Elements of the relay's answer to a call, and the attribute that may hold an error's code instead. Case is not significant.
 const (
 	acceptedElement = "taken" // number of orders that the relay accepted
 	codeElement     = "code"  // code of the error
--- a/internal/wire/reports_test.go
+++ b/internal/wire/reports_test.go
@@ -12,7 +12,8 @@
 	for line, want := range map[string]Message{
 		`{"@type":"ping"}`:                     Ping{},
 		`{"@type":"collector","locality":"a"}`: Collector{"a"},
-		`{"@type":"heard","locality":"a","endpoint":"s","total":12,"errors":3,"rtt":41.5,"interval":500,"metrics":{"inflight":7,"util":0.5}}`: Report{assign.EndpointLoadReport{
+		`{"@type":"heard","locality":"a","endpoint":"s","total":12,"errors":3,"rtt":41.5,"interval":500,` +
+			`"metrics":{"inflight":7,"util":0.5}}`: Report{assign.EndpointLoadReport{
 			Zone: "a", Endpoint: "s", Attempts: 12, Failed: 3, MeanLatency: 0.0415, Interval: 0.5, Load: []float64{0.5, 7}}},
 		`{"@type":"usage","node":5,"route":"sign","total":0,"errors":1,"interval":1000}`: Report{assign.ProxyTrafficReport{
 			Proxy: 5, RequestClass: "sign", Failed: 1, Interval: 1}},
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -39,7 +39,8 @@
 }
 
 func TestStreamIsIndependentOfChunksAndLineEnds(t *testing.T) {
-	text := "\ufeffevent: joined\nid: 7\ndata: node=17&w=2\ndata:more\n\n:\n\n: hello\nevent:left\n:\ndata: node=17\nretry: 3\n\nevent: none\n\ndata\n\ndata: cut off"
+	text := "\ufeffevent: joined\nid: 7\ndata: node=17&w=2\ndata:more\n\n:\n\n: hello\n" +
+		"event:left\n:\ndata: node=17\nretry: 3\n\nevent: none\n\ndata\n\ndata: cut off"
 	want := []string{"joined|node=17&w=2\nmore", "|", "|", "left|node=17", "message|"}
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
