--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -17,35 +17,29 @@
 func (c *Codec) EncodeOrder(order assign.Order) (string, error) {
 	switch order := order.(type) {
 	case assign.SetWeight:
-		return encode(setWeightOrder, order.Table, order.Endpoint, decimal(order.Weight)), nil
+		return encode(setWeightOrder, strconv.Itoa(order.Table), order.Endpoint, decimal(order.Weight)), nil
 	case assign.ClearTable:
-		return encode(clearTableOrder, order.Table), nil
+		return encode(clearTableOrder, strconv.Itoa(order.Table)), nil
 	case assign.AttachTable:
 		classes, err := c.classNames(order.RequestClasses)
-		return encode(attachTableOrder, order.Proxy, order.Table, classes), err
+		return encode(attachTableOrder, strconv.Itoa(order.Proxy), strconv.Itoa(order.Table), classes), err
 	case assign.SetRateLimit:
 		classes, err := c.classNames(order.RequestClasses)
-		return encode(setRateLimitOrder, tableName(order.Table), classes, decimal(order.Limit), order.Retries), err
+		return encode(setRateLimitOrder, tableName(order.Table), classes, decimal(order.Limit), strconv.Itoa(order.Retries)), err
 	case assign.EjectEndpoint:
 		if order.Ejected {
 			return encode(ejectEndpointOrder, order.Endpoint), nil
 		}
 		return encode(restoreEndpointOrder, order.Endpoint), nil
 	case assign.AcknowledgmentRequest:
-		return encode(acknowledgmentRequestOrder, order.Sequence, digit(order.AllProxies)), nil
+		return encode(acknowledgmentRequestOrder, strconv.Itoa(order.Sequence), flag(order.AllProxies)), nil
 	}
 	return "", fmt.Errorf("%w: type %T", ErrCannotEncode, order)
 }
 
-// encode joins the name of an order and its arguments, which are strings and integers.
-func encode(name string, arguments ...any) string {
-	var text strings.Builder
-	text.WriteString(name)
-	for _, argument := range arguments {
-		text.WriteString(argumentSeparator)
-		fmt.Fprint(&text, argument)
-	}
-	return text.String()
+// encode joins the name of an order and its arguments.
+func encode(name string, arguments ...string) string {
+	return name + argumentSeparator + strings.Join(arguments, argumentSeparator)
 }
 
 // classNames joins request classes, given by position.
@@ -73,11 +67,11 @@
 // decimal formats a number without an exponent.
 func decimal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 
-func digit(flag bool) int {
-	if flag {
-		return 1
+func flag(set bool) string {
+	if set {
+		return "1"
 	}
-	return 0
+	return "0"
 }
 
 // EncodeCall returns the body of a call to the relay with encoded orders.
