--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -59,7 +59,7 @@
 	startedAt := time.Now()
 	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
 	codec := wire.NewCodec(cfg.Settings, clockZero)
-	known, err := codec.EndpointUpdate(cfg.Known)
+	known, err := codec.EndpointUpdate(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
@@ -105,9 +105,12 @@
 	a.client = relay.NewOrderClient(relay.OrderClientConfig{Address: a.relayAt, Queue: a.orders, Seed: a.random.Int63(), Log: log})
 	a.reader = relay.NewEventReader(relay.EventReaderConfig{Address: a.relayAt, Codec: a.codec, Sink: a.events.Post,
 		Seed: a.random.Int63(), Log: log})
-	a.server = reportserver.New(a.codec, a.events.Report, cfg.Descriptors, cfg.MemoryMB, log)
-	if cfg.MessagesPeers() {
-		if a.peers, err = peer.Open(cfg.PeerListen, cfg.PeersAll, cfg.Peers, a.events.Post, log); err != nil {
+	a.server = reportserver.New(reportserver.Config{Codec: a.codec, Sink: a.events.Report, Descriptors: cfg.Descriptors,
+		MemoryMB: cfg.MemoryMB, Log: log})
+	if cfg.UsesPeers() {
+		a.peers, err = peer.Open(peer.Config{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersBroadcast,
+			Sink: a.events.Post, Log: log})
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -44,7 +44,7 @@
 	discovery *handover.Address
 	relay     *handover.Address
 	log       zerolog.Logger
-	initial   *config.Reread // the file at the start of Run; nil: it could not be read
+	initial   *config.Update // the file at the start of Run; nil: it could not be read
 	deadline  time.Time      // of the reload in progress; zero: idle
 	lastError string         // the last one that was logged in this reload
 }
@@ -62,7 +62,7 @@
 // Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves the
 // addresses as they are.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	r.initial, _ = config.Again(r.path) // without it, no members that need a restart are logged
+	r.initial, _ = config.LoadUpdate(r.path) // without it, no members that need a restart are logged
 	retry := time.NewTimer(0)
 	defer retry.Stop()
 	for {
@@ -92,8 +92,8 @@
 
 // attempt reads the file once and ends the reload if it can or must.
 func (r *Reloader) attempt() {
-	reread, err := config.Again(r.path)
-	if err == nil && r.move(reread) {
+	update, err := config.LoadUpdate(r.path)
+	if err == nil && r.move(update) {
 		r.deadline = time.Time{}
 		return
 	}
@@ -109,17 +109,17 @@
 		r.log.Error().Err(err).Msg("configuration reload failed; keeping current configuration")
 		return
 	}
-	r.log.Info().Strs("needs_restart", reread.NeedsRestart(r.initial)).Msg("configuration reload found no new address")
+	r.log.Info().Strs("needs_restart", update.NeedsRestart(r.initial)).Msg("configuration reload found no new address")
 }
 
 // move sets the addresses, and reports whether one has changed.
-func (r *Reloader) move(reread *config.Reread) bool {
-	discoveryMoved := r.discovery.Move(reread.Discovery)
-	relayMoved := r.relay.Move(reread.Relay)
+func (r *Reloader) move(update *config.Update) bool {
+	discoveryMoved := r.discovery.Move(update.Discovery)
+	relayMoved := r.relay.Move(update.Relay)
 	if !discoveryMoved && !relayMoved {
 		return false
 	}
 	r.log.Info().Bool("discovery_moved", discoveryMoved).Bool("relay_moved", relayMoved).
-		Strs("needs_restart", reread.NeedsRestart(r.initial)).Msg("configuration reloaded")
+		Strs("needs_restart", update.NeedsRestart(r.initial)).Msg("configuration reloaded")
 	return true
 }
--- a/internal/orderqueue/harness_test.go
+++ b/internal/orderqueue/harness_test.go
@@ -48,7 +48,7 @@
 	want := make([]string, len(orders))
 	for i, order := range orders {
 		var err error
-		if want[i], err = q.encoder.Order(order); err != nil {
+		if want[i], err = q.encoder.EncodeOrder(order); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -11,8 +11,8 @@
 
 // Encoder encodes orders for the relay. It must not block, and any goroutine may call it; wire.Codec implements it.
 type Encoder interface {
-	// Order returns an order's encoded form, or an error if the order has none.
-	Order(order assign.Order) (string, error)
+	// EncodeOrder returns an order's encoded form, or an error if the order has none.
+	EncodeOrder(order assign.Order) (string, error)
 }
 
 // Queue holds orders that the relay has not accepted yet. Use New. Any goroutine may use it.
@@ -120,7 +120,7 @@
 			q.acknowledgments.request(request)
 			continue
 		}
-		text, err := q.encoder.Order(order)
+		text, err := q.encoder.EncodeOrder(order)
 		if err != nil {
 			q.log.Error().Err(err).Msg("order dropped; encoding failed")
 			continue
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -196,7 +196,7 @@
 	}
 	request := assign.AcknowledgmentRequest{Sequence: 7}
 	queue.Submit(append(orders, request))
-	requestText, err := queue.encoder.Order(request)
+	requestText, err := queue.encoder.EncodeOrder(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		size, last := len(wire.Call(call.Orders)), call.Orders[len(call.Orders)-1]
+		size, last := len(wire.EncodeCall(call.Orders)), call.Orders[len(call.Orders)-1]
 		if size > 60100 || last != requestText {
 			t.Fatalf("got %d bytes, last order %s; want at most 60100, last order %s", size, last, requestText)
 		}
@@ -220,7 +220,7 @@
 		got = append(got, call.Orders[:len(call.Orders)-1]...)
 	}
 	for i, order := range orders {
-		want, err := queue.encoder.Order(order)
+		want, err := queue.encoder.EncodeOrder(order)
 		if err != nil || i >= len(got) || got[i] != want {
 			t.Fatalf("order %d: got %q, want %q (%v)", i, got[min(i, len(got)-1)], want, err)
 		}
@@ -228,7 +228,7 @@
 }
 
 func TestLongestAcknowledgmentRequestFitsReservedSize(t *testing.T) {
-	text, err := newTestQueue(0).encoder.Order(assign.AcknowledgmentRequest{Sequence: 65535, AllProxies: true})
+	text, err := newTestQueue(0).encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: 65535, AllProxies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/orderqueue/take.go
+++ b/internal/orderqueue/take.go
@@ -141,7 +141,7 @@
 
 // appendRequest appends the acknowledgment request to a call.
 func (q *Queue) appendRequest(call *Call, sequence int) {
-	text, err := q.encoder.Order(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
+	text, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
 	if err != nil {
 		q.log.Error().Err(err).Msg("acknowledgment request dropped; encoding failed")
 		return
--- a/internal/relay/callconn_test.go
+++ b/internal/relay/callconn_test.go
@@ -21,8 +21,8 @@
 		t.Run(fmt.Sprintf("%d of %d", test.accepted, test.sent), func(t *testing.T) {
 			text := fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", test.accepted)
 			answer, err := readAnswer(&http.Response{Body: io.NopCloser(strings.NewReader(text))}, test.sent)
-			if !errors.Is(err, test.wantErr) || answer.Taken != test.accepted {
-				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.Taken, err, test.accepted, test.wantErr)
+			if !errors.Is(err, test.wantErr) || answer.Accepted != test.accepted {
+				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.Accepted, err, test.accepted, test.wantErr)
 			}
 		})
 	}
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -80,7 +80,7 @@
 	item.event = nil
 	item.decodeErr = nil
 	if name != "" {
-		item.event, item.decodeErr = r.codec.Event(name, data)
+		item.event, item.decodeErr = r.codec.DecodeRelayEvent(name, data)
 	}
 	return nil
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -161,7 +161,7 @@
 	texts := make([]string, len(orders))
 	for i, order := range orders {
 		var err error
-		if texts[i], err = codec.Order(order); err != nil {
+		if texts[i], err = codec.EncodeOrder(order); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -118,8 +118,8 @@
 		})
 		c.queue.Requeue(call)
 		backoff.Sleep(ctx, deferredDelay)
-	case answer.Taken < len(call.Orders):
-		c.handleRejection(call, answer.Taken)
+	case answer.Accepted < len(call.Orders):
+		c.handleRejection(call, answer.Accepted)
 	default:
 		c.resetRetries()
 	}
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -42,7 +42,7 @@
 	if want := "[\"end\",1]\n"; reply != want {
 		t.Errorf("got reply %q, want %q", reply, want)
 	}
-	for _, want := range []string{"line 2 skipped: left: field 1", "line 3 skipped", "line 5 skipped: batch end without batch start"} {
+	for _, want := range []string{`line 2 skipped: left: "field 1"`, "line 3 skipped", "line 5 skipped: batch end without batch start"} {
 		if !strings.Contains(diagnostics, want) {
 			t.Errorf("got diagnostics %q, want %q", diagnostics, want)
 		}
