--- a/cmd/madderhollow/counters.go
+++ b/cmd/madderhollow/counters.go
@@ -41,14 +41,14 @@
 		Events:                        batches.Events,
 		Goroutines:                    runtime.NumGoroutine(),
 		HeapKB:                        int64(memory.HeapAlloc / bytesPerKB),
-		MalformedLines:                reports.Malformed,
-		MaxOrderWaitMs:                orders.LongestWait.Milliseconds(),
+		MalformedLines:                reports.MalformedLines,
+		MaxOrderWaitMs:                orders.MaxOrderWait.Milliseconds(),
 		OrdersCoalesced:               orders.Coalesced,
 		OrdersWaiting:                 orders.Waiting,
 		Proxies:                       orders.Proxies,
 		Reports:                       reports.Reports,
 		ReportsLost:                   a.events.Dropped(),
-		UnidentifiedConnectionsClosed: reports.Refused,
+		UnidentifiedConnectionsClosed: reports.UnidentifiedConnectionsClosed,
 	}
 }
 
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -64,7 +64,7 @@
 	mustClose(t, held[site.status])
 	up := eventually.True(soon, func() bool {
 		_, err := site.health()
-		return err == nil && strings.Contains(daemon.log.String(), "peers are heard")
+		return err == nil && strings.Contains(daemon.log.String(), "peer socket bound")
 	})
 	if !up {
 		t.Errorf("status page or peer socket is not bound\n%s", daemon.text())
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return update, true, fmt.Errorf("read answer: %w", err)
 	}
-	update, err = w.codec.List(body)
+	update, err = w.codec.DecodeEndpointList(body)
 	if err != nil {
 		return update, true, fmt.Errorf("decode answer: %w", err)
 	}
