--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -62,9 +62,9 @@
 	startedAt := time.Now()
 	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
 	codec := wire.NewCodec(cfg.Settings, clockZero)
-	known, err := codec.EndpointUpdate(cfg.InitialEndpoints)
+	initial, err := codec.EndpointUpdate(cfg.InitialEndpoints)
 	if err != nil {
-		return fmt.Errorf("configuration: known: %w", err)
+		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
 	writerOnly := struct{ io.Writer }{logs} // hides Close, which the diode would call
 	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, 0, func(int) {})
@@ -87,11 +87,11 @@
 		return err
 	}
 	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
-	if err := program.makeParts(known.Version); err != nil {
+	if err := program.createParts(initial.Version); err != nil {
 		return err
 	}
-	program.ownLog.Info().Int("endpoints", len(known.Endpoints)).Int("version", known.Version).Msg("started")
-	program.run(ctx, known, listener, reload)
+	program.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
+	program.run(ctx, initial, listener, reload)
 	program.ownLog.Info().EmbedObject(program.counters()).Msg("ended")
 	return nil
 }
@@ -102,40 +102,88 @@
 		Sample(&zerolog.BurstSampler{Burst: maxLogRate, Period: time.Second})
 }
 
-// makeParts creates all parts except the status page. The known version is that of the endpoint list with which the
-// decision module starts.
-func (a *assigner) makeParts(known int) error {
-	cfg, log := a.config, a.log
-	a.discoveryAt = handover.NewAddress(cfg.Discovery)
-	a.relayAt = handover.NewAddress(cfg.Relay)
+// createParts creates all parts except the status page. The listVersion is that of the endpoint list with which the decision
+// module starts. The order of creation decides which seed a part gets.
+func (a *assigner) createParts(listVersion int) (err error) {
+	a.discoveryAt = handover.NewAddress(a.config.Discovery)
+	a.relayAt = handover.NewAddress(a.config.Relay)
 	a.events = eventqueue.New()
-	a.orders = orderqueue.New(cfg.Settings.Channel, a.codec, log)
-	var err error
-	a.watcher, err = discovery.New(discovery.Config{Address: a.discoveryAt, KnownVersion: known, Codec: a.codec,
-		Sink: a.events.Post, MemoryMB: cfg.MemoryMB, Seed: a.random.Int63(), Log: log})
+	a.orders = orderqueue.New(a.config.Settings.Channel, a.codec, a.log)
+	a.watcher, err = discovery.New(discovery.Config{
+		Address:      a.discoveryAt,
+		KnownVersion: listVersion,
+		Codec:        a.codec,
+		Sink:         a.events.Post,
+		MemoryMB:     a.config.MemoryMB,
+		Seed:         a.random.Int63(),
+		Log:          a.log,
+	})
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	a.client = relay.NewOrderClient(relay.OrderClientConfig{Address: a.relayAt, Queue: a.orders, Seed: a.random.Int63(), Log: log})
-	a.reader = relay.NewEventReader(relay.EventReaderConfig{Address: a.relayAt, Codec: a.codec, Sink: a.events.Post,
-		Seed: a.random.Int63(), Log: log})
-	a.server = reportserver.New(reportserver.Config{Codec: a.codec, Sink: a.events.Report, Descriptors: cfg.Descriptors,
-		MemoryMB: cfg.MemoryMB, Log: log})
-	if cfg.UsesPeers() {
-		a.peers, err = peer.Open(peer.Config{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersBroadcast,
-			Sink: a.events.Post, Log: log})
-		if err != nil {
-			return err
-		}
+	a.client = relay.NewOrderClient(relay.OrderClientConfig{
+		Address: a.relayAt,
+		Queue:   a.orders,
+		Seed:    a.random.Int63(),
+		Log:     a.log,
+	})
+	a.reader = relay.NewEventReader(relay.EventReaderConfig{
+		Address: a.relayAt,
+		Codec:   a.codec,
+		Sink:    a.events.Post,
+		Seed:    a.random.Int63(),
+		Log:     a.log,
+	})
+	a.server = reportserver.New(reportserver.Config{
+		Codec:       a.codec,
+		Sink:        a.events.Report,
+		Descriptors: a.config.Descriptors,
+		MemoryMB:    a.config.MemoryMB,
+		Log:         a.log,
+	})
+	a.loop = a.newEventLoop()
+	return a.openPeers()
+}
+
+// openPeers opens the socket for messages of other assigners if the configuration has any.
+func (a *assigner) openPeers() (err error) {
+	if !a.config.UsesPeers() {
+		return nil
+	}
+	a.peers, err = peer.Open(peer.Config{
+		Listen:    a.config.PeerListen,
+		Peers:     a.config.Peers,
+		Broadcast: a.config.PeersBroadcast,
+		Sink:      a.events.Post,
+		Log:       a.log,
+	})
+	if err != nil {
+		return fmt.Errorf("peers: %w", err)
 	}
-	inputs := eventloop.Inputs{Events: a.events.Events(), Reports: a.events.Reports(), Observe: a.orders.Observe}
-	outputs := eventloop.Outputs{Submit: a.orders.Submit, WatchEndpoints: a.watcher.Watch, FetchEndpoints: a.watcher.Fetch,
-		SendPeerMessage: a.sendPeerMessage}
-	a.loop = eventloop.New(eventloop.Config{Seed: cfg.Seed, Settings: cfg.Settings, Inputs: inputs, Outputs: outputs,
-		StartedAt: a.startedAt, Log: log})
 	return nil
 }
 
+// newEventLoop connects the event loop to the queues and the parts that execute orders.
+func (a *assigner) newEventLoop() *eventloop.Loop {
+	return eventloop.New(eventloop.Config{
+		Seed:     a.config.Seed,
+		Settings: a.config.Settings,
+		Inputs: eventloop.Inputs{
+			Events:  a.events.Events(),
+			Reports: a.events.Reports(),
+			Observe: a.orders.Observe,
+		},
+		Outputs: eventloop.Outputs{
+			Submit:          a.orders.Submit,
+			WatchEndpoints:  a.watcher.Watch,
+			FetchEndpoints:  a.watcher.Fetch,
+			SendPeerMessage: a.sendPeerMessage,
+		},
+		StartedAt: a.startedAt,
+		Log:       a.log,
+	})
+}
+
 // sendPeerMessage sends a message to another assigner. It drops the message if the settings allow none.
 func (a *assigner) sendPeerMessage(to int, data []byte) {
 	if a.peers != nil {
@@ -146,7 +194,7 @@
 // run runs the parts until the context ends and all of them have returned. The order client outlives the event loop, so
 // that it can send the last orders. The report server starts after the first batch, because its answer to a ping means that
 // the assigner is ready.
-func (a *assigner) run(ctx context.Context, known assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
+func (a *assigner) run(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
 	loopEnded, endLoop := context.WithCancel(context.WithoutCancel(ctx))
 	defer endLoop()
 	ready := make(chan struct{})
@@ -167,7 +215,7 @@
 	}
 	parts.add("event loop", func(ctx context.Context) {
 		defer endLoop()
-		a.loop.Run(ctx, []assign.Event{known}, func() { close(ready) })
+		a.loop.Run(ctx, []assign.Event{initial}, func() { close(ready) })
 	})
 	parts.add("report server", func(ctx context.Context) {
 		<-ready
