--- /dev/null
+++ b/cmd/madderhollow/documents_test.go
@@ -0,0 +1,56 @@
+package main
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// repository is the root of the module.
+const repository = "../.."
+
+// testNames returns the names of all tests, benchmarks and fuzz targets of the module.
+func testNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	declaration := regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
+	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		for _, match := range declaration.FindAllStringSubmatch(readFile(t, path), -1) {
+			names[match[1]] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+// readFile returns the content of a file.
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(content)
+}
+
+// Pages that name tests must follow when these are renamed.
+func TestDocumentsNameExistingTests(t *testing.T) {
+	mention := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
+	existing := testNames(t)
+	for _, page := range []string{"docs/architecture.md", "docs/failures.md", "docs/on-call.md", "README.md"} {
+		for _, name := range mention.FindAllString(readFile(t, filepath.Join(repository, page)), -1) {
+			if !existing[name] {
+				t.Errorf("%s names %s, which does not exist", page, name)
+			}
+		}
+	}
+}
