--- /dev/null
+++ b/assign/known_faults_test.go
@@ -0,0 +1,243 @@
+package assign
+
+import (
+	"math"
+	"testing"
+)
+
+// Each test of this file shows a known fault at its true bound and fails until the fault is mended. KNOWN-RED.txt at the
+// root of the repository lists those that fail.
+
+// TestTableOfLastResortKeepsRateCap has tables narrow and every endpoint warming up. Each proxy then holds at least two
+// endpoints, at finite weights, and a rate cap protects them.
+func TestTableOfLastResortKeepsRateCap(t *testing.T) {
+	config := modelConfig()
+	fleet := newTestFleet(t, config)
+	for range 15 { // most attempts at idle endpoints fail, the others are answered quickly
+		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: 6, Load: []float64{0.3}})
+	}
+	for i := range fleet.listed {
+		fleet.listed[i].StartedAt = fleet.now - config.WarmUp.OverloadWindow - 0.5
+	}
+	fleet.handle(0.1, EndpointUpdate{Full: true, Endpoints: fleet.listed})
+	checkDrafts(t, fleet.assigner)
+	fleet.handle(1)
+	for proxy, zone := range config.Zones {
+		for class := range config.RequestClasses {
+			table := fleet.tables[tableOf{proxy, class}]
+			if got := len(fleet.weights[table]); got < 2 {
+				t.Errorf("zone %s, class %d: got a table of %d entries, want 2 or more", zone, class, got)
+			}
+			expected := fleetTypicalRate / float64(len(config.RequestClasses))
+			highest := 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
+			limit, limited := fleet.limits[tableOf{proxy, class}]
+			if !limited || limit <= 0 || limit > highest {
+				t.Errorf("zone %s, class %d: got rate cap %g/s (ordered: %t), want above 0 and at most %g/s",
+					zone, class, limit, limited, highest)
+			}
+		}
+	}
+}
+
+// TestReportOfUnknownProxyMakesNoZone sends events of a proxy that never connected. They change no order.
+func TestReportOfUnknownProxyMakesNoZone(t *testing.T) {
+	const unknown = 0 // below the connected proxy's number
+	for _, test := range []struct {
+		name  string
+		event Event
+	}{
+		{"traffic report", ProxyTrafficReport{Proxy: unknown, RequestClass: "read", Interval: 1, Requests: 5}},
+		{"acknowledgment", Acknowledged{Proxy: unknown, Sequence: 1}},
+		{"disconnection", ProxyDisconnected{Proxy: unknown}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			without, _ := ordersInSmallZone()
+			with, assigner := ordersInSmallZone(test.event)
+			for _, name := range zoneNames(assigner) {
+				if name == "" {
+					t.Error("got a zone without a name, want none")
+				}
+			}
+			for endpoint, want := range without {
+				if got := with[endpoint]; got != want {
+					t.Errorf("endpoint %s: got weight %g, want %g as without the event", endpoint, got, want)
+				}
+			}
+			if len(without) == 0 || len(with) != len(without) {
+				t.Errorf("got a table of %d entries, want %d as without the event", len(with), len(without))
+			}
+		})
+	}
+}
+
+// ordersInSmallZone returns the weights ordered for a proxy of zone x, which has one endpoint while zone y has twelve.
+// The first batch has the additional events too.
+func ordersInSmallZone(additional ...Event) (weights map[string]float64, assigner *Assigner) {
+	assigner = New(1, modelConfig())
+	listed := append(newEndpoints("y", 12), Endpoint{Zone: "x", Name: "x0", Weight: 1})
+	for i := range 12 {
+		listed[i].Zone = "y"
+	}
+	assigner.Handle(1000, append(additional, EndpointUpdate{Full: true, Endpoints: listed}))
+	weights = map[string]float64{}
+	for _, order := range assigner.Handle(1001, []Event{ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 10}}) {
+		if o, ok := order.(SetWeight); ok && o.Table%modelGroups == 0 {
+			weights[o.Endpoint] = o.Weight
+		}
+	}
+	return weights, assigner
+}
+
+// TestEndpointWithoutLatencyObjectiveKeepsTotalFinite has a request class without a latency objective and, in a wide
+// overload, an endpoint that answers nothing. The overload still brings a total rate and rate limits.
+func TestEndpointWithoutLatencyObjectiveKeepsTotalFinite(t *testing.T) {
+	config := modelConfig()
+	for i := range config.RequestClasses {
+		config.RequestClasses[i].LatencyObjective = 0
+	}
+	fleet := newTestFleet(t, config)
+	fleet.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
+	silent := EndpointLoadReport{Zone: fleet.listed[0].Zone, Endpoint: fleet.listed[0].Name, Interval: 1, Attempts: 9, Failed: 9}
+	fleet.requests = 8 // of each class: more than the 48/s that the endpoints answer
+	for second := range 5 {
+		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}}, silent)
+		if total := totalRate(fleet.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
+			t.Fatalf("after %d s: got a total of %g/s, want a finite one", second+1, total)
+		}
+	}
+	if len(fleet.limits) == 0 {
+		t.Error("got no rate limit in an overload, want some")
+	}
+	for table, limit := range fleet.limits {
+		if math.IsNaN(limit) || limit < 0 {
+			t.Errorf("proxy %d, class %d: got limit %g/s, want 0 or more", table.proxy, table.class, limit)
+		}
+	}
+}
+
+// fleetTypicalRate is the typical rate of each proxy of a testFleet, 1/s.
+const fleetTypicalRate = 9.0
+
+// testFleet is an assigner with a proxy in each zone, numbered as the zones are, and four endpoints a zone. The proxies
+// have assigned tables from the start. Orders take effect at once and are acknowledged in the next batch.
+type testFleet struct {
+	assigner *Assigner
+	config   Config
+	now      float64 // s
+	listed   []Endpoint
+	requests int     // of each class that a proxy reports, 1/s
+	pending  []Event // acknowledgments for the next batch
+
+	tables  map[tableOf]int            // attached
+	weights map[int]map[string]float64 // above 0, by table and endpoint
+	limits  map[tableOf]float64        // ordered last; unlimited is not kept
+}
+
+// tableOf names what a proxy uses for a request class.
+type tableOf struct{ proxy, class int }
+
+func newTestFleet(t *testing.T, config Config) *testFleet {
+	t.Helper()
+	fleet := &testFleet{assigner: New(1, config), config: config, now: 1000, requests: 3,
+		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[tableOf]float64{}}
+	for _, zone := range config.Zones {
+		for _, endpoint := range newEndpoints(zone, 4) {
+			endpoint.Zone = zone
+			fleet.listed = append(fleet.listed, endpoint)
+		}
+	}
+	fleet.handle(0, EndpointUpdate{Full: true, Endpoints: fleet.listed})
+	for proxy, zone := range config.Zones {
+		fleet.handle(0.1, ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: fleetTypicalRate})
+	}
+	fleet.handle(1)
+	if len(fleet.tables) != len(config.Zones)*len(config.RequestClasses) {
+		t.Fatalf("got %d attached tables, want one a proxy and class", len(fleet.tables))
+	}
+	return fleet
+}
+
+// handle passes time and applies the orders of one batch.
+func (f *testFleet) handle(seconds float64, events ...Event) {
+	f.now += seconds
+	orders := f.assigner.Handle(f.now, append(f.pending, events...))
+	f.pending = nil
+	for _, order := range orders {
+		switch order := order.(type) {
+		case ClearTable:
+			f.weights[order.Table] = map[string]float64{}
+		case SetWeight:
+			f.weights[order.Table][order.Endpoint] = order.Weight
+			if order.Weight == 0 {
+				delete(f.weights[order.Table], order.Endpoint)
+			}
+		case SetRateLimit:
+			f.setLimit(order)
+		case AttachTable:
+			for _, class := range order.RequestClasses {
+				f.tables[tableOf{order.Proxy, class}] = order.Table
+			}
+		case AcknowledgmentRequest:
+			for proxy := range f.config.Zones {
+				f.pending = append(f.pending, Acknowledged{Proxy: proxy, Sequence: order.Sequence})
+			}
+		}
+	}
+}
+
+func (f *testFleet) setLimit(order SetRateLimit) {
+	for _, class := range order.RequestClasses {
+		table := tableOf{order.Table / modelGroups, class}
+		f.limits[table] = order.Limit
+		if order.Limit >= 1e9 {
+			delete(f.limits, table)
+		}
+	}
+}
+
+// reportAll passes a second in which the proxies of each endpoint's zone report the same of it, and each proxy
+// its requests. The additional events follow in the same batch.
+func (f *testFleet) reportAll(report EndpointLoadReport, additional ...Event) {
+	var events []Event
+	for _, endpoint := range f.listed {
+		report.Zone, report.Endpoint, report.Interval = endpoint.Zone, endpoint.Name, 1
+		events = append(events, report)
+	}
+	for proxy := range f.config.Zones {
+		for _, class := range f.config.RequestClasses {
+			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: f.requests})
+		}
+	}
+	f.handle(1, append(events, additional...)...)
+}
+
+// The functions below are all that this file knows of the records.
+
+// checkDrafts checks that each table that a connected proxy would get now has finite weights and carries something.
+func checkDrafts(t *testing.T, assigner *Assigner) {
+	t.Helper()
+	for _, p := range assigner.proxies {
+		for _, group := range assigner.groups {
+			draft := p.buildTable(assigner, group)
+			for _, entry := range draft.entries {
+				if math.IsInf(entry.weight, 0) || math.IsNaN(entry.weight) {
+					t.Errorf("proxy %d, table %d: got weight %g of %s, want a finite one", p.id, group.index, entry.weight, entry.endpoint.name)
+				}
+			}
+			if draft.capacity <= 0 {
+				t.Errorf("proxy %d, table %d: got capacity %g, want above 0", p.id, group.index, draft.capacity)
+			}
+		}
+	}
+}
+
+// zoneNames returns the names of the zones that the assigner has a record of.
+func zoneNames(assigner *Assigner) (names []string) {
+	for _, z := range assigner.zones {
+		names = append(names, z.name)
+	}
+	return names
+}
+
+// totalRate returns the total rate, 1/s; 0 if none is set.
+func totalRate(assigner *Assigner) float64 { return assigner.split.total }
