--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -20,7 +20,7 @@
 		fleet.listed[i].StartedAt = fleet.now - config.WarmUp.OverloadWindow - 0.5
 	}
 	fleet.handle(0.1, EndpointUpdate{Full: true, Endpoints: fleet.listed})
-	checkDrafts(t, fleet.assigner)
+	checkTables(t, fleet.assigner)
 	fleet.handle(1)
 	for proxy, zone := range config.Zones {
 		for class := range config.RequestClasses {
@@ -213,19 +213,19 @@
 
 // The functions below are all that this file knows of the records.
 
-// checkDrafts checks that each table that a connected proxy would get now has finite weights and carries something.
-func checkDrafts(t *testing.T, assigner *Assigner) {
+// checkTables checks that each table that a connected proxy would get now has finite weights and carries something.
+func checkTables(t *testing.T, assigner *Assigner) {
 	t.Helper()
 	for _, p := range assigner.proxies {
 		for _, group := range assigner.groups {
-			draft := p.buildTable(assigner, group)
-			for _, entry := range draft.entries {
-				if math.IsInf(entry.weight, 0) || math.IsNaN(entry.weight) {
-					t.Errorf("proxy %d, table %d: got weight %g of %s, want a finite one", p.id, group.index, entry.weight, entry.endpoint.name)
+			table := p.buildTable(assigner, group)
+			for _, entry := range table.Entries {
+				if math.IsInf(entry.Weight, 0) || math.IsNaN(entry.Weight) {
+					t.Errorf("proxy %d, table %d: got weight %g of %s, want a finite one", p.id, group.index, entry.Weight, entry.Endpoint.name)
 				}
 			}
-			if draft.capacity <= 0 {
-				t.Errorf("proxy %d, table %d: got capacity %g, want above 0", p.id, group.index, draft.capacity)
+			if table.WarmingCapacity <= 0 {
+				t.Errorf("proxy %d, table %d: got capacity %g, want above 0", p.id, group.index, table.WarmingCapacity)
 			}
 		}
 	}
@@ -240,4 +240,4 @@
 }
 
 // totalRate returns the total rate, 1/s; 0 if none is set.
-func totalRate(assigner *Assigner) float64 { return assigner.split.total }
+func totalRate(assigner *Assigner) float64 { return assigner.totalRate }
