--- /dev/null
+++ b/assign/outlier/outlier_test.go
@@ -0,0 +1,285 @@
+package outlier_test
+
+import (
+	"math"
+	"math/rand"
+	"testing"
+
+	"madderhollow/assign/outlier"
+	"madderhollow/internal/quickcheck"
+)
+
+const (
+	now           = 100.0 // s
+	lateThreshold = 0.4   // s
+	tolerance     = 1e-12
+)
+
+// healthOf returns a health with attempts of a mean latency since the last assessment.
+func healthOf(attempts, failed int, meanLatency, weight float64) outlier.Health {
+	health := outlier.NewHealth()
+	health.Weight = weight
+	health.Record(attempts, failed, meanLatency)
+	return health
+}
+
+func TestAssessNeedsAttempts(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		attempts int
+		weight   float64
+		assessed bool
+	}{
+		{"three at full weight", 3, 1, false},
+		{"four at full weight", 4, 1, true},
+		{"three at half weight", 3, 0.5, false},
+		{"four at half weight", 4, 0.5, true},
+		{"one below half weight", 1, 0.49, false},
+		{"two below half weight", 2, 0.49, true},
+		{"none", 0, 0.1, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			before := healthOf(test.attempts, 0, 0.1, test.weight)
+			got := outlier.Assess(before, lateThreshold, now)
+			if !test.assessed && got != before {
+				t.Errorf("got %+v, want no change of %+v", got, before)
+			}
+			if test.assessed && (got.AssessedAt != now || got.Attempts != 0 || got.Failed != 0 || got.LatencySum != 0) {
+				t.Errorf("got %+v, want an assessment at %g s and empty sums", got, now)
+			}
+		})
+	}
+}
+
+func TestAssessFindsUnhealthy(t *testing.T) {
+	for _, test := range []struct {
+		name             string
+		attempts, failed int
+		meanLatency      float64
+		failing, late    bool
+	}{
+		{"failure ratio below the threshold", 100, 39, 0.1, false, false},
+		{"failure ratio at the threshold", 100, 40, 0.1, true, false},
+		{"all fail", 100, 100, 0, true, false},
+		{"latency at the threshold", 4, 0, 0.4, false, false},
+		{"latency above the threshold", 4, 0, 0.4001, false, true},
+		{"latency of the successful ones alone", 100, 39, 0.41, false, true},
+		{"failing and late", 10, 5, 2, true, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got := outlier.Assess(healthOf(test.attempts, test.failed, test.meanLatency, 1), lateThreshold, now)
+			if got.Failing() != test.failing || got.Late != test.late {
+				t.Errorf("got failing %t, late %t, want %t, %t", got.Failing(), got.Late, test.failing, test.late)
+			}
+			if want := test.failing || test.late; got.Unhealthy() != want {
+				t.Errorf("got unhealthy %t, want %t", got.Unhealthy(), want)
+			}
+			if want := float64(test.failed) / float64(test.attempts); got.FailureRatio != want {
+				t.Errorf("got failure ratio %g, want %g", got.FailureRatio, want)
+			}
+		})
+	}
+}
+
+func TestAssessRestoresWeight(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		weight     float64
+		failed     int
+		nextChange float64
+		want       float64
+		wantNext   float64
+	}{
+		{"healthy", 0.5, 0, 0, 0.6, now + 1},
+		{"healthy, almost whole", 0.95, 0, 0, 1, now + 1},
+		{"healthy, whole", 1, 0, 0, 1, now + 1},
+		{"healthy, at the next change", 0.5, 0, now, 0.6, now + 1},
+		{"healthy, before the next change", 0.5, 0, now + 0.01, 0.5, now + 0.01},
+		{"unhealthy", 0.5, 4, 0, 0.5, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			health := healthOf(10, test.failed, 0.1, test.weight)
+			health.NextChange = test.nextChange
+			got := outlier.Assess(health, lateThreshold, now)
+			if math.Abs(got.Weight-test.want) > tolerance || got.NextChange != test.wantNext {
+				t.Errorf("got weight %g until %g s, want %g until %g s", got.Weight, got.NextChange, test.want, test.wantNext)
+			}
+		})
+	}
+}
+
+func TestDecrease(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		health     outlier.Health
+		mean       float64 // failure ratio of all endpoints
+		wantWeight float64
+		probation  bool
+	}{
+		{"outlier", outlier.Health{FailureRatio: 0.4, Weight: 1}, 0.19, 0.1, true},
+		{"outlier before the next change", outlier.Health{FailureRatio: 0.4, Weight: 1, NextChange: now + 1}, 0.19, 0.1, true},
+		{"outlier on probation already", outlier.Health{FailureRatio: 1, Weight: 0.1}, 0.19, 0.1, false},
+		{"twice the mean is no outlier", outlier.Health{FailureRatio: 0.4, Weight: 1}, 0.2, 0.8, false},
+		{"failing and late is no outlier", outlier.Health{FailureRatio: 0.9, Late: true, Weight: 1}, 0.1, 0.8, false},
+		{"below the failure threshold is no outlier", outlier.Health{FailureRatio: 0.39, Weight: 1}, 0, 0.8, false},
+		{"late at the next change", outlier.Health{Late: true, Weight: 1, NextChange: now}, 0, 0.8, false},
+		{"late before the next change", outlier.Health{Late: true, Weight: 1, NextChange: now + 0.01}, 0, 1, false},
+		{"decay stops at probation's weight", outlier.Health{Late: true, Weight: 0.12}, 0, 0.1, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got, probation := outlier.Decrease(test.health, test.mean, now)
+			if math.Abs(got.Weight-test.wantWeight) > tolerance || probation != test.probation {
+				t.Errorf("got weight %g, probation %t, want %g, %t", got.Weight, probation, test.wantWeight, test.probation)
+			}
+			wantNext := now + 3
+			if got.Weight == test.health.Weight && test.health.NextChange > now {
+				wantNext = test.health.NextChange
+			}
+			if got.NextChange != wantNext {
+				t.Errorf("got next change at %g s, want %g s", got.NextChange, wantNext)
+			}
+		})
+	}
+}
+
+func TestAssessmentExpires(t *testing.T) {
+	for _, test := range []struct {
+		name              string
+		age               float64 // s
+		current, thisTick bool
+	}{
+		{"now", 0, true, true},
+		{"one tick", 1, true, true},
+		{"over one tick", 1.001, true, false},
+		{"two ticks", 2, true, false},
+		{"over two ticks", 2.001, false, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			health := outlier.Health{AssessedAt: now - test.age}
+			if got := health.Current(now); got != test.current {
+				t.Errorf("got current %t, want %t", got, test.current)
+			}
+			if got := health.AssessedThisTick(now); got != test.thisTick {
+				t.Errorf("got assessed this tick %t, want %t", got, test.thisTick)
+			}
+		})
+	}
+	t.Run("never assessed, at the start of the clock", func(t *testing.T) {
+		health := outlier.NewHealth()
+		if health.Current(0) {
+			t.Error("got current, want not")
+		}
+	})
+}
+
+func TestUnverified(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		proof outlier.Proof
+		want  bool
+	}{
+		{"never answered", outlier.Proof{Now: now}, true},
+		{"never answered, still warming", outlier.Proof{Now: now, Warming: true}, false},
+		{"never answered, at the start of the clock", outlier.Proof{Now: 10}, false},
+		{"never answered, after the silence timeout", outlier.Proof{Now: 10.001}, true},
+		{"failing, silent for the timeout", outlier.Proof{LastAnsweredAt: now - 10, Now: now, Failing: true}, false},
+		{"failing, silent for longer", outlier.Proof{LastAnsweredAt: now - 10.001, Now: now, Failing: true}, true},
+		{"silent for longer without failures", outlier.Proof{LastAnsweredAt: now - 60, Now: now}, false},
+		{"failing and warming", outlier.Proof{LastAnsweredAt: now - 60, Now: now, Failing: true, Warming: true}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := outlier.Unverified(test.proof); got != test.want {
+				t.Errorf("got %t, want %t", got, test.want)
+			}
+		})
+	}
+}
+
+func TestFailureMean(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		ratios []float64
+		want   float64
+	}{
+		{"no assessment", nil, 0},
+		{"one", []float64{0.5}, 0.5},
+		{"three", []float64{0, 0.3, 0.6}, 0.3},
+		{"all fail", []float64{1, 1}, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var mean outlier.FailureMean
+			for _, ratio := range test.ratios {
+				mean.Add(ratio)
+			}
+			if got := mean.Ratio(); math.Abs(got-test.want) > 1e-8 {
+				t.Errorf("got %g, want %g", got, test.want)
+			}
+		})
+	}
+}
+
+func TestInTimeCredit(t *testing.T) {
+	if got := outlier.LateThreshold(1); got != lateThreshold {
+		t.Errorf("got a late threshold of %g s for an objective of 1 s, want %g s", got, lateThreshold)
+	}
+	for _, test := range []struct {
+		name        string
+		meanLatency float64
+		want        float64
+	}{
+		{"no answers", 0, 1},
+		{"in time", 0.2, 1},
+		{"at the threshold", 0.4, 1},
+		{"late", 0.45, 0.4 / 0.45},
+		{"a quarter above the threshold", 0.5, 0.8},
+		{"far above the threshold", 40, 0.8},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := outlier.InTimeCredit(test.meanLatency, lateThreshold); math.Abs(got-test.want) > tolerance {
+				t.Errorf("got %g, want %g", got, test.want)
+			}
+		})
+	}
+}
+
+// A request class without a latency objective has the objective 0: its answers are never late, so all of them count.
+func TestAnswersWithoutObjectiveAreNeverLate(t *testing.T) {
+	threshold := outlier.LateThreshold(0)
+	for name, meanLatency := range map[string]float64{"no answers": 0, "answers": 0.2} {
+		t.Run(name, func(t *testing.T) {
+			if got := outlier.InTimeCredit(meanLatency, threshold); got != 1 {
+				t.Errorf("got credit %g, want 1", got)
+			}
+			if got := outlier.Assess(healthOf(10, 0, meanLatency, 1), threshold, now); got.Late {
+				t.Errorf("got late at a mean latency of %g s, want not", meanLatency)
+			}
+		})
+	}
+}
+
+// Whatever is reported, a health weight stays from probation's to 1, and every figure is finite.
+func TestHealthStaysInBounds(t *testing.T) {
+	quickcheck.Seeds(t, 500, func(seed int64) bool {
+		random := rand.New(rand.NewSource(seed))
+		health := outlier.NewHealth()
+		threshold := outlier.LateThreshold(quickcheck.Magnitude(random, 1e-3, 1e3))
+		for tick := range 50 {
+			attempts := int(quickcheck.Magnitude(random, 1, 1e9)) - 1
+			failed := int(float64(attempts) * quickcheck.Fraction(random))
+			health.Record(attempts, failed, quickcheck.Magnitude(random, 1e-6, 1e6))
+			health = outlier.Assess(health, threshold, float64(tick))
+			if health.Unhealthy() && random.Intn(2) == 0 {
+				health, _ = outlier.Decrease(health, quickcheck.Fraction(random), float64(tick))
+			}
+			credit := outlier.InTimeCredit(quickcheck.Magnitude(random, 1e-6, 1e6)*quickcheck.Fraction(random), threshold)
+			inBounds := health.Weight >= outlier.ProbationWeight && health.Weight <= 1 &&
+				health.FailureRatio >= 0 && health.FailureRatio <= 1 &&
+				credit >= outlier.MinInTimeCredit && credit <= 1
+			if !inBounds {
+				t.Errorf("seed %d, tick %d: got %+v, credit %g, want weight and credit within bounds", seed, tick, health, credit)
+				return false
+			}
+		}
+		return true
+	})
+}
