--- /dev/null
+++ b/assign/quota/quota_test.go
@@ -0,0 +1,129 @@
+package quota_test
+
+import (
+	"math"
+	"math/rand"
+	"slices"
+	"testing"
+
+	"madderhollow/assign/quota"
+	"madderhollow/internal/quickcheck"
+)
+
+// tolerance is how far a sum of quotas may be from 1.
+const tolerance = 1e-9
+
+func TestJoin(t *testing.T) {
+	for _, test := range []struct {
+		name             string
+		members, joining int
+		want             quota.JoinResult
+	}{
+		{"the first proxy", 0, 1, quota.JoinResult{Scale: 0, Quota: 1}},
+		{"the first proxies at once", 0, 8, quota.JoinResult{Scale: 0, Quota: 0.125}},
+		{"one more", 3, 1, quota.JoinResult{Scale: 0.75, Quota: 0.25}},
+		{"many more", 2, 6, quota.JoinResult{Scale: 0.25, Quota: 0.125}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := quota.Join(test.members, test.joining); got != test.want {
+				t.Errorf("got %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestRedistribute(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		total   float64 // 1/s
+		members []quota.Member
+		want    []float64
+	}{
+		{"no members", 100, nil, []float64{}},
+		{"no total: quotas follow the use", 0, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
+		{"just below full use", 100, []quota.Member{{0.5, 47.4}, {0.5, 50}}, []float64{0.474, 0.526}},
+		{"at full use", 100, []quota.Member{{0.5, 47.5}, {0.5, 50}}, []float64{0.5, 0.5}},
+		{"freed quota in equal pieces", 100, []quota.Member{{0.4, 10}, {0.2, 90}, {0.4, 90}}, []float64{0.1, 0.35, 0.55}},
+		{"all use less: quotas follow the use", 100, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
+		{"all use theirs", 100, []quota.Member{{0.7, 90}, {0.3, 90}}, []float64{0.7, 0.3}},
+		{"no traffic keeps the least quota", 100, []quota.Member{{0.5, 0}, {0.5, 90}}, []float64{1e-6, 1 - 1e-6}},
+		{"no traffic and no total", 0, []quota.Member{{0.5, 0}, {0.5, 40}}, []float64{1e-6 / (1 + 1e-6), 1 / (1 + 1e-6)}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got := quota.Redistribute(quota.Split{Total: test.total, Observed: 40}, test.members)
+			equal := slices.EqualFunc(got, test.want, func(x, y float64) bool { return math.Abs(x-y) < 1e-12 })
+			if !equal {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestJoinKeepsSumOfQuotas(t *testing.T) {
+	quickcheck.Seeds(t, 1000, func(seed int64) bool {
+		random := rand.New(rand.NewSource(seed))
+		members, joining := random.Intn(1000), 1+random.Intn(1000)
+		result := quota.Join(members, joining)
+		sum := float64(joining) * result.Quota
+		if members > 0 {
+			sum += result.Scale // of quotas that sum to 1
+		}
+		if result.Scale < 0 || math.Abs(sum-1) > tolerance {
+			t.Errorf("%d members, %d joining: got %+v, which sums to %g, want 1", members, joining, result, sum)
+			return false
+		}
+		return true
+	})
+}
+
+// Quotas sum to 1 afterwards, whatever the members bring and whichever total is set.
+func TestRedistributeKeepsSumOfQuotas(t *testing.T) {
+	quickcheck.Seeds(t, 3000, func(seed int64) bool {
+		split, members := drawSplit(rand.New(rand.NewSource(seed)))
+		sum := 0.0
+		for _, q := range quota.Redistribute(split, members) {
+			sum += q
+		}
+		if !(math.Abs(sum-1) <= tolerance) {
+			t.Errorf("%+v, %d members: got quotas that sum to %g, want 1", split, len(members), sum)
+			return false
+		}
+		return true
+	})
+}
+
+// No quota is negative, since a proxy with a negative one would be in no split and have no rate limit.
+func TestRedistributeGivesNoNegativeQuota(t *testing.T) {
+	quickcheck.Seeds(t, 3000, func(seed int64) bool {
+		split, members := drawSplit(rand.New(rand.NewSource(seed)))
+		for i, q := range quota.Redistribute(split, members) {
+			if !(q >= 0) {
+				t.Errorf("seed %d, %+v, %d members: got quota %g for %+v, want 0 or more", seed, split, len(members), q, members[i])
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// drawSplit draws members whose quotas sum to 1, many with little traffic or none.
+func drawSplit(random *rand.Rand) (quota.Split, []quota.Member) {
+	members := make([]quota.Member, 1+random.Intn(100))
+	sum, split := 0.0, quota.Split{}
+	for i := range members {
+		members[i] = quota.Member{
+			Quota: quickcheck.Magnitude(random, 1e-6, 1),
+			Rate:  quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e6),
+		}
+		sum += members[i].Quota
+		split.Observed += members[i].Rate
+	}
+	for i := range members {
+		members[i].Quota /= sum
+	}
+	split.Observed += 1e-6
+	if random.Intn(3) > 0 {
+		split.Total = max(0.1, split.Observed*quickcheck.Magnitude(random, 1e-3, 1.2))
+	}
+	return split, members
+}
