--- a/assign/admission/admission_test.go
+++ b/assign/admission/admission_test.go
@@ -77,20 +77,23 @@
 		byRatio := random.Intn(2) == 0
 		admittedSum, demanded, limitedBefore := 0.0, 0.0, false
 		for range 1 + random.Intn(6) {
-			d := admission.Demand{Rate: quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e6),
-				Cap: admission.Unlimited, ByRatio: byRatio}
+			demand := admission.Demand{
+				Rate:    quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e6),
+				Cap:     admission.Unlimited,
+				ByRatio: byRatio,
+			}
 			if random.Intn(2) == 0 {
-				d.Cap = quickcheck.Magnitude(random, 1e-6, 1e6)
+				demand.Cap = quickcheck.Magnitude(random, 1e-6, 1e6)
 			}
-			limit := budget.Limit(d)
-			admitted := admittedRate(d, limit)
+			limit := budget.Limit(demand)
+			admitted := admittedRate(demand, limit)
 			admittedSum += admitted
 			belowMargin := limitedBefore && admitted > 0
-			if !(limit >= 0) || math.IsInf(limit, 0) || admitted > d.Cap*(1+1e-9) || belowMargin {
-				t.Errorf("seed %d, %+v: got limit %g, want one within the cap, and 0 below the margin", seed, d, limit)
+			if !(limit >= 0) || math.IsInf(limit, 0) || admitted > demand.Cap*(1+1e-9) || belowMargin {
+				t.Errorf("seed %demand, %+v: got limit %g, want one within the cap, and 0 below the margin", seed, demand, limit)
 				return false
 			}
-			demanded += d.Rate
+			demanded += demand.Rate
 			limitedBefore = demanded > rateLimit*(1+1e-9)
 		}
 		if admittedSum > rateLimit*(1+1e-9) {
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -115,17 +115,20 @@
 
 func TestChanges(t *testing.T) {
 	type table = []subset.Entry[string]
+	entry := func(endpoint string, weight float64) subset.Entry[string] {
+		return subset.Entry[string]{Endpoint: endpoint, Weight: weight}
+	}
 	for _, test := range []struct {
 		name               string
 		held, wanted, want table
 	}{
-		{"the same table", table{{"a", 1}, {"b", 2}}, table{{"b", 2}, {"a", 1}}, nil},
-		{"weights within a tenth", table{{"a", 1}}, table{{"a", 1.1}}, nil},
-		{"a weight over a tenth higher", table{{"a", 1}}, table{{"a", 1.12}}, table{{"a", 1.12}}},
-		{"an additional entry", table{{"a", 1}}, table{{"a", 1}, {"b", 2}}, table{{"b", 2}}},
-		{"an entry less", table{{"a", 1}, {"b", 2}}, table{{"a", 1}}, table{{"b", 0}}},
-		{"the first table", nil, table{{"a", 1}, {"b", 2}}, table{{"a", 1}, {"b", 2}}},
-		{"another table", table{{"a", 1}}, table{{"b", 2}}, table{{"b", 2}, {"a", 0}}},
+		{"the same table", table{entry("a", 1), entry("b", 2)}, table{entry("b", 2), entry("a", 1)}, nil},
+		{"weights within a tenth", table{entry("a", 1)}, table{entry("a", 1.1)}, nil},
+		{"a weight over a tenth higher", table{entry("a", 1)}, table{entry("a", 1.12)}, table{entry("a", 1.12)}},
+		{"an additional entry", table{entry("a", 1)}, table{entry("a", 1), entry("b", 2)}, table{entry("b", 2)}},
+		{"an entry less", table{entry("a", 1), entry("b", 2)}, table{entry("a", 1)}, table{entry("b", 0)}},
+		{"the first table", nil, table{entry("a", 1), entry("b", 2)}, table{entry("a", 1), entry("b", 2)}},
+		{"another table", table{entry("a", 1)}, table{entry("b", 2)}, table{entry("b", 2), entry("a", 0)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := assignment.Changes(test.held, test.wanted); !slices.Equal(got, test.want) {
