--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"testing"
+
+	"madderhollow/assign/admission"
 )
 
 // Each test of this file shows a known fault at its true bound and fails until the fault is mended. KNOWN-RED.txt at the
@@ -28,9 +30,8 @@
 			if got := len(fleet.weights[table]); got < 2 {
 				t.Errorf("zone %s, class %d: got a table of %d entries, want 2 or more", zone, class, got)
 			}
-			expected := fleetTypicalRate / float64(len(config.RequestClasses))
-			highest := 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
-			limit, limited := fleet.limits[tableOf{proxy, class}]
+			highest := highestRateCap(config)
+			limit, limited := fleet.limits[limitOf{table, class}]
 			if !limited || limit <= 0 || limit > highest {
 				t.Errorf("zone %s, class %d: got rate cap %g/s (ordered: %t), want above 0 and at most %g/s",
 					zone, class, limit, limited, highest)
@@ -97,10 +98,10 @@
 	}
 	fleet := newTestFleet(t, config)
 	fleet.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
-	silent := EndpointLoadReport{Zone: fleet.listed[0].Zone, Endpoint: fleet.listed[0].Name, Interval: 1, Attempts: 9, Failed: 9}
+	fleet.failing[fleet.listed[0].Name] = true
 	fleet.requests = 8 // of each class: more than the 48/s that the endpoints answer
 	for second := range 5 {
-		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}}, silent)
+		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
 		if total := totalRate(fleet.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
 			t.Fatalf("after %d s: got a total of %g/s, want a finite one", second+1, total)
 		}
@@ -108,13 +109,48 @@
 	if len(fleet.limits) == 0 {
 		t.Error("got no rate limit in an overload, want some")
 	}
-	for table, limit := range fleet.limits {
+	for of, limit := range fleet.limits {
 		if math.IsNaN(limit) || limit < 0 {
-			t.Errorf("proxy %d, class %d: got limit %g/s, want 0 or more", table.proxy, table.class, limit)
+			t.Errorf("table %d, class %d: got limit %g/s, want 0 or more", of.table, of.class, limit)
 		}
 	}
 }
 
+// TestWarmingEndpointNextToFailingOnesKeepsRateCap has a class that may not leave its zone, in which one endpoint warms up
+// and all others fail every attempt. A rate cap protects the warming one.
+func TestWarmingEndpointNextToFailingOnesKeepsRateCap(t *testing.T) {
+	config := modelConfig()
+	config.RequestClasses[0].OwnZoneOnly = true
+	fleet := newTestFleet(t, config)
+	table := fleet.tables[tableOf{0, 0}]
+	warming := &fleet.listed[1]
+	for _, endpoint := range fleet.listed {
+		fleet.failing[endpoint.Name] = endpoint.Zone == warming.Zone && endpoint.Name != warming.Name
+	}
+	answers := EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}}
+	for range 3 {
+		fleet.reportAll(answers)
+	}
+	warming.StartedAt = fleet.now - config.WarmUp.OverloadWindow
+	fleet.handle(0.1, EndpointUpdate{Endpoints: []Endpoint{*warming}})
+	for range 2 {
+		fleet.reportAll(answers)
+	}
+	if fleet.weights[table][warming.Name] == 0 {
+		t.Fatalf("got table %v, want the warming endpoint %s in it", fleet.weights[table], warming.Name)
+	}
+	highest := highestRateCap(config)
+	if limit, limited := fleet.limits[limitOf{table, 0}]; !limited || limit > highest {
+		t.Errorf("got rate cap %g/s (ordered: %t), want at most %g/s", limit, limited, highest)
+	}
+}
+
+// highestRateCap returns the slow-start rate cap of a class at a proxy of a testFleet whose table has its usual weight, 1/s.
+func highestRateCap(config Config) float64 {
+	expected := fleetTypicalRate / float64(len(config.RequestClasses))
+	return 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
+}
+
 // fleetTypicalRate is the typical rate of each proxy of a testFleet, 1/s.
 const fleetTypicalRate = 9.0
 
@@ -125,21 +161,25 @@
 	config   Config
 	now      float64 // s
 	listed   []Endpoint
-	requests int     // of each class that a proxy reports, 1/s
-	pending  []Event // acknowledgments for the next batch
+	requests int             // of each class that a proxy reports, 1/s
+	failing  map[string]bool // endpoints that fail every attempt
+	pending  []Event         // acknowledgments for the next batch
 
 	tables  map[tableOf]int            // attached
 	weights map[int]map[string]float64 // above 0, by table and endpoint
-	limits  map[tableOf]float64        // ordered last; unlimited is not kept
+	limits  map[limitOf]float64        // ordered last, 1/s; unlimited is not kept
 }
 
 // tableOf names what a proxy uses for a request class.
 type tableOf struct{ proxy, class int }
 
+// limitOf names the rate limit of a request class in a table.
+type limitOf struct{ table, class int }
+
 func newTestFleet(t *testing.T, config Config) *testFleet {
 	t.Helper()
-	fleet := &testFleet{assigner: New(1, config), config: config, now: 1000, requests: 3,
-		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[tableOf]float64{}}
+	fleet := &testFleet{assigner: New(1, config), config: config, now: 1000, requests: 3, failing: map[string]bool{},
+		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[limitOf]float64{}}
 	for _, zone := range config.Zones {
 		for _, endpoint := range newEndpoints(zone, 4) {
 			endpoint.Zone = zone
@@ -187,28 +227,32 @@
 
 func (f *testFleet) setLimit(order SetRateLimit) {
 	for _, class := range order.RequestClasses {
-		table := tableOf{order.Table / modelGroups, class}
-		f.limits[table] = order.Limit
-		if order.Limit >= 1e9 {
-			delete(f.limits, table)
+		of := limitOf{order.Table, class}
+		f.limits[of] = order.Limit
+		if order.Limit >= admission.Unlimited {
+			delete(f.limits, of)
 		}
 	}
 }
 
 // reportAll passes a second in which the proxies of each endpoint's zone report the same of it, and each proxy
-// its requests. The additional events follow in the same batch.
-func (f *testFleet) reportAll(report EndpointLoadReport, additional ...Event) {
+// its requests.
+func (f *testFleet) reportAll(report EndpointLoadReport) {
 	var events []Event
 	for _, endpoint := range f.listed {
-		report.Zone, report.Endpoint, report.Interval = endpoint.Zone, endpoint.Name, 1
-		events = append(events, report)
+		each := report
+		each.Zone, each.Endpoint, each.Interval = endpoint.Zone, endpoint.Name, 1
+		if f.failing[endpoint.Name] {
+			each.Failed, each.MeanLatency = each.Attempts, 0
+		}
+		events = append(events, each)
 	}
 	for proxy := range f.config.Zones {
 		for _, class := range f.config.RequestClasses {
 			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: f.requests})
 		}
 	}
-	f.handle(1, append(events, additional...)...)
+	f.handle(1, events...)
 }
 
 // The functions below are all that this file knows of the records.
