--- a/assign/decisions_doc_test.go
+++ b/assign/decisions_doc_test.go
@@ -18,11 +18,8 @@
 	"testing"
 )
 
-// The documents that name rules, relative to this package: the index of the decisions, and their reasons.
-const (
-	decisionsDoc = "../docs/decisions.md"
-	designDoc    = "../docs/design.md"
-)
+// decisionsDoc is the index of the decisions, relative to this package.
+const decisionsDoc = "../docs/decisions.md"
 
 // minDecisionRows is how many questions the index answers at least.
 const minDecisionRows = 25
@@ -53,22 +50,26 @@
 	}
 }
 
-// TestDesignDocNamesWhatExists checks that each rule that docs/design.md names is declared. Other names have no package
-// of the decisions before the dot.
-func TestDesignDocNamesWhatExists(t *testing.T) {
+// TestDocsNameWhatExists checks that each rule that other documents name is declared. Names with another package before
+// the dot are not of the decisions.
+func TestDocsNameWhatExists(t *testing.T) {
 	packages := parseAssignPackages(t)
-	found := 0
-	for _, match := range reference.FindAllStringSubmatch(readDoc(t, designDoc), -1) {
-		if packages[match[1]] == nil {
-			continue
-		}
-		found++
-		if lookUp(packages, match[1], match[2]) == nil {
-			t.Errorf("%s.%s: not declared", match[1], match[2])
-		}
-	}
-	if found == 0 {
-		t.Error("got no rule named, want some")
+	for _, doc := range []string{"../docs/design.md", "../docs/glossary.md"} {
+		t.Run(path.Base(doc), func(t *testing.T) {
+			found := 0
+			for _, match := range reference.FindAllStringSubmatch(readDoc(t, doc), -1) {
+				if packages[match[1]] == nil {
+					continue
+				}
+				found++
+				if lookUp(packages, match[1], match[2]) == nil {
+					t.Errorf("%s.%s: not declared", match[1], match[2])
+				}
+			}
+			if found == 0 {
+				t.Error("got no rule named, want some")
+			}
+		})
 	}
 }
 
