--- /dev/null
+++ b/assign/example_test.go
@@ -0,0 +1,59 @@
+package assign_test
+
+import (
+	"fmt"
+
+	"madderhollow/assign"
+)
+
+// An assigner orders nothing for a fresh proxy while its zone is healthy. When an endpoint drains, the proxy's default table
+// may hold it, so the proxy gets an assigned table without it.
+func ExampleAssigner_Handle() {
+	config := assign.DefaultConfig()
+	config.RequestClasses = []assign.RequestClassConfig{{Name: "read", LatencyObjective: 0.5}}
+	assigner := assign.New(1, config)
+
+	var endpoints []assign.Endpoint
+	for _, name := range []string{"a", "b", "c", "d"} {
+		endpoints = append(endpoints, assign.Endpoint{Zone: "x", Name: name, Weight: 1})
+	}
+	const start = 1000.0 // s
+	show(assigner.Handle(start, []assign.Event{
+		assign.EndpointUpdate{Full: true, Endpoints: endpoints},
+		assign.ProxyConnected{Proxy: 7, Zone: "x", TypicalRate: 10, Fresh: true},
+	}))
+
+	draining := endpoints[0]
+	draining.State = assign.Draining
+	show(assigner.Handle(start+0.5, []assign.Event{
+		assign.EndpointUpdate{Endpoints: []assign.Endpoint{draining}},
+	}))
+	// Output:
+	// timer in 1 s
+	//
+	// clear table 7
+	// table 7: weight of b is 1
+	// table 7: weight of d is 1
+	// table 7: weight of c is 1
+	// proxy 7 uses table 7
+	// acknowledge message 1
+}
+
+// show prints the orders of a batch. A host executes them: it sets timers and sends the rest to the proxies.
+func show(orders []assign.Order) {
+	for _, order := range orders {
+		switch order := order.(type) {
+		case assign.SetTimer:
+			fmt.Printf("timer in %g s\n", order.Delay)
+		case assign.ClearTable:
+			fmt.Printf("clear table %d\n", order.Table)
+		case assign.SetWeight:
+			fmt.Printf("table %d: weight of %s is %g\n", order.Table, order.Endpoint, order.Weight)
+		case assign.AttachTable:
+			fmt.Printf("proxy %d uses table %d\n", order.Proxy, order.Table)
+		case assign.AcknowledgmentRequest:
+			fmt.Printf("acknowledge message %d\n", order.Sequence)
+		}
+	}
+	fmt.Println()
+}
