--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -151,6 +151,34 @@
 	return 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
 }
 
+// TestOverloadedZoneNewWithinTickGetsTable has the endpoint list, a proxy and reports of nearly full endpoints between the
+// first tick and the second. The proxy gets a table.
+func TestOverloadedZoneNewWithinTickGetsTable(t *testing.T) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			t.Errorf("got panic %q, want orders", reason)
+		}
+	}()
+	assigner := New(1, modelConfig())
+	assigner.Handle(1000, nil)
+	listed := newEndpoints("t", 6)
+	events := []Event{EndpointUpdate{Full: true, Endpoints: listed}}
+	for _, endpoint := range listed {
+		events = append(events, EndpointLoadReport{Zone: "x", Endpoint: endpoint.Name, Interval: 1, MeanLatency: 0.1,
+			Attempts: 9, Load: []float64{0.95}})
+	}
+	orders := assigner.Handle(1000.2, append(events, ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 10}))
+	entries := 0
+	for _, order := range orders {
+		if o, ok := order.(SetWeight); ok && o.Weight > 0 {
+			entries++
+		}
+	}
+	if entries == 0 {
+		t.Errorf("got orders %v, want entries of a table", orders)
+	}
+}
+
 // fleetTypicalRate is the typical rate of each proxy of a testFleet, 1/s.
 const fleetTypicalRate = 9.0
 
