--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -14,24 +14,24 @@
 // endpoints, at finite weights, and a rate cap protects them.
 func TestTableOfLastResortKeepsRateCap(t *testing.T) {
 	config := modelConfig()
-	fleet := newTestFleet(t, config)
+	host := newTestHost(t, config)
 	for range 15 { // most attempts at idle endpoints fail, the others are answered quickly
-		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: 6, Load: []float64{0.3}})
+		host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: 6, Load: []float64{0.3}})
 	}
-	for i := range fleet.listed {
-		fleet.listed[i].StartedAt = fleet.now - config.WarmUp.OverloadWindow - 0.5
+	for i := range host.listed {
+		host.listed[i].StartedAt = host.now - config.WarmUp.OverloadWindow - 0.5
 	}
-	fleet.handle(0.1, EndpointUpdate{Full: true, Endpoints: fleet.listed})
-	checkTables(t, fleet.assigner)
-	fleet.handle(1)
+	host.handle(0.1, EndpointUpdate{Full: true, Endpoints: host.listed})
+	checkTables(t, host.assigner)
+	host.handle(1)
 	for proxy, zone := range config.Zones {
 		for class := range config.RequestClasses {
-			table := fleet.tables[tableOf{proxy, class}]
-			if got := len(fleet.weights[table]); got < 2 {
+			table := host.tables[tableOf{proxy, class}]
+			if got := len(host.weights[table]); got < 2 {
 				t.Errorf("zone %s, class %d: got a table of %d entries, want 2 or more", zone, class, got)
 			}
 			highest := highestRateCap(config)
-			limit, limited := fleet.limits[limitOf{table, class}]
+			limit, limited := host.limits[limitOf{table, class}]
 			if !limited || limit <= 0 || limit > highest {
 				t.Errorf("zone %s, class %d: got rate cap %g/s (ordered: %t), want above 0 and at most %g/s",
 					zone, class, limit, limited, highest)
@@ -96,20 +96,20 @@
 	for i := range config.RequestClasses {
 		config.RequestClasses[i].LatencyObjective = 0
 	}
-	fleet := newTestFleet(t, config)
-	fleet.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
-	fleet.failing[fleet.listed[0].Name] = true
-	fleet.requests = 8 // of each class: more than the 48/s that the endpoints answer
+	host := newTestHost(t, config)
+	host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
+	host.failing[host.listed[0].Name] = true
+	host.requests = 8 // of each class: more than the 48/s that the endpoints answer
 	for second := range 5 {
-		fleet.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
-		if total := totalRate(fleet.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
+		host.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
+		if total := totalRate(host.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
 			t.Fatalf("after %d s: got a total of %g/s, want a finite one", second+1, total)
 		}
 	}
-	if len(fleet.limits) == 0 {
+	if len(host.limits) == 0 {
 		t.Error("got no rate limit in an overload, want some")
 	}
-	for of, limit := range fleet.limits {
+	for of, limit := range host.limits {
 		if math.IsNaN(limit) || limit < 0 {
 			t.Errorf("table %d, class %d: got limit %g/s, want 0 or more", of.table, of.class, limit)
 		}
@@ -121,33 +121,33 @@
 func TestWarmingEndpointNextToFailingOnesKeepsRateCap(t *testing.T) {
 	config := modelConfig()
 	config.RequestClasses[0].OwnZoneOnly = true
-	fleet := newTestFleet(t, config)
-	table := fleet.tables[tableOf{0, 0}]
-	warming := &fleet.listed[1]
-	for _, endpoint := range fleet.listed {
-		fleet.failing[endpoint.Name] = endpoint.Zone == warming.Zone && endpoint.Name != warming.Name
+	host := newTestHost(t, config)
+	table := host.tables[tableOf{0, 0}]
+	warming := &host.listed[1]
+	for _, endpoint := range host.listed {
+		host.failing[endpoint.Name] = endpoint.Zone == warming.Zone && endpoint.Name != warming.Name
 	}
 	answers := EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}}
 	for range 3 {
-		fleet.reportAll(answers)
+		host.reportAll(answers)
 	}
-	warming.StartedAt = fleet.now - config.WarmUp.OverloadWindow
-	fleet.handle(0.1, EndpointUpdate{Endpoints: []Endpoint{*warming}})
+	warming.StartedAt = host.now - config.WarmUp.OverloadWindow
+	host.handle(0.1, EndpointUpdate{Endpoints: []Endpoint{*warming}})
 	for range 2 {
-		fleet.reportAll(answers)
+		host.reportAll(answers)
 	}
-	if fleet.weights[table][warming.Name] == 0 {
-		t.Fatalf("got table %v, want the warming endpoint %s in it", fleet.weights[table], warming.Name)
+	if host.weights[table][warming.Name] == 0 {
+		t.Fatalf("got table %v, want the warming endpoint %s in it", host.weights[table], warming.Name)
 	}
 	highest := highestRateCap(config)
-	if limit, limited := fleet.limits[limitOf{table, 0}]; !limited || limit > highest {
+	if limit, limited := host.limits[limitOf{table, 0}]; !limited || limit > highest {
 		t.Errorf("got rate cap %g/s (ordered: %t), want at most %g/s", limit, limited, highest)
 	}
 }
 
-// highestRateCap returns the slow-start rate cap of a class at a proxy of a testFleet whose table has its usual weight, 1/s.
+// highestRateCap returns the slow-start rate cap of a class at a proxy of a testHost whose table has its usual weight, 1/s.
 func highestRateCap(config Config) float64 {
-	expected := fleetTypicalRate / float64(len(config.RequestClasses))
+	expected := proxyTypicalRate / float64(len(config.RequestClasses))
 	return 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
 }
 
@@ -179,12 +179,12 @@
 	}
 }
 
-// fleetTypicalRate is the typical rate of each proxy of a testFleet, 1/s.
-const fleetTypicalRate = 9.0
+// proxyTypicalRate is the typical rate of each proxy of a testHost, 1/s.
+const proxyTypicalRate = 9.0
 
-// testFleet is an assigner with a proxy in each zone, numbered as the zones are, and four endpoints a zone. The proxies
+// testHost is an assigner with a proxy in each zone, numbered as the zones are, and four endpoints a zone. The proxies
 // have assigned tables from the start. Orders take effect at once and are acknowledged in the next batch.
-type testFleet struct {
+type testHost struct {
 	assigner *Assigner
 	config   Config
 	now      float64 // s
@@ -204,83 +204,83 @@
 // limitOf names the rate limit of a request class in a table.
 type limitOf struct{ table, class int }
 
-func newTestFleet(t *testing.T, config Config) *testFleet {
+func newTestHost(t *testing.T, config Config) *testHost {
 	t.Helper()
-	fleet := &testFleet{assigner: New(1, config), config: config, now: 1000, requests: 3, failing: map[string]bool{},
+	host := &testHost{assigner: New(1, config), config: config, now: 1000, requests: 3, failing: map[string]bool{},
 		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[limitOf]float64{}}
 	for _, zone := range config.Zones {
 		for _, endpoint := range newEndpoints(zone, 4) {
 			endpoint.Zone = zone
-			fleet.listed = append(fleet.listed, endpoint)
+			host.listed = append(host.listed, endpoint)
 		}
 	}
-	fleet.handle(0, EndpointUpdate{Full: true, Endpoints: fleet.listed})
+	host.handle(0, EndpointUpdate{Full: true, Endpoints: host.listed})
 	for proxy, zone := range config.Zones {
-		fleet.handle(0.1, ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: fleetTypicalRate})
+		host.handle(0.1, ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: proxyTypicalRate})
 	}
-	fleet.handle(1)
-	if len(fleet.tables) != len(config.Zones)*len(config.RequestClasses) {
-		t.Fatalf("got %d attached tables, want one a proxy and class", len(fleet.tables))
+	host.handle(1)
+	if len(host.tables) != len(config.Zones)*len(config.RequestClasses) {
+		t.Fatalf("got %d attached tables, want one a proxy and class", len(host.tables))
 	}
-	return fleet
+	return host
 }
 
 // handle passes time and applies the orders of one batch.
-func (f *testFleet) handle(seconds float64, events ...Event) {
-	f.now += seconds
-	orders := f.assigner.Handle(f.now, append(f.pending, events...))
-	f.pending = nil
+func (h *testHost) handle(seconds float64, events ...Event) {
+	h.now += seconds
+	orders := h.assigner.Handle(h.now, append(h.pending, events...))
+	h.pending = nil
 	for _, order := range orders {
 		switch order := order.(type) {
 		case ClearTable:
-			f.weights[order.Table] = map[string]float64{}
+			h.weights[order.Table] = map[string]float64{}
 		case SetWeight:
-			f.weights[order.Table][order.Endpoint] = order.Weight
+			h.weights[order.Table][order.Endpoint] = order.Weight
 			if order.Weight == 0 {
-				delete(f.weights[order.Table], order.Endpoint)
+				delete(h.weights[order.Table], order.Endpoint)
 			}
 		case SetRateLimit:
-			f.setLimit(order)
+			h.setLimit(order)
 		case AttachTable:
 			for _, class := range order.RequestClasses {
-				f.tables[tableOf{order.Proxy, class}] = order.Table
+				h.tables[tableOf{order.Proxy, class}] = order.Table
 			}
 		case AcknowledgmentRequest:
-			for proxy := range f.config.Zones {
-				f.pending = append(f.pending, Acknowledged{Proxy: proxy, Sequence: order.Sequence})
+			for proxy := range h.config.Zones {
+				h.pending = append(h.pending, Acknowledged{Proxy: proxy, Sequence: order.Sequence})
 			}
 		}
 	}
 }
 
-func (f *testFleet) setLimit(order SetRateLimit) {
+func (h *testHost) setLimit(order SetRateLimit) {
 	for _, class := range order.RequestClasses {
 		of := limitOf{order.Table, class}
-		f.limits[of] = order.Limit
+		h.limits[of] = order.Limit
 		if order.Limit >= admission.Unlimited {
-			delete(f.limits, of)
+			delete(h.limits, of)
 		}
 	}
 }
 
 // reportAll passes a second in which the proxies of each endpoint's zone report the same of it, and each proxy
 // its requests.
-func (f *testFleet) reportAll(report EndpointLoadReport) {
+func (h *testHost) reportAll(report EndpointLoadReport) {
 	var events []Event
-	for _, endpoint := range f.listed {
+	for _, endpoint := range h.listed {
 		each := report
 		each.Zone, each.Endpoint, each.Interval = endpoint.Zone, endpoint.Name, 1
-		if f.failing[endpoint.Name] {
+		if h.failing[endpoint.Name] {
 			each.Failed, each.MeanLatency = each.Attempts, 0
 		}
 		events = append(events, each)
 	}
-	for proxy := range f.config.Zones {
-		for _, class := range f.config.RequestClasses {
-			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: f.requests})
+	for proxy := range h.config.Zones {
+		for _, class := range h.config.RequestClasses {
+			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: h.requests})
 		}
 	}
-	f.handle(1, events...)
+	h.handle(1, events...)
 }
 
 // The functions below are all that this file knows of the records.
