--- a/internal/orderqueue/ambiguity.go
+++ b/internal/orderqueue/ambiguity.go
@@ -3,40 +3,39 @@
 import "time"
 
 const (
-	// maxAmbiguityWait is the longest that an ambiguous call waits for its acknowledgment: the rules wait half a second
-	// for a call that broke.
-	maxAmbiguityWait = 480 * time.Millisecond
-	// minAmbiguityWait is the shortest, for deployments that state less or nothing.
-	minAmbiguityWait = 50 * time.Millisecond
-	// ambiguityRow is how soon after a wait another ambiguous call counts as the next of a row.
-	ambiguityRow = time.Second
+	// maxAmbiguityDelay is below the half second that the decision rules allow for a broken call.
+	maxAmbiguityDelay = 480 * time.Millisecond
+	// minAmbiguityDelay applies where the configured transit time is shorter or missing.
+	minAmbiguityDelay = 50 * time.Millisecond
+	// ambiguitySeriesGap is the longest time between the end of one delay and the next ambiguous call of the same series.
+	ambiguitySeriesGap = time.Second
 )
 
-// ambiguityWait holds everything up for a while after an ambiguous call. The first of a row waits as long as a message
-// takes on average, each further one twice as long as the one before.
-type ambiguityWait struct {
-	first time.Duration
-	last  time.Duration
-	until time.Time
+// ambiguityBackoff delays all calls after an ambiguous one, so that its acknowledgment can arrive. The first delay of a
+// series is the mean transit time of a message; each further one is twice the one before.
+type ambiguityBackoff struct {
+	initial time.Duration
+	delay   time.Duration // the latest one
+	until   time.Time     // its end
 }
 
-// newAmbiguityWait takes the mean transit time of a message.
-func newAmbiguityWait(meanTransit time.Duration) ambiguityWait {
-	return ambiguityWait{first: max(minAmbiguityWait, min(maxAmbiguityWait, meanTransit))}
+// newAmbiguityBackoff returns a backoff for the mean transit time of a message.
+func newAmbiguityBackoff(meanTransit time.Duration) ambiguityBackoff {
+	return ambiguityBackoff{initial: max(minAmbiguityDelay, min(maxAmbiguityDelay, meanTransit))}
 }
 
-// begin starts to wait.
-func (w *ambiguityWait) begin(now time.Time) {
-	w.last *= 2
-	if now.Sub(w.until) > ambiguityRow {
-		w.last = w.first
+// start begins the delay after an ambiguous call.
+func (b *ambiguityBackoff) start(now time.Time) {
+	b.delay *= 2
+	if now.Sub(b.until) > ambiguitySeriesGap {
+		b.delay = b.initial
 	}
-	w.last = min(w.last, maxAmbiguityWait)
-	w.until = now.Add(w.last)
+	b.delay = min(b.delay, maxAmbiguityDelay)
+	b.until = now.Add(b.delay)
 }
 
-// end stops waiting: the acknowledgment came.
-func (w *ambiguityWait) end(now time.Time) { w.until = now }
+// stop ends the delay early, after the acknowledgment has arrived.
+func (b *ambiguityBackoff) stop(now time.Time) { b.until = now }
 
-// remaining is how long there is to wait.
-func (w *ambiguityWait) remaining(now time.Time) time.Duration { return max(0, w.until.Sub(now)) }
+// remaining returns the rest of the delay, 0 after its end.
+func (b *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, b.until.Sub(now)) }
