--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -30,8 +30,8 @@
 // acknowledgmentLines is what the request for an acknowledgment adds to a message.
 const acknowledgmentLines = 1
 
-// Lines returns the lines that a message with a number of orders occupies in the channel. Overhead is the channel's own,
-// per message.
+// Lines returns the lines that a message with a number of orders occupies in the channel. Overhead is the channel's
+// own, per message.
 func Lines(orders int, overhead float64) float64 {
 	return float64(orders) + overhead + acknowledgmentLines
 }
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -102,10 +102,10 @@
 	return found
 }
 
-// demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost, and
-// in an overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count, because
-// warm endpoints have to carry the load next to them, however unhealthy. Proxies that do not report here bring as
-// much as those that do.
+// demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost,
+// and in an overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count,
+// because warm endpoints have to carry the load next to them, however unhealthy. Proxies that do not report here
+// bring as much as those that do.
 func (plan *Plan[E]) demand(zone Zone, deployment Deployment, found supply, usualWeight float64) float64 {
 	demand := usualWeight
 	if !found.warming {
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -103,39 +103,103 @@
 }
 
 // makeParts creates all parts except the status page. The known version is that of the endpoint list with which the
-// decision module starts.
+// decision module starts. Seeds are drawn in the order of the parts.
 func (a *assigner) makeParts(known int) error {
-	cfg, log := a.config, a.log
-	a.discoveryAt = handover.NewAddress(cfg.Discovery)
-	a.relayAt = handover.NewAddress(cfg.Relay)
 	a.events = eventqueue.New()
-	a.orders = orderqueue.New(cfg.Settings.Channel, a.codec, log)
-	var err error
-	a.watcher, err = discovery.New(discovery.Config{Address: a.discoveryAt, KnownVersion: known, Codec: a.codec,
-		Sink: a.events.Post, MemoryMB: cfg.MemoryMB, Seed: a.random.Int63(), Log: log})
+	a.orders = orderqueue.New(a.config.Settings.Channel, a.codec, a.log)
+	if err := a.makeWatcher(known); err != nil {
+		return err
+	}
+	a.makeRelayClients()
+	a.server = reportserver.New(reportserver.Config{
+		Codec:       a.codec,
+		Sink:        a.events.Report,
+		Descriptors: a.config.Descriptors,
+		MemoryMB:    a.config.MemoryMB,
+		Log:         a.log,
+	})
+	if err := a.makePeerSocket(); err != nil {
+		return err
+	}
+	a.makeEventLoop()
+	return nil
+}
+
+// makeWatcher creates the client of the discovery agent.
+func (a *assigner) makeWatcher(known int) (err error) {
+	a.discoveryAt = handover.NewAddress(a.config.Discovery)
+	a.watcher, err = discovery.New(discovery.Config{
+		Address:      a.discoveryAt,
+		KnownVersion: known,
+		Codec:        a.codec,
+		Sink:         a.events.Post,
+		MemoryMB:     a.config.MemoryMB,
+		Seed:         a.random.Int63(),
+		Log:          a.log,
+	})
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	a.client = relay.NewOrderClient(relay.OrderClientConfig{Address: a.relayAt, Queue: a.orders, Seed: a.random.Int63(), Log: log})
-	a.reader = relay.NewEventReader(relay.EventReaderConfig{Address: a.relayAt, Codec: a.codec, Sink: a.events.Post,
-		Seed: a.random.Int63(), Log: log})
-	a.server = reportserver.New(reportserver.Config{Codec: a.codec, Sink: a.events.Report, Descriptors: cfg.Descriptors,
-		MemoryMB: cfg.MemoryMB, Log: log})
-	if cfg.UsesPeers() {
-		a.peers, err = peer.Open(peer.Config{Listen: cfg.PeerListen, Peers: cfg.Peers, Broadcast: cfg.PeersBroadcast,
-			Sink: a.events.Post, Log: log})
-		if err != nil {
-			return err
-		}
+	return nil
+}
+
+// makeRelayClients creates the clients of the relay: one sends orders, the other reads events.
+func (a *assigner) makeRelayClients() {
+	a.relayAt = handover.NewAddress(a.config.Relay)
+	a.client = relay.NewOrderClient(relay.OrderClientConfig{
+		Address: a.relayAt,
+		Queue:   a.orders,
+		Seed:    a.random.Int63(),
+		Log:     a.log,
+	})
+	a.reader = relay.NewEventReader(relay.EventReaderConfig{
+		Address: a.relayAt,
+		Codec:   a.codec,
+		Sink:    a.events.Post,
+		Seed:    a.random.Int63(),
+		Log:     a.log,
+	})
+}
+
+// makePeerSocket opens the datagram socket, if the configuration has peers.
+func (a *assigner) makePeerSocket() (err error) {
+	if !a.config.UsesPeers() {
+		return nil
+	}
+	a.peers, err = peer.Open(peer.Config{
+		Listen:    a.config.PeerListen,
+		Peers:     a.config.Peers,
+		Broadcast: a.config.PeersBroadcast,
+		Sink:      a.events.Post,
+		Log:       a.log,
+	})
+	if err != nil {
+		return fmt.Errorf("peers: %w", err)
 	}
-	inputs := eventloop.Inputs{Events: a.events.Events(), Reports: a.events.Reports(), Observe: a.orders.Observe}
-	outputs := eventloop.Outputs{Submit: a.orders.Submit, WatchEndpoints: a.watcher.Watch, FetchEndpoints: a.watcher.Fetch,
-		SendPeerMessage: a.sendPeerMessage}
-	a.loop = eventloop.New(eventloop.Config{Seed: cfg.Seed, Settings: cfg.Settings, Inputs: inputs, Outputs: outputs,
-		StartedAt: a.startedAt, Log: log})
 	return nil
 }
 
+// makeEventLoop creates the event loop and connects the other parts to it.
+func (a *assigner) makeEventLoop() {
+	a.loop = eventloop.New(eventloop.Config{
+		Seed:     a.config.Seed,
+		Settings: a.config.Settings,
+		Inputs: eventloop.Inputs{
+			Events:  a.events.Events(),
+			Reports: a.events.Reports(),
+			Observe: a.orders.Observe,
+		},
+		Outputs: eventloop.Outputs{
+			Submit:          a.orders.Submit,
+			WatchEndpoints:  a.watcher.Watch,
+			FetchEndpoints:  a.watcher.Fetch,
+			SendPeerMessage: a.sendPeerMessage,
+		},
+		StartedAt: a.startedAt,
+		Log:       a.log,
+	})
+}
+
 // sendPeerMessage sends a message to another assigner. It drops the message if the settings allow none.
 func (a *assigner) sendPeerMessage(to int, data []byte) {
 	if a.peers != nil {
