--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
-	if err := program.createParts(initial.Version); err != nil {
+	if err := program.makeParts(initial.Version); err != nil {
 		return err
 	}
 	program.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
@@ -102,13 +102,32 @@
 		Sample(&zerolog.BurstSampler{Burst: maxLogRate, Period: time.Second})
 }
 
-// createParts creates all parts except the status page. The listVersion is that of the endpoint list with which the decision
-// module starts. The order of creation decides which seed a part gets.
-func (a *assigner) createParts(listVersion int) (err error) {
-	a.discoveryAt = handover.NewAddress(a.config.Discovery)
-	a.relayAt = handover.NewAddress(a.config.Relay)
+// makeParts creates all parts except the status page. The listVersion is that of the endpoint list with which the
+// decision module starts. Seeds are drawn in the order of the parts.
+func (a *assigner) makeParts(listVersion int) error {
 	a.events = eventqueue.New()
 	a.orders = orderqueue.New(a.config.Settings.Channel, a.codec, a.log)
+	if err := a.makeWatcher(listVersion); err != nil {
+		return err
+	}
+	a.makeRelayClients()
+	a.server = reportserver.New(reportserver.Config{
+		Codec:       a.codec,
+		Sink:        a.events.Report,
+		Descriptors: a.config.Descriptors,
+		MemoryMB:    a.config.MemoryMB,
+		Log:         a.log,
+	})
+	if err := a.makePeerSocket(); err != nil {
+		return err
+	}
+	a.makeEventLoop()
+	return nil
+}
+
+// makeWatcher creates the client of the discovery agent.
+func (a *assigner) makeWatcher(listVersion int) (err error) {
+	a.discoveryAt = handover.NewAddress(a.config.Discovery)
 	a.watcher, err = discovery.New(discovery.Config{
 		Address:      a.discoveryAt,
 		KnownVersion: listVersion,
@@ -121,6 +140,12 @@
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
+	return nil
+}
+
+// makeRelayClients creates the clients of the relay: one sends orders, the other reads events.
+func (a *assigner) makeRelayClients() {
+	a.relayAt = handover.NewAddress(a.config.Relay)
 	a.client = relay.NewOrderClient(relay.OrderClientConfig{
 		Address: a.relayAt,
 		Queue:   a.orders,
@@ -134,19 +159,10 @@
 		Seed:    a.random.Int63(),
 		Log:     a.log,
 	})
-	a.server = reportserver.New(reportserver.Config{
-		Codec:       a.codec,
-		Sink:        a.events.Report,
-		Descriptors: a.config.Descriptors,
-		MemoryMB:    a.config.MemoryMB,
-		Log:         a.log,
-	})
-	a.loop = a.newEventLoop()
-	return a.openPeers()
 }
 
-// openPeers opens the socket for messages of other assigners if the configuration has any.
-func (a *assigner) openPeers() (err error) {
+// makePeerSocket opens the datagram socket, if the configuration has peers.
+func (a *assigner) makePeerSocket() (err error) {
 	if !a.config.UsesPeers() {
 		return nil
 	}
@@ -163,9 +179,9 @@
 	return nil
 }
 
-// newEventLoop connects the event loop to the queues and the parts that execute orders.
-func (a *assigner) newEventLoop() *eventloop.Loop {
-	return eventloop.New(eventloop.Config{
+// makeEventLoop creates the event loop and connects the other parts to it.
+func (a *assigner) makeEventLoop() {
+	a.loop = eventloop.New(eventloop.Config{
 		Seed:     a.config.Seed,
 		Settings: a.config.Settings,
 		Inputs: eventloop.Inputs{
