--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -68,7 +68,7 @@
 			return relaytest.NoFault
 		}
 		return []relaytest.Fault{relaytest.ResetBefore, relaytest.ResetAfter, relaytest.GarbledAnswer, relaytest.BusyAnswer,
-			relaytest.SilentAfter, relaytest.SilentBefore, relaytest.HalfTaken}[random.Intn(7)]
+			relaytest.SilentAfter, relaytest.SilentBefore, relaytest.HalfApplied}[random.Intn(7)]
 	}
 	return fault, func() {
 		mu.Lock()
@@ -137,7 +137,7 @@
 		case 1:
 			return relaytest.ResetBefore // so that all orders are in one call
 		case 2:
-			return relaytest.HalfTaken
+			return relaytest.HalfApplied
 		}
 		return relaytest.NoFault
 	})
@@ -263,7 +263,7 @@
 		"garbled answer":         relaytest.GarbledAnswer,
 		"busy":                   relaytest.BusyAnswer,
 		"syntax error":           relaytest.SyntaxAnswer,
-		"half accepted":          relaytest.HalfTaken,
+		"half accepted":          relaytest.HalfApplied,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -24,7 +24,7 @@
 	SilentBefore        // no order is applied, no answer is sent
 	SilentAfter         // all orders are applied, no answer is sent
 	GarbledAnswer       // all orders are applied, the answer is malformed
-	HalfTaken           // the first half of the orders is applied, the next one is rejected
+	HalfApplied         // the first half of the orders is applied, the next one is rejected
 	BusyAnswer          // no order is applied, the answer is the error BUSY
 	SyntaxAnswer        // no order is applied, the answer is the error SYNTAX
 )
@@ -32,7 +32,7 @@
 // appliesOrders reports whether the orders, or half of them, are applied.
 func (f Fault) appliesOrders() bool {
 	switch f {
-	case NoFault, ResetAfter, SilentAfter, GarbledAnswer, HalfTaken:
+	case NoFault, ResetAfter, SilentAfter, GarbledAnswer, HalfApplied:
 		return true
 	}
 	return false
@@ -142,7 +142,7 @@
 	}
 	orders := strings.Split(request.PostFormValue("orders"), ";")
 	fault := r.chooseFault(orders)
-	if fault == HalfTaken {
+	if fault == HalfApplied {
 		orders = orders[:len(orders)/2]
 	}
 	applied := 0
