--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -62,9 +62,9 @@
 	startedAt := time.Now()
 	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
 	codec := wire.NewCodec(cfg.Settings, clockZero)
-	known, err := codec.EndpointUpdate(cfg.InitialEndpoints)
+	initial, err := codec.EndpointUpdate(cfg.InitialEndpoints)
 	if err != nil {
-		return fmt.Errorf("configuration: known: %w", err)
+		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
 	writerOnly := struct{ io.Writer }{logs} // hides Close, which the diode would call
 	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, 0, func(int) {})
@@ -87,11 +87,11 @@
 		return err
 	}
 	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
-	if err := program.makeParts(known.Version); err != nil {
+	if err := program.makeParts(initial.Version); err != nil {
 		return err
 	}
-	program.ownLog.Info().Int("endpoints", len(known.Endpoints)).Int("version", known.Version).Msg("started")
-	program.run(ctx, known, listener, reload)
+	program.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
+	program.run(ctx, initial, listener, reload)
 	program.ownLog.Info().EmbedObject(program.counters()).Msg("ended")
 	return nil
 }
@@ -102,12 +102,12 @@
 		Sample(&zerolog.BurstSampler{Burst: maxLogRate, Period: time.Second})
 }
 
-// makeParts creates all parts except the status page. The known version is that of the endpoint list with which the
+// makeParts creates all parts except the status page. The listVersion is that of the endpoint list with which the
 // decision module starts. Seeds are drawn in the order of the parts.
-func (a *assigner) makeParts(known int) error {
+func (a *assigner) makeParts(listVersion int) error {
 	a.events = eventqueue.New()
 	a.orders = orderqueue.New(a.config.Settings.Channel, a.codec, a.log)
-	if err := a.makeWatcher(known); err != nil {
+	if err := a.makeWatcher(listVersion); err != nil {
 		return err
 	}
 	a.makeRelayClients()
@@ -126,11 +126,11 @@
 }
 
 // makeWatcher creates the client of the discovery agent.
-func (a *assigner) makeWatcher(known int) (err error) {
+func (a *assigner) makeWatcher(listVersion int) (err error) {
 	a.discoveryAt = handover.NewAddress(a.config.Discovery)
 	a.watcher, err = discovery.New(discovery.Config{
 		Address:      a.discoveryAt,
-		KnownVersion: known,
+		KnownVersion: listVersion,
 		Codec:        a.codec,
 		Sink:         a.events.Post,
 		MemoryMB:     a.config.MemoryMB,
@@ -210,7 +210,7 @@
 // run runs the parts until the context ends and all of them have returned. The order client outlives the event loop, so
 // that it can send the last orders. The report server starts after the first batch, because its answer to a ping means that
 // the assigner is ready.
-func (a *assigner) run(ctx context.Context, known assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
+func (a *assigner) run(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
 	loopEnded, endLoop := context.WithCancel(context.WithoutCancel(ctx))
 	defer endLoop()
 	ready := make(chan struct{})
@@ -231,7 +231,7 @@
 	}
 	parts.add("event loop", func(ctx context.Context) {
 		defer endLoop()
-		a.loop.Run(ctx, []assign.Event{known}, func() { close(ready) })
+		a.loop.Run(ctx, []assign.Event{initial}, func() { close(ready) })
 	})
 	parts.add("report server", func(ctx context.Context) {
 		<-ready
