--- a/cmd/madderhollow/oncall_test.go
+++ b/cmd/madderhollow/oncall_test.go
@@ -263,6 +263,22 @@
 	}
 }
 
+// The messages in the table of symptoms are listed, too.
+func TestOnCallPageSymptomsNameListedMessages(t *testing.T) {
+	var messages []string
+	for _, entry := range listedMessages(t) {
+		messages = append(messages, entry.text)
+	}
+	quoted := regexp.MustCompile("`([^`]* [^`]*)`") // counters and fields have no spaces
+	for _, row := range tableRows(t, "Symptoms") {
+		for _, match := range quoted.FindAllStringSubmatch(row[0], -1) {
+			if !slices.Contains(messages, match[1]) {
+				t.Errorf("got symptom %q, which is no listed message", match[1])
+			}
+		}
+	}
+}
+
 // The page lists exactly the counters of the status page.
 func TestOnCallPageListsCounters(t *testing.T) {
 	var want []string
