--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -12,8 +12,9 @@
 
 // Assigner decides for the proxies that are connected to one assigner. Use New.
 //
-// The records of endpoints, zones, request classes and proxies change only in the handlers of messages (mailbox.go), one
-// after another. A handler collects the inputs of a rule, calls the rule's package and stores the result.
+// The records of endpoints, zones, request classes and proxies are created when they are first named, and change only in
+// the handlers of messages (mailbox.go), one after another. A handler collects the inputs of a rule, calls the rule's
+// package and stores the result.
 type Assigner struct {
 	// Written by New only.
 	config            Config
@@ -26,9 +27,9 @@
 	// The batch being handled; written by Handle, order, send and drain.
 	now     float64 // s
 	orders  []Order
-	mailbox []message
+	mailbox []recordMessage
 
-	nextTick float64 // s; 0 before the first batch; written by tick
+	nextTick float64 // s; 0 before the first batch; written by scheduleTick
 
 	// Records, each created on first use and changed by its own handlers.
 	endpoints    map[string]*endpoint // by name
@@ -39,7 +40,7 @@
 
 	totalRate        float64            // that all proxies may admit, 1/s; 0: none is set; written by updateTotal
 	joining          []*proxy           // wait to join the rate split; written by requestJoin and joinSplit
-	meanFailureRatio float64            // of current assessments, 0 to 1; written by measurePeriod
+	meanFailureRatio float64            // of current assessments, 0 to 1; written by updateTotal
 	tableSize        overload.TableSize // of assigned tables; written by updateTotal
 	expiredEndpoints bool               // default tables may hold expired endpoints; written by deleteExpiredEndpoints
 }
@@ -72,7 +73,7 @@
 		a.dispatch(event)
 	}
 	if now >= a.nextTick-clockTolerance {
-		a.tick()
+		a.scheduleTick()
 	}
 	a.drain()
 	if a.scheduler.isDue(now) {
--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -38,17 +38,17 @@
 	Warming  bool    // the endpoint is not yet at full speed
 }
 
-// UrgentEntry reports whether a rule depends on the change: it takes load from an endpoint that drains, was removed
-// or warms up.
+// UrgentEntry reports whether a guarantee depends on the change: it takes load from an endpoint that drains, was
+// removed or warms up.
 func UrgentEntry(change EntryChange) bool {
 	return change.To < change.From && (!change.Ready || change.Warming)
 }
 
-// urgentLimitFactor is the factor by which a rate limit has to fall to be urgent: the reserve that a slow-start cap
-// has.
+// urgentLimitFactor is the factor by which a rate limit has to fall to be urgent. A slow-start cap uses half of the
+// overload multiple, so that a smaller fall does not overload a warming endpoint before its turn.
 const urgentLimitFactor = 2
 
-// UrgentLimit reports whether a rule depends on the change of a rate limit: it protects warming endpoints of the
+// UrgentLimit reports whether a guarantee depends on the change of a rate limit: it protects warming endpoints of the
 // table and falls by more than the cap's reserve.
 func UrgentLimit(from, to float64, tableHasWarming bool) bool {
 	return tableHasWarming && to < from/urgentLimitFactor
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -13,7 +13,7 @@
 const (
 	KeepDefault     Need = iota // the default table may stay
 	ReplaceDefault              // an endpoint should weigh less than listed, which a default table cannot express
-	ReplaceUrgently             // a rule depends on the default table's replacement
+	ReplaceUrgently             // a guarantee (docs/design.md) depends on the default table's replacement
 )
 
 // NeedFor returns what a default table needs that may hold an endpoint of this state. HealthWeight is a factor on the
@@ -28,8 +28,13 @@
 	return KeepDefault
 }
 
-// minLocalEndpoints is the number of ready endpoints of a zone from which its default tables hold no others.
-const minLocalEndpoints = 4
+const (
+	// minKnownEndpoints is the number of ready endpoints of a zone below which the contents of its default tables are
+	// unknown: the zone is being lost or regained.
+	minKnownEndpoints = 3
+	// minLocalEndpoints is the number of ready endpoints of a zone from which its default tables hold no others.
+	minLocalEndpoints = 4
+)
 
 // Supply is what a zone has for the classes that share a table.
 type Supply struct {
@@ -49,7 +54,7 @@
 func ContentsAtConnect(fresh bool, supplies []Supply) Contents {
 	contents := Contents{Local: true, Unknown: !fresh}
 	for _, supply := range supplies {
-		few := supply.Ready < minLocalEndpoints-1 && !supply.Closed
+		few := supply.Ready < minKnownEndpoints && !supply.Closed
 		contents.Local = contents.Local && supply.Ready >= minLocalEndpoints
 		contents.Unknown = contents.Unknown || few
 	}
@@ -77,7 +82,7 @@
 		proxy.DefaultTableHas > KeepDefault
 }
 
-// UrgentAttachment reports whether a rule depends on the proxy's first assigned tables.
+// UrgentAttachment reports whether a guarantee depends on the proxy's first assigned tables.
 func UrgentAttachment(proxy Proxy) bool {
 	return !proxy.HasAssigned && (proxy.HasUnknown || proxy.DefaultTableHas == ReplaceUrgently)
 }
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -6,7 +6,6 @@
 	"slices"
 
 	"madderhollow/assign/membership"
-	"madderhollow/assign/numeric"
 	"madderhollow/assign/outlier"
 	"madderhollow/assign/overload"
 	"madderhollow/assign/slowstart"
@@ -18,23 +17,25 @@
 type endpoint struct {
 	// Written by newEndpoint only.
 	name     string
-	tieBreak float64 // drawn at random: the order of endpoints of equal rank in tables
+	tieBreak float64 // see subset.TieBreak
 
 	// Written by applyListing.
 	zone         string
 	listedWeight float64 // capacity relative to other endpoints
-	startedAt    float64 // s; 0: long ago
-	lastListedAt float64 // s
+	startedAt    float64 // of its process, s; 0: long ago
+	lastListedAt float64 // s; set by newEndpoint first
 
-	status membership.Status // written by setStatus
+	status membership.Status // written by applyListing, applyDrop and recordLoad; removed at first
 
-	// Written by recordLoad; cleared by applyListing at the start of a new process.
-	busy   float64       // fraction of its capacity in use by requests of all proxies, as it reports; 1 is full
-	health []*zoneHealth // one per zone whose proxies report on it
+	// Written by recordLoad.
+	busy           float64 // fraction of its capacity in use, as it reports; 1 is full; reset by applyListing for a new process
+	lastAnsweredAt float64 // time of the last report of a successful attempt, s; set by newEndpoint first
 
-	lastAnsweredAt float64 // time of the last report of a successful attempt, s; 0: never; written by recordLoad
+	// One per zone. Created by healthIn; written by recordLoad, closePeriod and decreaseWeight; discarded by applyListing
+	// for a new process.
+	health []*zoneHealth
 
-	reported   overload.Attempts // since the last tick; written by recordLoad and cleared by closePeriod
+	reported   overload.Attempts // since the last tick; written by recordLoad, reset by closePeriod
 	lastPeriod overload.Attempts // of the period before the last tick, per second; written by closePeriod
 }
 
@@ -44,7 +45,7 @@
 	outlier.Health
 }
 
-// healthIn returns the health as observed by the proxies of a zone.
+// healthIn returns the health as observed by the proxies of a zone, a new one where there is none.
 func (e *endpoint) healthIn(zone string) *zoneHealth {
 	i := slices.IndexFunc(e.health, func(h *zoneHealth) bool { return h.zone == zone })
 	if i < 0 {
@@ -57,7 +58,8 @@
 // ready reports whether the endpoint takes requests.
 func (e *endpoint) ready() bool { return e.status.State == Ready }
 
-// updateEndpoints applies an endpoint update: a message to each endpoint that it names or drops.
+// updateEndpoints turns an endpoint update into a message to each endpoint that it names or drops. It creates the records
+// of new endpoints and deletes expired ones at once, so that the other events of the batch find them.
 func (a *Assigner) updateEndpoints(update EndpointUpdate) {
 	if update.Failed {
 		a.order(WatchEndpoints{Enabled: true})
@@ -88,19 +90,15 @@
 	return record
 }
 
-// newEndpoint returns a record that is removed until its entry is applied. An endpoint of the first update counts as one
-// that has answered, because the assigner cannot know which endpoints served before its own start.
+// newEndpoint returns a record that is removed until its entry is applied.
 func (a *Assigner) newEndpoint(entry Endpoint, firstUpdate bool) *endpoint {
-	record := &endpoint{
-		name:         entry.Name,
-		status:       membership.Status{State: Removed},
-		lastListedAt: a.now,
-		tieBreak:     a.random.ExpFloat64() / math.Max(entry.Weight, numeric.MinDivisor),
+	return &endpoint{
+		name:           entry.Name,
+		tieBreak:       subset.TieBreak(a.random.ExpFloat64(), entry.Weight),
+		status:         membership.Status{State: Removed},
+		lastListedAt:   a.now,
+		lastAnsweredAt: outlier.AssumedAnswer(firstUpdate, a.now),
 	}
-	if firstUpdate {
-		record.lastAnsweredAt = a.now
-	}
-	return record
 }
 
 // deleteExpiredEndpoints deletes the records of endpoints removed long ago. Default tables may still hold such an endpoint,
@@ -116,9 +114,6 @@
 	})
 }
 
-// setStatus is the only writer of the status.
-func (e *endpoint) setStatus(status membership.Status) { e.status = status }
-
 // applyListing applies the endpoint's entry of an update.
 func (e *endpoint) applyListing(assigner *Assigner, entry Endpoint) {
 	if entry.State == Removed {
@@ -133,17 +128,17 @@
 	e.startedAt = entry.StartedAt
 	e.listedWeight = cmp.Or(math.Max(entry.Weight, 0), 1)
 	e.lastListedAt = assigner.now
-	e.setStatus(membership.Status{State: entry.State})
+	e.status = membership.Status{State: entry.State}
 	assigner.zone(e.zone)
 }
 
 // applyDrop applies an update that no longer names the endpoint.
 func (e *endpoint) applyDrop(assigner *Assigner) {
-	e.setStatus(membership.AfterDrop(e.status, membership.Drop{
+	e.status = membership.AfterDrop(e.status, membership.Drop{
 		RemovalIsAdvisory: assigner.config.RemovalIsAdvisory,
 		LastAnsweredAt:    e.lastAnsweredAt,
 		Now:               assigner.now,
-	}))
+	})
 }
 
 // recordLoad records what the proxies of one zone observed of the endpoint.
@@ -154,13 +149,13 @@
 	e.healthIn(report.Zone).Record(report.Attempts, report.Failed, report.MeanLatency)
 	successful := float64(report.Attempts - report.Failed)
 	e.reported.Add(overload.Attempts{
-		Attempts: float64(report.Attempts),
-		Failed:   float64(report.Failed),
-		InTime:   successful * outlier.InTimeCredit(report.MeanLatency, assigner.lateThreshold()),
+		Total:  float64(report.Attempts),
+		Failed: float64(report.Failed),
+		InTime: successful * outlier.InTimeCredit(report.MeanLatency, assigner.lateThreshold()),
 	})
 	if report.Attempts > report.Failed {
 		e.lastAnsweredAt = assigner.now
-		e.setStatus(membership.AfterAnswer(e.status))
+		e.status = membership.AfterAnswer(e.status)
 	}
 }
 
@@ -173,7 +168,8 @@
 	return outlier.LateThreshold(objective)
 }
 
-// closePeriod closes the totals of the period and assesses the endpoint's health in each zone.
+// closePeriod closes the sums of the period and assesses the endpoint's health in each zone. The rates are those of a period
+// of one tick interval; after a late tick they are too high.
 func (e *endpoint) closePeriod(assigner *Assigner) {
 	e.lastPeriod = e.reported.PerSecond(timing.TickInterval)
 	e.reported = overload.Attempts{}
--- a/assign/events.go
+++ b/assign/events.go
@@ -2,14 +2,14 @@
 
 import "madderhollow/assign/membership"
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is whether an endpoint takes requests.
 type EndpointState = membership.State
 
 // The states of a listed endpoint.
 const (
 	Ready    = membership.Ready    // takes requests
 	Draining = membership.Draining // takes no new requests; its entries have to go within the drain's grace period
-	Removed  = membership.Removed  // no longer listed
+	Removed  = membership.Removed  // takes no requests
 )
 
 // Endpoint is one entry of the endpoint list.
@@ -17,7 +17,7 @@
 	Zone        string
 	Group       int // of machines; no rule uses it
 	Name        string
-	Weight      float64 // listed capacity relative to other endpoints
+	Weight      float64 // listed capacity relative to other endpoints; 0 or less: 1
 	State       EndpointState
 	StartedAt   float64 // s; 0: long ago
 	MachineType string  // no rule uses it
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -22,7 +22,7 @@
 	Warming      bool
 	Unverified   bool
 	ListedWeight float64
-	Busy         float64 // fraction of its capacity in use, as it reports
+	Busy         float64 // fraction of its capacity in use, as it reports; 0 also where it reports none
 	FailureRatio float64 // of the zone's proxies' attempts, 0 to 1
 }
 
@@ -47,10 +47,11 @@
 	}
 }
 
-// Busy returns the mean busy fraction of the zone's ready endpoints.
+// Busy returns the mean busy fraction of the zone's ready and verified endpoints.
 func (s *Summary) Busy() float64 { return s.busyWeight / math.Max(s.ReadyWeight, numeric.MinDivisor) }
 
-// MostWarmFail reports whether the warm endpoints fail more than half of the zone's attempts.
+// MostWarmFail reports whether the ready warm endpoints of all zones fail more than half of their attempts, by the
+// last assessment of each by the zone's proxies and by listed weight.
 func (s *Summary) MostWarmFail() bool { return 2*s.soundWeight < s.warmWeight }
 
 // busyRecovered is the mean busy fraction below which a zone is no longer overloaded. The gap to
@@ -59,7 +60,7 @@
 
 // Overloaded reports whether a zone with this mean busy fraction is overloaded, given whether it was before.
 func Overloaded(busy float64, before bool) bool {
-	return busy > overload.BusyThreshold || before && busy > busyRecovered
+	return busy > overload.BusyThreshold || (before && busy > busyRecovered)
 }
 
 // Remote sums up the endpoints of other zones that a zone's proxies could use. NewRemote returns the first value.
@@ -89,9 +90,9 @@
 // Zone is what the spill-over of a zone depends on.
 type Zone struct {
 	Overloaded  bool
-	Busy        float64 // mean busy fraction of its ready endpoints
+	Busy        float64 // mean busy fraction of its ready and verified endpoints
 	ReadyWeight float64 // their listed weight
-	Remote      Remote  // read only while the zone is overloaded
+	Remote      Remote  // of the endpoints in other zones; read only while the zone is overloaded
 }
 
 const (
@@ -107,35 +108,43 @@
 // split moves unused quota between proxies. An assigner may have no reports of other zones' proxies, but endpoints
 // report how busy all proxies make them.
 func AdjustSpillover(spillover Spillover, zone Zone) Spillover {
-	gap := spillover.gap(zone)
+	step := spillover.step(zone)
 	spillover.Observed += (spillover.Fraction - spillover.Observed) * timing.TickInterval / timing.FeedbackDelay
-	spillover.Fraction = math.Max(0, math.Min(maxSpillover, spillover.Fraction+spilloverGain*gap))
+	spillover.Fraction = math.Max(0, math.Min(maxSpillover, spillover.Fraction+step))
 	return spillover
 }
 
 const (
-	// crossZoneCost is the busy fraction that crossing zones has to gain, because it is charged for.
-	crossZoneCost = 0.1
 	// minRemoteKnown is the remote weight, as a fraction of the zone's own, below which too little is known of other
 	// zones.
 	minRemoteKnown = 0.1
-	// exploratoryEntries is the number of entries of a full table that go to other zones then, to obtain reports on
-	// them.
+	// exploratoryEntries is the number of entries of a full table that are added to the spill-over per tick then, to
+	// obtain reports on other zones. Above half, so that the first step makes one entry.
 	exploratoryEntries = 0.6
 )
 
+// step returns the change of the spill-over's fraction in one tick.
+func (s Spillover) step(zone Zone) float64 {
+	switch {
+	case !zone.Overloaded:
+		return -spilloverGain * spilloverDecay
+	case zone.Remote.weight < minRemoteKnown*zone.ReadyWeight:
+		return exploratoryEntries / subset.FullTableSize
+	}
+	return spilloverGain * s.gap(zone)
+}
+
+// crossZoneCost is the busy fraction that crossing zones has to gain, because it is charged for.
+const crossZoneCost = 0.1
+
 // gap returns how much busier the zone's endpoints are than those that it could use elsewhere. Traffic that was
-// shifted shows in reports only after several ticks; until then the gap counts it as shifted, so that it is not
-// shifted again.
+// shifted shows in reports only after several ticks. Until then the gap counts it as shifted, away from the zone's
+// endpoints and onto the remote ones, so that it is not shifted again.
 func (s Spillover) gap(zone Zone) float64 {
-	if !zone.Overloaded {
-		return -spilloverDecay
-	}
-	if zone.Remote.weight < minRemoteKnown*zone.ReadyWeight {
-		return exploratoryEntries / subset.FullTableSize / spilloverGain
-	}
-	unobserved := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
-	unobservedRemote := unobserved * zone.ReadyWeight / zone.Remote.weight
-	localBusy := math.Min(zone.Busy-unobserved-unobservedRemote-crossZoneCost, overload.BusyThreshold)
-	return localBusy - zone.Remote.busyWeight/zone.Remote.weight
+	shifting := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
+	shiftingRemote := shifting * zone.ReadyWeight / zone.Remote.weight
+	localBusy := zone.Busy - shifting - shiftingRemote - crossZoneCost
+	remoteBusy := zone.Remote.busyWeight / zone.Remote.weight
+	// Above the threshold the remote endpoints are overloaded themselves, and the gap is not above 0.
+	return math.Min(localBusy, overload.BusyThreshold) - remoteBusy
 }
--- a/assign/mailbox.go
+++ b/assign/mailbox.go
@@ -1,11 +1,12 @@
 package assign
 
-// message is a change to a record. Every part may read a record, but only the handler of a message changes it. Messages are
-// handled one after another in the order in which they were sent.
-type message interface{ deliver(a *Assigner) }
+// recordMessage is a change to a record. Every part may read a record, but only the handler of a message changes it. Messages
+// are handled one after another in the order in which they were sent. Records are created earlier, when an event or a
+// look-up first names them: Assigner.endpoint, Assigner.proxy and Assigner.zone.
+type recordMessage interface{ deliver(a *Assigner) }
 
 // send appends a message to the pending ones.
-func (a *Assigner) send(m message) { a.mailbox = append(a.mailbox, m) }
+func (a *Assigner) send(m recordMessage) { a.mailbox = append(a.mailbox, m) }
 
 // drain handles all pending messages, and those that their handlers send.
 func (a *Assigner) drain() {
@@ -76,14 +77,14 @@
 
 // Messages to the Assigner itself and to the order scheduler.
 type (
-	periodEnded           struct{}
+	tickDue               struct{}
 	joinRequested         struct{ proxy *proxy }
 	joinRequestsCollected struct{}
 	tablesOutdated        struct{ proxy *proxy } // nil: those of all proxies
 	schedulingDue         struct{}
 )
 
-func (periodEnded) deliver(assigner *Assigner)           { assigner.endPeriod() }
+func (tickDue) deliver(assigner *Assigner)               { assigner.runTick() }
 func (m joinRequested) deliver(assigner *Assigner)       { assigner.requestJoin(m.proxy) }
 func (joinRequestsCollected) deliver(assigner *Assigner) { assigner.joinSplit() }
 func (m tablesOutdated) deliver(assigner *Assigner)      { assigner.scheduler.request(assigner, m.proxy) }
--- a/assign/membership/membership.go
+++ b/assign/membership/membership.go
@@ -22,20 +22,20 @@
 	"madderhollow/assign/timing"
 )
 
-// State is what the endpoint list says of an endpoint.
+// State is whether an endpoint takes requests.
 type State int
 
 // The states of an endpoint.
 const (
 	Ready    State = iota // takes requests
 	Draining              // takes no new requests; its entries have to go within the drain's grace period
-	Removed               // no longer listed
+	Removed               // takes no requests; its entries have to go, and its record expires
 )
 
-// Status is the state of an endpoint and whether the list has dropped it without effect.
+// Status is the state of an endpoint, and whether its answers decide about it.
 type Status struct {
 	State    State
-	Delisted bool // the list has dropped it, and its removal is advisory
+	Delisted bool // the list dropped it while it was ready, and removal is advisory: it is ready while it answers
 }
 
 // Drop is what the effect of an endpoint's removal from the list depends on.
@@ -49,7 +49,7 @@
 // one of two sources: an endpoint that still answers stays in use, so that a wrong list cannot remove the fleet. Late
 // answers from a dead endpoint can delay its removal by one report interval.
 func AfterDrop(status Status, drop Drop) Status {
-	status.Delisted = status.Delisted || drop.RemovalIsAdvisory && status.State == Ready
+	status.Delisted = status.Delisted || (drop.RemovalIsAdvisory && status.State == Ready)
 	if !status.Delisted || timing.Silent(drop.Now, drop.LastAnsweredAt) {
 		status.State = Removed
 	}
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// ordinaryWindow is the part of the channel's queue limit that ordinary orders may fill.
+	// ordinaryWindow is the part of the channel's queue limit that ordinary messages may fill.
 	ordinaryWindow = 0.5
-	// urgentWindow is the part that orders may fill on which a rule depends, so that they do not wait behind the
-	// others.
+	// urgentWindow is the part that urgent messages may fill, so that they do not wait behind the others.
 	urgentWindow = 0.9
 )
 
 // Message is what the place of a message in the channel depends on.
 type Message struct {
 	Lines         float64 // that it occupies in the channel
-	Urgent        bool    // a rule depends on its orders
-	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none within the message window
+	Urgent        bool    // a guarantee depends on its orders
+	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none since it connected
 }
 
 // acknowledgmentLines is what the request for an acknowledgment adds to a message.
@@ -47,8 +46,13 @@
 // Compare orders messages for slices.SortStableFunc: urgent ones first, and among equals the proxy that has waited
 // longest, so that none starves.
 func Compare(x, y Message) int {
-	byLastMessage := cmp.Compare(x.LastMessageAt, y.LastMessageAt)
-	return cmp.Or(cmp.Compare(y.window(), x.window()), byLastMessage)
+	switch {
+	case x.Urgent && !y.Urgent:
+		return -1
+	case y.Urgent && !x.Urgent:
+		return 1
+	}
+	return cmp.Compare(x.LastMessageAt, y.LastMessageAt)
 }
 
 // Fits reports whether the channel takes the message. InFlight is the number of lines that have not been
@@ -57,7 +61,8 @@
 	return inFlight+message.Lines <= message.window()*queueLimit
 }
 
-// minMessageInterval is the least time between two ordinary messages to a proxy, s.
+// minMessageInterval is the least time between two ordinary messages to a proxy, s. Changes within it share a
+// message.
 const minMessageInterval = timing.TickInterval / 2
 
 // ordinaryShare and ordinaryParts divide the message limit: a third is kept for urgent messages.
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -2,9 +2,10 @@
 // weight of each: a factor from ProbationWeight to 1 on its listed weight.
 //
 // Assess acts once a tick on every endpoint; Decrease acts once a tick on unhealthy endpoints while there is no
-// overload. Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Both return the
-// next Health. Each zone has a Health of its own, because a network partition between zones is no fault of the
-// endpoint. See docs/design.md, "What was changed", 1 (health weights).
+// overload. Unverified acts whenever tables are computed, InTimeCredit on each report (latency.go). Inputs are counts
+// of attempts, latencies and times in seconds, and ratios from 0 to 1. Both return the next Health. Each zone has a
+// Health of its own, because a network partition between zones is no fault of the endpoint. See docs/design.md, "What
+// was changed", 1 (health weights).
 package outlier
 
 import (
@@ -29,7 +30,7 @@
 	Late         bool    // successful attempts took too long
 
 	Weight     float64 // factor on the listed weight, ProbationWeight to 1
-	NextChange float64 // earliest time at which Weight may change again, s
+	NextChange float64 // earliest time at which Weight may change again, except to probation, s
 }
 
 // NewHealth returns the health of an endpoint without reports.
@@ -45,9 +46,9 @@
 const (
 	// minAttempts is the number of attempts that make an assessment; the outcome of fewer is chance.
 	minAttempts = 4.0
-	// minAttemptsAtLowWeight replaces minAttempts below lowWeight, where attempts are rare.
+	// minAttemptsAtLowWeight replaces minAttempts below lowWeight, where tables bring few attempts.
 	minAttemptsAtLowWeight = minAttempts / 2
-	lowWeight              = 0.5 // of the listed weight
+	lowWeight              = 0.5 // health weight
 	// weightGain is what a healthy endpoint regains of its weight per tick.
 	weightGain = 0.1
 )
@@ -56,26 +57,34 @@
 // attempts. LateThreshold is the mean latency in seconds above which answers are late. A healthy endpoint regains
 // weight.
 func Assess(health Health, lateThreshold, now float64) Health {
-	tooFew := health.Attempts < minAttempts && health.Weight >= lowWeight
-	if health.Attempts < minAttemptsAtLowWeight || tooFew {
+	needed := minAttempts
+	if health.Weight < lowWeight {
+		needed = minAttemptsAtLowWeight
+	}
+	if health.Attempts < needed {
 		return health
 	}
 	meanLatency := health.LatencySum / math.Max(health.Attempts-health.Failed, 1)
 	health.FailureRatio = health.Failed / health.Attempts
 	health.Late = meanLatency > lateThreshold
 	health.AssessedAt = now
-	if !health.Unhealthy() && now >= health.NextChange {
-		health.Weight = math.Min(1, health.Weight+weightGain)
-		health.NextChange = now + timing.TickInterval
-	}
 	health.Attempts = 0
 	health.Failed = 0
 	health.LatencySum = 0
+	return regain(health, now)
+}
+
+// regain returns the health after a healthy endpoint has regained weight, at most once per tick.
+func regain(health Health, now float64) Health {
+	if health.Unhealthy() || now < health.NextChange {
+		return health
+	}
+	health.Weight = math.Min(1, health.Weight+weightGain)
+	health.NextChange = now + timing.TickInterval
 	return health
 }
 
-// FailureThreshold is the failure ratio from which an endpoint is unhealthy: more than the rejections of a busy
-// endpoint.
+// FailureThreshold is the failure ratio from which an endpoint is unhealthy. A busy endpoint rejects fewer requests.
 const FailureThreshold = 0.4
 
 // Failing reports whether the failure ratio of the last assessment reached FailureThreshold.
@@ -90,8 +99,9 @@
 // Current reports whether the last assessment still counts in sums over all endpoints.
 func (h *Health) Current(now float64) bool { return now-h.AssessedAt <= assessmentValidity }
 
-// AssessedThisTick reports whether the last assessment was made within one tick interval.
-func (h *Health) AssessedThisTick(now float64) bool { return now-h.AssessedAt <= timing.TickInterval }
+// AssessedWithinTick reports whether the last assessment is at most one tick interval old. Where ticks are exactly on
+// time, that includes the assessment of the tick before.
+func (h *Health) AssessedWithinTick(now float64) bool { return now-h.AssessedAt <= timing.TickInterval }
 
 const (
 	// ProbationWeight is the health weight of an endpoint on probation: a few attempts, little harm.
@@ -103,12 +113,12 @@
 )
 
 // Decrease returns the health after an unhealthy assessment, and whether it was put on probation now. The mean
-// failure ratio is that of all endpoints.
+// failure ratio is that of the current assessments of all ready endpoints.
 //
 // An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned
-// off, and is put on probation at once. One that fails and answers late is overloaded: its weight decays step by step,
-// because moving all its load would overload the next endpoint. Decrease waits for the feedback delay between two
-// steps. It is wrong where the reporting proxies are at fault.
+// off, and is put on probation at once. One that fails and answers late is overloaded: its weight decays step by
+// step, because moving all its load would overload the next endpoint. Decrease waits for the feedback delay between
+// two steps. It is wrong where the reporting proxies are at fault.
 func Decrease(health Health, meanFailureRatio, now float64) (next Health, probation bool) {
 	isOutlier := health.Failing() && !health.Late && health.FailureRatio > outlierFactor*meanFailureRatio
 	switch {
--- a/assign/outlier/outlier_test.go
+++ b/assign/outlier/outlier_test.go
@@ -159,7 +159,7 @@
 			if got := health.Current(now); got != test.current {
 				t.Errorf("got current %t, want %t", got, test.current)
 			}
-			if got := health.AssessedThisTick(now); got != test.thisTick {
+			if got := health.AssessedWithinTick(now); got != test.thisTick {
 				t.Errorf("got assessed this tick %t, want %t", got, test.thisTick)
 			}
 		})
@@ -207,7 +207,7 @@
 		{"all fail", []float64{1, 1}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var mean outlier.FailureMean
+			mean := outlier.NewFailureMean()
 			for _, ratio := range test.ratios {
 				mean.Add(ratio)
 			}
--- a/assign/outlier/unverified.go
+++ b/assign/outlier/unverified.go
@@ -1,9 +1,6 @@
 package outlier
 
-import (
-	"madderhollow/assign/numeric"
-	"madderhollow/assign/timing"
-)
+import "madderhollow/assign/timing"
 
 // Proof is what shows that a listed endpoint serves.
 type Proof struct {
@@ -23,25 +20,12 @@
 	return proof.LastAnsweredAt == 0 || proof.Failing
 }
 
-// FailureMean is the mean failure ratio of all current assessments. Its zero value has none.
-type FailureMean struct {
-	sum   float64
-	count float64
-}
-
-// Add adds the failure ratio of one assessment.
-func (m *FailureMean) Add(failureRatio float64) {
-	if m.count == 0 {
-		m.count = numeric.MinDivisor
-	}
-	m.sum += failureRatio
-	m.count++
-}
-
-// Ratio returns the mean, 0 to 1; 0 without assessments.
-func (m *FailureMean) Ratio() float64 {
-	if m.count == 0 {
-		return 0
+// AssumedAnswer returns the time in seconds at which a newly listed endpoint counts as having answered. Endpoints of
+// the first update count as verified, because the assigner cannot know which endpoints served before its own start;
+// others have never answered, which is 0.
+func AssumedAnswer(firstUpdate bool, now float64) float64 {
+	if firstUpdate {
+		return now
 	}
-	return m.sum / m.count
+	return 0
 }
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -15,21 +15,21 @@
 
 // Attempts counts attempts, or attempts per second.
 type Attempts struct {
-	Attempts float64
-	Failed   float64
-	InTime   float64 // successful ones; late ones count in part
+	Total  float64
+	Failed float64
+	InTime float64 // successful ones; late ones count in part, see outlier.InTimeCredit
 }
 
 // Add adds other attempts.
 func (a *Attempts) Add(other Attempts) {
-	a.Attempts += other.Attempts
+	a.Total += other.Total
 	a.Failed += other.Failed
 	a.InTime += other.InTime
 }
 
 // PerSecond returns the attempts of an interval in seconds as rates.
 func (a Attempts) PerSecond(interval float64) Attempts {
-	return Attempts{a.Attempts / interval, a.Failed / interval, a.InTime / interval}
+	return Attempts{a.Total / interval, a.Failed / interval, a.InTime / interval}
 }
 
 // Endpoint is what one endpoint adds to a period.
@@ -56,11 +56,12 @@
 	reportedWeight float64  // their listed weight
 }
 
-// NewPeriod returns the sums without endpoints, at a time in seconds.
+// NewPeriod returns the sums without endpoints, at a time in seconds. Their mean busy fraction is 1: endpoints that
+// report none count as full.
 func NewPeriod(now float64) *Period {
 	return &Period{
 		now:            now,
-		ready:          Attempts{Attempts: numeric.MinDivisor},
+		ready:          Attempts{Total: numeric.MinDivisor},
 		busyWeight:     numeric.MinDivisor,
 		reportedWeight: numeric.MinDivisor,
 	}
@@ -74,10 +75,10 @@
 	}
 	if endpoint.Unhealthy {
 		p.Unhealthy++
-	}
-	p.successful += endpoint.Attempts.Attempts
-	p.successful -= endpoint.Attempts.Failed
-	p.reported += endpoint.Attempts.Attempts
+	}	// In two steps: the order of float operations is part of the recorded decisions.
+	p.successful += endpoint.Attempts.Total
+p.successful -= endpoint.Attempts.Failed
+	p.reported += endpoint.Attempts.Total
 	if !endpoint.Ready {
 		return
 	}
@@ -110,8 +111,8 @@
 }
 
 // Detected reports whether there is an overload: the endpoints are nearly full, most of those assessed are unhealthy,
-// and the reported attempts are half of what the proxies admit. The last condition holds back an assigner that has
-// just started and has few reports.
+// and the reported attempts are over half of what the proxies admit. The last condition holds back an assigner that
+// has just started and has few reports.
 func (p *Period) Detected(traffic Traffic) bool {
 	admitted := traffic.Observed
 	if traffic.Total != 0 {
@@ -134,6 +135,25 @@
 // TotalDuring returns the total rate during an overload: the rate that is answered in time, 1/s.
 func (p *Period) TotalDuring() float64 { return math.Max(p.ready.InTime, minTotal) }
 
+// Decision is what follows from a period.
+type Decision struct {
+	Overloaded bool
+	Total      float64 // rate that the proxies may admit, 1/s; 0: none is set
+	Removed    bool    // Total exceeds the observed rate by enough that no total is needed any more
+}
+
+// Next returns the decision of a period: an overload sets the total, a period without one raises or removes it.
+func (p *Period) Next(traffic Traffic) Decision {
+	switch {
+	case p.Detected(traffic):
+		return Decision{Overloaded: true, Total: p.TotalDuring()}
+	case traffic.Total > 0:
+		growth := p.TotalAfter(traffic)
+		return Decision{Total: growth.Total, Removed: growth.Removed}
+	}
+	return Decision{}
+}
+
 // Growth is a total rate after a period without an overload.
 type Growth struct {
 	Total   float64 // 1/s
--- a/assign/overload/overload_test.go
+++ b/assign/overload/overload_test.go
@@ -29,7 +29,7 @@
 	return overload.Endpoint{
 		Ready:          true,
 		Assessed:       true,
-		Attempts:       overload.Attempts{Attempts: 4, Failed: 1, InTime: 3},
+		Attempts:       overload.Attempts{Total: 4, Failed: 1, InTime: 3},
 		Busy:           0.9,
 		ListedWeight:   1,
 		LastAnsweredAt: now,
@@ -37,12 +37,12 @@
 }
 
 func TestAttempts(t *testing.T) {
-	sum := overload.Attempts{Attempts: 4, Failed: 1, InTime: 2}
-	sum.Add(overload.Attempts{Attempts: 6, Failed: 2, InTime: 3})
-	if want := (overload.Attempts{Attempts: 10, Failed: 3, InTime: 5}); sum != want {
+	sum := overload.Attempts{Total: 4, Failed: 1, InTime: 2}
+	sum.Add(overload.Attempts{Total: 6, Failed: 2, InTime: 3})
+	if want := (overload.Attempts{Total: 10, Failed: 3, InTime: 5}); sum != want {
 		t.Errorf("got sum %+v, want %+v", sum, want)
 	}
-	if got, want := sum.PerSecond(2), (overload.Attempts{Attempts: 5, Failed: 1.5, InTime: 2.5}); got != want {
+	if got, want := sum.PerSecond(2), (overload.Attempts{Total: 5, Failed: 1.5, InTime: 2.5}); got != want {
 		t.Errorf("got %+v per second, want %+v", got, want)
 	}
 }
@@ -171,7 +171,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			endpoint := busyEndpoint()
 			endpoint.Busy = test.busy
-			endpoint.Attempts = overload.Attempts{Attempts: 100, Failed: test.failed, InTime: test.inTime * (100 - test.failed)}
+			endpoint.Attempts = overload.Attempts{Total: 100, Failed: test.failed, InTime: test.inTime * (100 - test.failed)}
 			before := overload.TableSize{Entries: test.entries, NextChange: test.nextChange}
 			got := before.Adjust(periodOf(1, 0, endpoint), true)
 			want := overload.TableSize{Entries: test.want, NextChange: test.nextChange}
@@ -222,7 +222,7 @@
 		Ready:          random.Intn(4) > 0,
 		Assessed:       random.Intn(2) == 0,
 		Unhealthy:      random.Intn(2) == 0,
-		Attempts:       overload.Attempts{Attempts: attempts, Failed: failed, InTime: (attempts - failed) * (0.8 + 0.2*quickcheck.Fraction(random))},
+		Attempts:       overload.Attempts{Total: attempts, Failed: failed, InTime: (attempts - failed) * (0.8 + 0.2*quickcheck.Fraction(random))},
 		Busy:           quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 10),
 		ListedWeight:   quickcheck.Magnitude(random, 1e-9, 1e9),
 		LastAnsweredAt: now - 6*quickcheck.Fraction(random),
--- a/assign/overload/tablesize.go
+++ b/assign/overload/tablesize.go
@@ -31,8 +31,9 @@
 	if period.now < s.NextChange {
 		return s
 	}
-	failureRatio := period.ready.Failed / period.ready.Attempts
-	successful := period.ready.Attempts - period.ready.Failed
+	failureRatio := period.ready.Failed / period.ready.Total
+	successful := period.ready.Total - period.ready.Failed
+	// The mean credit of successful attempts is nearer to 1 than to the least one.
 	quick := 2*period.ready.InTime > (1+outlier.MinInTimeCredit)*successful
 	scarce := failureRatio > outlier.FailureThreshold && quick && !period.nearlyFull(busyReported)
 	switch {
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"madderhollow/assign/admission"
 	"madderhollow/assign/assignment"
 	"madderhollow/assign/ordering"
+	"madderhollow/assign/quota"
 	"madderhollow/assign/subset"
-	"madderhollow/assign/timing"
 )
 
 // tableEntry is one weighted endpoint of a routing table.
@@ -36,7 +35,7 @@
 	connected         bool // written by connect and disconnect
 	hasAssignedTables bool // it uses the tables assigned to it; set by recordOrder, cleared by connect
 
-	// Written by recordTraffic; set by connect and forgetTraffic.
+	// Written by recordTraffic; set by connect and, without rates, by Assigner.proxy and forgetTraffic.
 	rates        []float64 // by request class, 1/s
 	lastReportAt float64   // s
 
@@ -44,13 +43,13 @@
 	quota     float64 // fraction of the total rate; the design page calls it share
 	rateLimit float64 // 1/s; 0: none; the design page calls it level
 
-	// What the proxy holds by the orders sent to it; written by recordOrder, emptied by connect.
+	// What the proxy holds by the orders sent to it; written by recordOrder, reset by connect.
 	tables      [][]tableEntry // by table group
 	classLimits []float64      // by request class; admission.Unlimited if none
 
-	// Written by recordSent; reduced by acknowledge, emptied by disconnect.
-	messageTimes []float64 // of the messages to it within the message window, s
-	inFlight     []unacknowledgedMessage
+	// Written by recordSent; reset by disconnect.
+	messageTimes []float64               // of the last messages to it, s; those older than the message window go at the next one
+	inFlight     []unacknowledgedMessage // shortened by acknowledge
 }
 
 // proxy returns the record of a proxy, a new one where there is none. Records are kept by number, so that no order depends
@@ -77,7 +76,7 @@
 	return sum
 }
 
-// lastMessageAt returns the time of the last message to the proxy, s; 0: none within the message window.
+// lastMessageAt returns the time of the last message to the proxy, s; 0: none since it connected.
 func (p *proxy) lastMessageAt() float64 {
 	if len(p.messageTimes) == 0 {
 		return 0
@@ -98,7 +97,7 @@
 	p.classLimits = slices.Repeat([]float64{admission.Unlimited}, len(assigner.classes))
 	assigner.zone(p.zone) // a zone may have proxies and no endpoints
 	p.contents = assignment.ContentsAtConnect(event.Fresh, p.supplies(assigner))
-	for i, rate := range p.rates { // until it is reported
+	for i, rate := range p.rates { // until they are reported; the classes' parts are unknown
 		p.rates[i] = cmp.Or(rate, p.typicalRate/float64(len(p.rates)))
 	}
 	if p.quota == 0 {
@@ -127,13 +126,12 @@
 	p.messageTimes = nil
 }
 
-// recordTraffic records a report on one request class, weighted by the part of a tick that it covers.
+// recordTraffic records a report on one request class.
 func (p *proxy) recordTraffic(assigner *Assigner, report ProxyTrafficReport) {
 	for _, class := range assigner.classes {
 		if class.Name == report.RequestClass && report.Interval > 0 {
-			rate := float64(report.Requests) / report.Interval
-			weight := math.Min(1, report.Interval/timing.TickInterval)
-			p.rates[class.index] += (rate - p.rates[class.index]) * weight
+			rate := &p.rates[class.index]
+			*rate = quota.SmoothRate(*rate, float64(report.Requests)/report.Interval, report.Interval)
 			p.lastReportAt = assigner.now
 		}
 	}
@@ -142,15 +140,16 @@
 	}
 }
 
-// acknowledge removes the message with a sequence number, and all earlier ones, from those in flight.
+// acknowledge removes the message with a sequence number, and all earlier ones, from those in flight. An unknown number
+// removes none.
 func (p *proxy) acknowledge(sequence int) {
 	i := slices.IndexFunc(p.inFlight, func(m unacknowledgedMessage) bool { return m.sequence == sequence })
 	p.inFlight = p.inFlight[i+1:]
 }
 
-// assignQuota sets the proxy's part of the total rate, and its rate limit in requests per second; 0 is none.
-func (p *proxy) assignQuota(quota, rateLimit float64) {
-	p.quota = quota
+// assignQuota sets the proxy's quota, a fraction of the total rate, and its rate limit in requests per second; 0 is none.
+func (p *proxy) assignQuota(fraction, rateLimit float64) {
+	p.quota = fraction
 	p.rateLimit = rateLimit
 }
 
--- a/assign/proxy_test.go
+++ b/assign/proxy_test.go
@@ -97,9 +97,9 @@
 	p := sim.record(0)
 	p.rates = []float64{0.5, 0.5, 0.5}
 	p.typicalRate = 1.5
-	var update tableUpdate
-	p.updateLimits(sim.assigner, sim.signGroup(), 1, &update)
-	if order, ok := update.orders[0].(SetRateLimit); !ok || order.Limit < 2 {
+	var result tableOrders
+	p.addLimits(sim.assigner, sim.signGroup(), 1, &result)
+	if order, ok := result.orders[0].(SetRateLimit); !ok || order.Limit < 2 {
 		t.Errorf("got a limit of %g/s, want at least 2/s", order.Limit)
 	}
 }
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -2,11 +2,16 @@
 // design page, "Surplus-shifting rate shares".
 //
 // Join acts when proxies join the split, Redistribute once a tick. Inputs are quotas (fractions of the total rate)
-// and rates in requests per second; both return quotas that sum to 1. A proxy leaves the split when timing.Silent
-// says so. See docs/design.md, "What was kept".
+// and rates in requests per second. Redistribute returns quotas that sum to 1. Join keeps their sum, which is below 1
+// after proxies have left, until the next tick. A proxy leaves the split when timing.Silent says so. See
+// docs/design.md, "What was kept".
 package quota
 
-import "math"
+import (
+	"math"
+
+	"madderhollow/assign/timing"
+)
 
 // JoinResult is the split after proxies have joined.
 type JoinResult struct {
@@ -51,9 +56,9 @@
 			sum += m.Quota
 			continue
 		}
-		used := split.usedQuota(m)
+		used := split.usedQuota(m)		// In two steps: the order of float operations is part of the recorded decisions.
 		freed += m.Quota
-		freed -= used
+freed -= used
 		sum += used
 	}
 	if fullUsers > 0 {
@@ -83,3 +88,10 @@
 	}
 	return math.Max(m.Rate/total, minQuota)
 }
+
+// SmoothRate returns the rate of a request class at a proxy after a report, in requests per second. The reported rate
+// counts by the part of a tick interval that the report covers; interval is in seconds.
+func SmoothRate(before, reported, interval float64) float64 {
+	weight := math.Min(1, interval/timing.TickInterval)
+	return before + (reported-before)*weight
+}
--- a/assign/requestclass.go
+++ b/assign/requestclass.go
@@ -7,12 +7,12 @@
 	"madderhollow/assign/subset"
 )
 
-// requestClass is the record of one class of requests. Its last two fields are written by measureClasses.
+// requestClass is the record of one class of requests. Rate and trafficFraction are written by measureClasses.
 type requestClass struct {
 	RequestClassConfig
 	index           int     // position in the configuration
 	rate            float64 // that reaches all reporting proxies, 1/s
-	trafficFraction float64 // of the rate of all classes
+	trafficFraction float64 // of the rate of all classes; equal for all before the first tick
 }
 
 // tableGroup joins request classes that may use the same endpoints and so can share a table.
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -50,21 +50,23 @@
 	for _, z := range assigner.zones {
 		z.recompute(assigner)
 	}
-	deliveries := s.deliveries(assigner)
+	deliveries := s.takeDeliveries(assigner)
 	inFlight := linesInFlight(assigner.proxies)
 	sequence := (s.sequence + 1) % maxSequence
+	sent := false
 	for _, d := range deliveries {
 		fits := ordering.Fits(d.message, inFlight, s.channel.QueueLimit)
 		if !fits || !ordering.Allowed(d.proxy.history(assigner), d.message.Urgent, s.maxMessages) {
 			s.pending = append(s.pending, d.proxy)
 			continue
 		}
-		s.sequence = sequence
+		sent = true
 		inFlight += d.message.Lines
 		assigner.order(d.orders...)
 		assigner.send(ordersSent{d.proxy, d.orders, unacknowledgedMessage{sequence, d.message.Lines}})
 	}
-	if s.sequence == sequence {
+	if sent {
+		s.sequence = sequence
 		assigner.order(AcknowledgmentRequest{Sequence: sequence})
 	}
 	if len(s.pending) > 0 {
@@ -73,19 +75,19 @@
 	}
 }
 
-// deliveries returns the messages of the pending proxies in the order in which they are sent.
-func (s *orderScheduler) deliveries(assigner *Assigner) (deliveries []*delivery) {
+// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending then.
+func (s *orderScheduler) takeDeliveries(assigner *Assigner) (deliveries []*delivery) {
 	for _, p := range s.pending {
-		update := p.updateTables(assigner)
-		if len(update.orders) == 0 {
+		result := p.tableOrders(assigner)
+		if len(result.orders) == 0 {
 			continue
 		}
 		message := ordering.Message{
-			Lines:         ordering.Lines(len(update.orders), s.channel.MessageOverhead),
-			Urgent:        update.urgent,
+			Lines:         ordering.Lines(len(result.orders), s.channel.MessageOverhead),
+			Urgent:        result.urgent,
 			LastMessageAt: p.lastMessageAt(),
 		}
-		deliveries = append(deliveries, &delivery{p, update.orders, message})
+		deliveries = append(deliveries, &delivery{p, result.orders, message})
 	}
 	s.pending = nil
 	slices.SortStableFunc(deliveries, func(x, y *delivery) int { return ordering.Compare(x.message, y.message) })
--- a/assign/slowstart/slowstart.go
+++ b/assign/slowstart/slowstart.go
@@ -23,10 +23,11 @@
 	RateLimitsIgnored bool    // proxies admit all requests, whatever their rate limit
 }
 
-// CapacityFraction returns the fraction of its capacity that an endpoint has for certain, 0 to 1, by the slowest
-// curve that the configuration allows. It is 0 within the first overload window, because proxies with outdated tables
-// may have spent that window's budget before the assigner was notified of the start. It stays 0 until the end of the
-// warm-up where rate limits are ignored, because nothing else protects the endpoint from a burst.
+// CapacityFraction returns the fraction of its capacity that an endpoint has for certain, 0 to 1. It rises linearly
+// from the initial fraction to 1 over the configured duration. It is 0 within the first overload window, because
+// proxies with outdated tables may have spent that window's budget before the assigner was notified of the start. It
+// stays 0 until the end of the warm-up where rate limits are ignored, because nothing else protects the endpoint from
+// a burst.
 func CapacityFraction(config Config, start Start) float64 {
 	age := start.Now - start.StartedAt
 	if start.StartedAt == 0 || age >= config.Duration {
@@ -35,7 +36,7 @@
 	if age < config.OverloadWindow || start.RateLimitsIgnored {
 		return 0
 	}
-	gain := (1 - config.InitialFraction) * math.Max(age, 0) / config.Duration
+	gain := (1 - config.InitialFraction) * age / config.Duration
 	return config.InitialFraction + gain
 }
 
@@ -43,7 +44,7 @@
 	// burstFraction is the part of the overload multiple that a cap uses, because proxies bring more before a report
 	// shows it.
 	burstFraction = 0.5
-	// deviations is the number of standard deviations of a rate that a cap leaves room for.
+	// deviations is the number of standard deviations that a cap leaves room for: few seconds exceed two.
 	deviations = 2
 )
 
@@ -55,8 +56,9 @@
 }
 
 // RateCap returns the rate in requests per second that the proxy may admit of the class. Reports arrive too late to
-// stop a burst on a warming endpoint, so the cap acts before one. It leaves room for the deviation of a Poisson
-// process, because a rate of one request per second varies by chance alone.
+// stop a burst on a warming endpoint, so the cap acts before one. It leaves room for the standard deviation of the
+// number of requests in one second, a Poisson process, because a rate of one request per second varies by chance
+// alone.
 func RateCap(config Config, demand Demand) float64 {
 	expected := math.Max(demand.ReportedRate, demand.TypicalRate)
 	withDeviations := expected + deviations*math.Sqrt(expected)
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"madderhollow/assign/numeric"
 	"madderhollow/assign/outlier"
 )
 
@@ -12,6 +13,12 @@
 	return listedWeight * math.Min(healthWeight, capacityFraction)
 }
 
+// TieBreak returns what orders endpoints of equal rank, the lowest first: a draw from an exponential distribution
+// over the weight, so that heavier endpoints tend to come first.
+func TieBreak(draw, listedWeight float64) float64 {
+	return draw / math.Max(listedWeight, numeric.MinDivisor)
+}
+
 // Candidate is an endpoint that a table may hold. E identifies it for the caller.
 type Candidate[E comparable] struct {
 	Endpoint     E
@@ -21,9 +28,9 @@
 	Warming      bool    // not yet at full speed
 	Unverified   bool    // still has to prove itself
 	FailureRatio float64 // of the zone's proxies' attempts, 0 to 1
-	TieBreak     float64 // drawn at random: the order of candidates of equal rank
+	TieBreak     float64 // see TieBreak
 
-	load float64 // rate per unit of its weight from the tables built so far, 1/s
+	load float64 // rate from the tables built so far per unit of the entry's weight, 1/s
 	rank float64 // for the next table; the lowest is chosen first
 }
 
@@ -44,5 +51,5 @@
 
 // before reports whether the candidate is chosen before another.
 func (c *Candidate[E]) before(other *Candidate[E]) bool {
-	return c.rank < other.rank || c.rank == other.rank && c.TieBreak < other.TieBreak
+	return c.rank < other.rank || (c.rank == other.rank && c.TieBreak < other.TieBreak)
 }
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -19,7 +19,7 @@
 // Zone is what a plan needs to know of the zone whose proxies it serves.
 type Zone struct {
 	Overloaded       bool
-	PeakWeight       float64 // the highest listed weight of its ready endpoints so far
+	PeakWeight       float64 // the highest listed weight of its ready and verified endpoints so far
 	Spillover        float64 // fraction of its traffic that goes to other zones
 	TrafficFraction  float64 // of the rate of all reporting proxies
 	ReportingProxies float64 // above 0
@@ -47,11 +47,15 @@
 type Plan[E comparable] struct {
 	candidates        []*Candidate[E]
 	byEndpoint        map[E]*Candidate[E]
-	remoteFraction    float64 // of a table's entries
-	remainingCapacity float64 // weight of all candidates, as a fraction of the deployment's peak
+	remoteFraction    float64 // of a table's entries and of its weight
+	remainingCapacity float64 // weight of all usable endpoints, as a fraction of the deployment's peak
 	fullTableWeight   float64 // the most that a table carries
 }
 
+// wholeZoneFraction is the part of the mean peak weight of all zones above which a zone has been seen whole. Below
+// it, the zone is returning after a loss, and the mean stands for its usual weight.
+const wholeZoneFraction = 0.5
+
 // NewPlan returns the plan for the candidates that the request classes may use, in a fixed order. It modifies them.
 func NewPlan[E comparable](zone Zone, deployment Deployment, usable []Candidate[E]) *Plan[E] {
 	plan := &Plan[E]{remoteFraction: 1, byEndpoint: make(map[E]*Candidate[E], len(usable))}
@@ -59,13 +63,16 @@
 	plan.remainingCapacity = supply.total / math.Max(deployment.PeakWeight, numeric.MinDivisor)
 	usualWeight := deployment.PeakWeight / math.Max(1, float64(deployment.Zones))
 	if supply.local > 0 {
-		if zone.PeakWeight > usualWeight/2 { // otherwise the zone is returning and was never seen whole
+		if zone.PeakWeight > wholeZoneFraction*usualWeight {
 			usualWeight = zone.PeakWeight
 		}
 		demand := plan.demand(zone, deployment, supply, usualWeight)
 		plan.remoteFraction = math.Max(zone.Spillover, 1-supply.local/demand)
 	}
-	plan.index(usualWeight)
+	plan.fullTableWeight = plan.maxTableWeight(usualWeight)
+	for _, c := range plan.candidates {
+		plan.byEndpoint[c.Endpoint] = c
+	}
 	return plan
 }
 
@@ -105,7 +112,7 @@
 // demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost,
 // and in an overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count,
 // because warm endpoints have to carry the load next to them, however unhealthy. Proxies that do not report here
-// bring as much as those that do.
+// bring as much as those that do, and zones have equally many.
 func (plan *Plan[E]) demand(zone Zone, deployment Deployment, found supply, usualWeight float64) float64 {
 	demand := usualWeight
 	if !found.warming {
@@ -115,19 +122,20 @@
 		return demand
 	}
 	proxies := math.Max(deployment.ReportingProxies, deployment.ConfiguredProxies)
-	perZone := proxies / float64(deployment.Zones)
-	unreported := math.Max(1, perZone/zone.ReportingProxies)
-	return math.Max(demand, found.total*zone.TrafficFraction*deployment.ReportingProxies/proxies*unreported)
+	proxiesPerZone := proxies / float64(deployment.Zones)
+	proxiesPerReporting := math.Max(1, proxiesPerZone/zone.ReportingProxies)
+	reportedTraffic := found.total * zone.TrafficFraction * deployment.ReportingProxies / proxies
+	return math.Max(demand, reportedTraffic*proxiesPerReporting)
 }
 
-// index sets byEndpoint, and the most that a table carries: the zone's usual weight, or that of a full table where
-// there are more endpoints.
-func (plan *Plan[E]) index(usualWeight float64) {
+// maxTableWeight returns the most that a table carries: the zone's usual weight, or that of a full table where there
+// are more endpoints.
+func (plan *Plan[E]) maxTableWeight(usualWeight float64) float64 {
+	fullTableWeight := 0.0
 	for _, c := range plan.candidates {
-		plan.fullTableWeight += c.ListedWeight * FullTableSize / float64(len(plan.candidates))
-		plan.byEndpoint[c.Endpoint] = c
+		fullTableWeight += c.ListedWeight * FullTableSize / float64(len(plan.candidates))
 	}
-	plan.fullTableWeight = math.Min(usualWeight, plan.fullTableWeight)
+	return math.Min(usualWeight, fullTableWeight)
 }
 
 // AddLoad adds the load that a table with a rate in requests per second brings to its endpoints; a negative rate
@@ -139,7 +147,7 @@
 	}
 	for _, entry := range table {
 		if c := plan.byEndpoint[entry.Endpoint]; c != nil {
-			c.load += rate / sum
+			c.load += rate / sum // the entry's part of the rate, per unit of its weight
 		}
 	}
 }
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -35,7 +35,7 @@
 	entries []Entry[E]
 	weight  float64 // of all entries
 	warming float64 // of the entries that are warming up
-	sound   float64 // of the warm entries, less the fraction that fails
+	healthy float64 // of the warm entries, less the fraction of attempts that fails
 }
 
 // add appends candidates and returns their weight, usable and as listed.
@@ -47,7 +47,7 @@
 		if c.Warming {
 			d.warming += c.Weight
 		} else {
-			d.sound += c.Weight * (1 - c.FailureRatio)
+			d.healthy += c.Weight * (1 - c.FailureRatio)
 		}
 	}
 	return weight, listedWeight
@@ -60,26 +60,38 @@
 	plan.AddLoad(held, -rate)
 	plan.rank(held)
 	size := int(math.Round(tableSize))
-	remoteSize := min(int(math.Round(plan.remoteFraction*float64(size))), size-1)
+	remoteSize := min(int(math.Round(plan.remoteFraction*float64(size))), size-1) // one entry is the zone's own, if any
 
 	table := &draft[E]{}
 	localWeight, _ := table.add(plan.lowestRanked(false, size-remoteSize))
 	localEntries := len(table.entries)
 	remoteWeight, remoteListed := table.add(plan.lowestRanked(true, remoteSize))
-	if localWeight > 0 && remoteWeight > 0 { // the remote entries get their fraction, however few they are
-		scale := localWeight / remoteListed * plan.remoteFraction / (1 - plan.remoteFraction)
-		for i := range table.entries[localEntries:] {
-			table.entries[localEntries+i].Weight *= scale
-		}
+	if localWeight > 0 && remoteWeight > 0 {
+		scale := plan.remoteScale(localWeight, remoteListed)
+		table.scaleFrom(localEntries, scale)
 		remoteWeight *= scale
 	}
 	table.weight = localWeight + remoteWeight
 
-	plan.AddLoad(table.entries, rate)
+	plan.AddLoad(table.entries, rate) // by the weights before the cap on warming endpoints
 	capacity := plan.capWarming(table)
 	return Table[E]{Entries: table.entries, WarmingCapacity: capacity}
 }
 
+// remoteScale returns the factor on the weights of remote entries that gives them, at their listed weights, their
+// fraction of the table, however few they are. Entries below their listed weight get less.
+func (plan *Plan[E]) remoteScale(localWeight, remoteListed float64) float64 {
+	perListedWeight := localWeight / remoteListed
+	return perListedWeight * plan.remoteFraction / (1 - plan.remoteFraction)
+}
+
+// scaleFrom multiplies the weights of the entries from an index on by a factor.
+func (d *draft[E]) scaleFrom(first int, factor float64) {
+	for i := range d.entries[first:] {
+		d.entries[first+i].Weight *= factor
+	}
+}
+
 const (
 	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry
 	// moves: a new connection is expensive.
@@ -137,16 +149,22 @@
 	fullTableWeight := math.Max(plan.fullTableWeight, numeric.MinDivisor)
 	maxShare := math.Min(maxWarmingShare, table.warming/fullTableWeight)
 	warm := table.weight - table.warming
-	if warm < numeric.MinDivisor { // the proxies of all zones use the same few warming endpoints
+	if warm < numeric.MinDivisor { // only warming endpoints are left, and the proxies of all zones may use the same few
 		return math.Min(plan.remainingCapacity, maxShare)
 	}
 	if table.warming > maxShare*table.weight {
 		factor := maxShare / (1 - maxShare) * warm / table.warming
-		for i, entry := range table.entries {
-			if plan.byEndpoint[entry.Endpoint].Warming {
-				table.entries[i].Weight *= factor
-			}
+		plan.scaleWarming(table, factor)
+	}
+	fullWeight := table.healthy / (1 - maxShare) // of a table whose warm part is the healthy weight
+	return math.Min(1, fullWeight/fullTableWeight)
+}
+
+// scaleWarming multiplies the weights of the warming entries by a factor.
+func (plan *Plan[E]) scaleWarming(table *draft[E], factor float64) {
+	for i, entry := range table.entries {
+		if plan.byEndpoint[entry.Endpoint].Warming {
+			table.entries[i].Weight *= factor
 		}
 	}
-	return math.Min(1, table.sound/(1-maxShare)/fullTableWeight)
 }
--- a/assign/tables.go
+++ b/assign/tables.go
@@ -9,20 +9,21 @@
 	"madderhollow/assign/subset"
 )
 
-// tableUpdate is the orders that bring a proxy's tables to what they should be. Urgent: a rule depends on them.
-type tableUpdate struct {
+// tableOrders are the orders that bring a proxy's tables to what they should be. They are urgent if a guarantee depends on
+// them.
+type tableOrders struct {
 	orders []Order
 	urgent bool
 }
 
 // add appends an order.
-func (u *tableUpdate) add(order Order, urgent bool) {
-	u.orders = append(u.orders, order)
-	u.urgent = u.urgent || urgent
+func (o *tableOrders) add(order Order, urgent bool) {
+	o.orders = append(o.orders, order)
+	o.urgent = o.urgent || urgent
 }
 
-// updateTables returns the orders that bring the proxy's tables to what they should be, none if nothing is worth a message.
-func (p *proxy) updateTables(assigner *Assigner) tableUpdate {
+// tableOrders returns the orders that bring the proxy's tables to what they should be, none if nothing is worth a message.
+func (p *proxy) tableOrders(assigner *Assigner) tableOrders {
 	z := assigner.zone(p.zone)
 	inputs := assignment.Proxy{
 		Connected:       p.connected,
@@ -34,22 +35,21 @@
 		DefaultTableHas: z.defaultTableNeed(p.contents.Local),
 	}
 	if !assignment.NeedsTables(inputs) {
-		return tableUpdate{}
+		return tableOrders{}
 	}
-	update := tableUpdate{urgent: assignment.UrgentAttachment(inputs)}
+	result := tableOrders{urgent: assignment.UrgentAttachment(inputs)}
 	for _, group := range assigner.groups {
-		p.updateTable(assigner, group, &update)
+		p.addTable(assigner, group, &result)
 	}
-	return update
+	return result
 }
 
-// updateTable adds the orders for the table of one group.
-func (p *proxy) updateTable(assigner *Assigner, group *tableGroup, update *tableUpdate) {
+// addTable adds the orders for the table of one group.
+func (p *proxy) addTable(assigner *Assigner, group *tableGroup, result *tableOrders) {
 	table := p.id*len(assigner.groups) + group.index
 	wanted := p.buildTable(assigner, group)
 	if !p.hasAssignedTables {
-		update.add(ClearTable{table}, false)
-		p.tables[group.index] = nil
+		result.add(ClearTable{table}, false)
 	}
 	held := p.tables[group.index]
 	for _, change := range assignment.Changes(held, wanted.Entries) {
@@ -59,11 +59,11 @@
 			Ready:   change.Endpoint.ready(),
 			Warming: change.Endpoint.warming(assigner),
 		})
-		update.add(SetWeight{table, change.Endpoint.name, change.Weight}, urgent)
+		result.add(SetWeight{table, change.Endpoint.name, change.Weight}, urgent)
 	}
-	p.updateLimits(assigner, group, wanted.WarmingCapacity, update)
+	p.addLimits(assigner, group, wanted.WarmingCapacity, result)
 	if !p.hasAssignedTables {
-		update.add(AttachTable{p.id, table, group.classes}, false)
+		result.add(AttachTable{p.id, table, group.classes}, false)
 	}
 }
 
@@ -73,9 +73,10 @@
 	return plan.Build(p.tables[group.index], p.typicalRate, assigner.tableSize.Entries)
 }
 
-// updateLimits adds the rate limits that changed for the classes of a group, whose table can serve a fraction of its usual
-// weight while some of its entries are warming up; 0 if none is.
-func (p *proxy) updateLimits(assigner *Assigner, group *tableGroup, warmingCapacity float64, update *tableUpdate) {
+// addLimits adds the rate limits that changed for the classes of a group, whose table can serve a fraction of its usual
+// weight while some of its entries are warming up; 0 if none is. Classes of other groups take their rate out of the budget
+// too.
+func (p *proxy) addLimits(assigner *Assigner, group *tableGroup, warmingCapacity float64, result *tableOrders) {
 	table := p.id*len(assigner.groups) + group.index
 	tableHasWarming := warmingCapacity > 0
 	budget := admission.NewBudget(p.rateLimit)
@@ -91,7 +92,7 @@
 			continue
 		}
 		urgent := assignment.UrgentLimit(held, limit, tableHasWarming)
-		update.add(SetRateLimit{table, []int{class.index}, limit, retries}, urgent)
+		result.add(SetRateLimit{table, []int{class.index}, limit, retries}, urgent)
 	}
 }
 
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -10,20 +10,22 @@
 	"madderhollow/assign/timing"
 )
 
-// tick queues the end of the period behind the messages of the batch's events, and sets the timer for the next tick.
-func (a *Assigner) tick() {
+// scheduleTick queues a tick behind the messages of the batch's events, and sets the timer for the next one.
+func (a *Assigner) scheduleTick() {
 	a.nextTick = a.now + timing.TickInterval
 	a.order(SetTimer{Delay: timing.TickInterval})
-	a.send(periodEnded{})
+	a.send(tickDue{})
 }
 
-// endPeriod runs the phases of a tick in their order. Each phase reads the records as the former phases left them; the
-// messages that a phase sends (drops, silent proxies, weight decreases, quotas) are handled after the last phase, in the
-// order in which they were sent.
-func (a *Assigner) endPeriod() {
+// runTick ends a period. It runs the phases of a tick in their order; each reads the records as the former phases left them.
+// The messages that a phase sends (drops, silent proxies, weight decreases, quotas) are handled after the last phase, in the
+// order in which they were sent. They take effect in tables when the order scheduler recomputes the zones at the end of the
+// batch.
+func (a *Assigner) runTick() {
 	for _, e := range a.endpointList {
 		e.closePeriod(a)
 	}
+	a.dropSilentProxies()
 	members := a.splitMembers()
 	observedRate := a.measureClasses(members)
 	for _, z := range a.zones {
@@ -39,19 +41,26 @@
 	a.scheduler.request(a, nil)
 }
 
-// splitMembers returns the proxies that have a quota and are not silent; silent ones leave the split.
-func (a *Assigner) splitMembers() (members []*proxy) {
+// dropSilentProxies removes the proxies from the split that are silent.
+func (a *Assigner) dropSilentProxies() {
 	for _, p := range a.proxies {
 		if timing.Silent(a.now, p.lastReportAt) {
 			a.send(proxySilent{p})
-		} else if p.quota > 0 {
+		}
+	}
+}
+
+// splitMembers returns the proxies that share the total rate: they have a quota and are not silent.
+func (a *Assigner) splitMembers() (members []*proxy) {
+	for _, p := range a.proxies {
+		if p.quota > 0 && !timing.Silent(a.now, p.lastReportAt) {
 			members = append(members, p)
 		}
 	}
 	return members
 }
 
-// minClassRate replaces the rate of a class without requests, because rates are divided by, 1/s.
+// minClassRate is added to the rate of each class, because rates are divided by, 1/s.
 const minClassRate = 1e-6
 
 // measureClasses sets the rate of each request class and returns the sum of the rates, 1/s.
@@ -81,10 +90,10 @@
 	}
 }
 
-// measurePeriod sums up the endpoints' last period and sets the mean failure ratio.
-func (a *Assigner) measurePeriod() *overload.Period {
-	period := overload.NewPeriod(a.now)
-	var failures outlier.FailureMean
+// measurePeriod returns the sums of the endpoints' last period and their mean failure ratio.
+func (a *Assigner) measurePeriod() (period *overload.Period, meanFailureRatio float64) {
+	period = overload.NewPeriod(a.now)
+	failures := outlier.NewFailureMean()
 	for _, record := range a.endpointList {
 		assessed, unhealthy := false, false
 		for _, health := range record.health {
@@ -104,35 +113,36 @@
 			LastAnsweredAt: record.lastAnsweredAt,
 		})
 	}
-	a.meanFailureRatio = failures.Ratio()
-	return period
+	return period, failures.Ratio()
 }
 
-// updateTotal sets, raises or removes the total rate by the attempts of the last period, and adjusts the table size. It
+// updateTotal sets the total rate and the table size by the attempts of the last period, and the mean failure ratio. It
 // reports whether there is an overload.
 func (a *Assigner) updateTotal(observedRate float64) (overloaded bool) {
-	period := a.measurePeriod()
+	period, meanFailureRatio := a.measurePeriod()
+	a.meanFailureRatio = meanFailureRatio
 	traffic := overload.Traffic{Observed: observedRate, Total: a.totalRate, BusyReported: a.busyColumn >= 0}
-	overloaded = period.Detected(traffic)
 	a.tableSize = a.tableSize.Adjust(period, traffic.BusyReported)
+	next := period.Next(traffic)
+	a.logTotal(period, traffic, next)
+	a.totalRate = next.Total
+	if next.Removed {
+		a.totalRate = 0
+	}
+	return next.Overloaded
+}
+
+// logTotal logs the beginning and the end of an overload.
+func (a *Assigner) logTotal(period *overload.Period, traffic overload.Traffic, next overload.Decision) {
+	total := LogField{"total_rate", roundRate(next.Total)}
+	observed := LogField{"observed_rate", roundRate(traffic.Observed)}
 	switch {
-	case overloaded:
-		if a.totalRate == 0 {
-			a.log("overload detected",
-				LogField{"unhealthy_endpoints", period.Unhealthy}, LogField{"assessed_endpoints", period.Assessed},
-				LogField{"total_rate", roundRate(period.InTimeRate())}, LogField{"observed_rate", roundRate(observedRate)})
-		}
-		a.totalRate = period.TotalDuring()
-	case a.totalRate > 0:
-		growth := period.TotalAfter(traffic)
-		a.totalRate = growth.Total
-		if growth.Removed {
-			a.log("rate limits removed",
-				LogField{"total_rate", roundRate(growth.Total)}, LogField{"observed_rate", roundRate(observedRate)})
-			a.totalRate = 0
-		}
+	case next.Overloaded && traffic.Total == 0:
+		a.log("overload detected", LogField{"unhealthy_endpoints", period.Unhealthy},
+			LogField{"assessed_endpoints", period.Assessed}, total, observed)
+	case next.Removed:
+		a.log("rate limits removed", total, observed)
 	}
-	return overloaded
 }
 
 // logRateResolution is the number of parts of one request per second that log lines show.
@@ -145,7 +155,7 @@
 func (a *Assigner) decreaseUnhealthyWeights() {
 	for _, e := range a.endpointList {
 		for _, health := range e.health {
-			if health.Unhealthy() && health.AssessedThisTick(a.now) {
+			if health.Unhealthy() && health.AssessedWithinTick(a.now) {
 				a.send(foundUnhealthy{e, health})
 			}
 		}
@@ -173,8 +183,9 @@
 	}
 }
 
-// joinSplit assigns the quotas of the collected proxies and of the members.
+// joinSplit assigns the quotas of the collected proxies and of the members. Rate limits follow at the next tick.
 func (a *Assigner) joinSplit() {
+	a.dropSilentProxies()
 	members := a.splitMembers()
 	joining := sortedWithoutQuota(a.joining)
 	result := quota.Join(len(members), len(joining))
--- a/assign/tick_test.go
+++ b/assign/tick_test.go
@@ -47,7 +47,7 @@
 			p.rates[0] = 30
 		}
 	}
-	sim.assigner.send(periodEnded{})
+	sim.assigner.send(tickDue{})
 	sim.assigner.drain()
 	if math.Abs(members[0].quota-members[1].quota) > 1e-9 || members[0].quota < 0.3 || members[5].quota > 0.08 {
 		t.Errorf("got quotas %v and %v of full users and %v of another, want the first equal and at least 0.3, the last at most 0.08", members[0].quota, members[1].quota, members[5].quota)
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -16,8 +16,8 @@
 	// Written by recompute.
 	overloaded     bool
 	excludeWarming bool            // see subset.ExcludeWarming
-	busy           float64         // mean busy fraction of its ready endpoints; 1 is full
-	readyWeight    float64         // listed weight of its ready endpoints
+	busy           float64         // mean busy fraction of its ready and verified endpoints; 1 is full
+	readyWeight    float64         // listed weight of its ready and verified endpoints
 	peakWeight     float64         // the highest readyWeight so far
 	needAnywhere   assignment.Need // of a default table that may hold any endpoint
 	needLocal      assignment.Need // of a default table that holds only endpoints of the zone
@@ -26,7 +26,7 @@
 
 	// Written by measureTraffic.
 	trafficFraction  float64 // of the rate of all reporting proxies that its own bring
-	reportingProxies float64 // above 0
+	reportingProxies float64 // number; above 0, but 0 before the first tick
 
 	spillover locality.Spillover // written by adjustSpillover
 }
@@ -92,7 +92,7 @@
 	z.spillover = locality.AdjustSpillover(z.spillover, inputs)
 }
 
-// sumRemote sums up the endpoints of other zones that the zone's proxies could use.
+// sumRemote sums up the endpoints of other zones, whichever of them the request classes may use.
 func (z *zone) sumRemote(assigner *Assigner) locality.Remote {
 	remote := locality.NewRemote()
 	for _, e := range assigner.endpointList {
