--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -75,9 +75,10 @@
 	}
 	if endpoint.Unhealthy {
 		p.Unhealthy++
-	}	// In two steps: the order of float operations is part of the recorded decisions.
+	}
+	// In two steps: the order of float operations is part of the recorded decisions.
 	p.successful += endpoint.Attempts.Total
-p.successful -= endpoint.Attempts.Failed
+	p.successful -= endpoint.Attempts.Failed
 	p.reported += endpoint.Attempts.Total
 	if !endpoint.Ready {
 		return
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -56,9 +56,10 @@
 			sum += m.Quota
 			continue
 		}
-		used := split.usedQuota(m)		// In two steps: the order of float operations is part of the recorded decisions.
+		used := split.usedQuota(m)
+		// In two steps: the order of float operations is part of the recorded decisions.
 		freed += m.Quota
-freed -= used
+		freed -= used
 		sum += used
 	}
 	if fullUsers > 0 {
