--- /dev/null
+++ b/internal/logtest/logtest_test.go
@@ -0,0 +1,20 @@
+package logtest
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRecorderKeepsLevelAndMessage(t *testing.T) {
+	recorder := New(t, "relay")
+	log := recorder.Logger().With().Str("component", "relay").Logger()
+	log.Info().Int("attempts", 2).Msg("connected")
+	log.Warn().Msg("disconnected")
+	log.Info().Msg("connected")
+	recorder.ExpectLines(t, "info: connected", "warn: disconnected", "info: connected")
+	recorder.ExpectOnce(t, "disconnected")
+	recorder.Await(t, time.Second, "connected")
+	if got := recorder.Count("connected"); got != 2 {
+		t.Errorf("got %d lines with message connected, want 2", got)
+	}
+}
