--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"madderhollow/internal/eventually"
+	"madderhollow/internal/servertest"
 	"madderhollow/internal/testserver"
 )
 
@@ -18,15 +19,7 @@
 // dialServer returns a connection to a server with this handler. Both are closed at the end of the test.
 func dialServer(t *testing.T, handler http.HandlerFunc) (*testserver.Server, *Conn) {
 	t.Helper()
-	server, err := testserver.New("", handler)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := server.Close(); err != nil {
-			t.Errorf("close server: %v", err)
-		}
-	})
+	server := servertest.Start(t, handler)
 	conn, err := Dial(t.Context(), server.Address(), timeout)
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +79,7 @@
 	}
 }
 
-func TestPeerClosedAfterServerClosesIdleConnection(t *testing.T) {
+func TestServerClosedAfterServerClosesIdleConnection(t *testing.T) {
 	server, conn := dialServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	response, _, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), timeout)
 	if err != nil {
@@ -95,13 +88,13 @@
 	if err := response.Body.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if conn.PeerClosed() || conn.HasUnread() {
-		t.Errorf("open connection: got peer closed %t, unread %t; want false, false", conn.PeerClosed(), conn.HasUnread())
+	if conn.ServerClosed() || conn.HasUnread() {
+		t.Errorf("open connection: got server closed %t, unread %t; want false, false", conn.ServerClosed(), conn.HasUnread())
 	}
 	if !eventually.True(timeout, func() bool { return server.CloseIdle() > 0 }) {
 		t.Fatal("got no idle connection, want one")
 	}
-	if !eventually.True(timeout, conn.PeerClosed) {
-		t.Error("closed connection: got peer closed false, want true")
+	if !eventually.True(timeout, conn.ServerClosed) {
+		t.Error("closed connection: got server closed false, want true")
 	}
 }
--- a/internal/httpconn/peerclosed.go
+++ b/internal/httpconn/serverclosed.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// PeerClosed reports whether the server closed the connection or sent bytes that belong to no request; a request over such
+// ServerClosed reports whether the server closed the connection or sent bytes that belong to no request; a request over such
 // a connection would fail after it was sent. It returns false if the connection offers no system calls. It does not block.
-func (c *Conn) PeerClosed() bool {
+func (c *Conn) ServerClosed() bool {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -84,7 +84,7 @@
 
 // stale reports whether a call over the open connection might be ambiguous.
 func (c *callConn) stale() bool {
-	return time.Since(c.lastUsed) > maxIdle || c.conn.HasUnread() || c.conn.PeerClosed()
+	return time.Since(c.lastUsed) > maxIdle || c.conn.HasUnread() || c.conn.ServerClosed()
 }
 
 // close closes the connection, if one is open.
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/quickcheck"
@@ -21,10 +23,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
-	for i := range 3 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(3)
+	setup.connectProxies(3)
 	setup.queue.Submit([]assign.Order{
 		assign.SetWeight{Table: 5, Endpoint: "t", Weight: 1},
 		assign.AttachTable{Proxy: 1, Table: 5},
@@ -54,10 +53,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
-	for i := range 2 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(2)
+	setup.connectProxies(2)
 	setup.Inspect(func(state *relaytest.State) { state.Proxies[1].Zone = "nowhere" })
 	setup.CutStreams("event: joined\ndata: node=x\n\n")
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}
@@ -77,12 +73,11 @@
 // A stream without heartbeats has ended, even if its connection is open.
 func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
-	h := startHarness(t)
-	h.SetHeartbeat(time.Hour)
-	h.Connect(0, "a", 2, true)
-	h.takeEvents(1)
+	setup := startHarness(t)
+	setup.SetHeartbeat(time.Hour)
+	setup.connectProxies(1)
 	want := []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}}
-	if got := h.takeEvents(1); !reflect.DeepEqual(got, want) {
+	if got := setup.takeEvents(1); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -121,18 +116,15 @@
 }
 
 // During the relay's moves connected proxies are not reported again, each change is reported and no call is lost.
-func TestRelayMovesWithoutRepeatedOrLostEvents(t *testing.T) {
+func TestEventReaderFollowsMovesWithoutRepeatedOrLostEvents(t *testing.T) {
 	t.Parallel()
 	const staying = 6 // proxies that stay connected; two more connect and disconnect
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		setup := newHarness(t, seed)
+		setup := newHarness(t, seed, zerolog.Nop())
 		defer setup.end(t)
 		setup.SetHeartbeat(30 * time.Millisecond)
-		for i := range staying {
-			setup.Connect(i, "a", 2, true)
-		}
-		setup.takeEvents(staying)
+		setup.connectProxies(staying)
 		connected, orders := map[int]bool{}, 0
 		for range 4 {
 			setup.moveOnce(t, random)
@@ -229,10 +221,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(time.Hour) // the new stream waits for a heartbeat of the old one
-	for i := range 3 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(3)
+	setup.connectProxies(3)
 	setup.Inspect(func(state *relaytest.State) { delete(state.Proxies, 1) })
 	if err := setup.Move("", time.Hour); err != nil {
 		t.Fatal(err)
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -11,6 +11,7 @@
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/logtest"
 	"madderhollow/internal/orderqueue"
 	"madderhollow/internal/relaytest"
 	"madderhollow/internal/testconfig"
@@ -46,14 +47,8 @@
 	events []assign.Event
 }
 
-// newHarness returns a running harness that logs nothing. The caller ends it.
-func newHarness(t *testing.T, seed int64) *harness {
-	t.Helper()
-	return newLoggingHarness(t, seed, zerolog.Nop())
-}
-
-// newLoggingHarness returns a running harness. The caller ends it.
-func newLoggingHarness(t *testing.T, seed int64, log zerolog.Logger) *harness {
+// newHarness returns a running harness, whose client and reader use this seed and logger. The caller ends it.
+func newHarness(t *testing.T, seed int64, log zerolog.Logger) *harness {
 	t.Helper()
 	relay, err := relaytest.New("", "read", "sign")
 	if err != nil {
@@ -78,12 +73,21 @@
 	return setup
 }
 
-// startHarness returns a running harness that ends with the test.
+// startHarness returns a running harness that logs nothing and ends with the test.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
-	h := newHarness(t, 1)
-	t.Cleanup(func() { h.end(t) })
-	return h
+	setup := newHarness(t, 1, zerolog.Nop())
+	t.Cleanup(func() { setup.end(t) })
+	return setup
+}
+
+// startLoggingHarness returns a running harness that ends with the test, and its log.
+func startLoggingHarness(t *testing.T) (*harness, *logtest.Recorder) {
+	t.Helper()
+	logs := logtest.New(t, "relay")
+	setup := newHarness(t, 1, logs.Logger())
+	t.Cleanup(func() { setup.end(t) })
+	return setup, logs
 }
 
 // end shuts client and reader down, waits for their end and closes the relay.
@@ -104,6 +108,15 @@
 	return nil
 }
 
+// connectProxies connects proxies 0 to n-1 of zone "a", which are fresh and usually receive 2 requests a second, and takes
+// their events.
+func (h *harness) connectProxies(n int) {
+	for proxy := range n {
+		h.Connect(proxy, "a", 2, true)
+	}
+	h.takeEvents(n)
+}
+
 // takeEvents returns the events since the last call, once there are at least n; none if that takes too long.
 func (h *harness) takeEvents(n int) (events []assign.Event) {
 	eventually.True(soon, func() bool {
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"encoding/json"
 	"errors"
 	"net/http"
 	"sync"
@@ -14,94 +13,20 @@
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/logtest"
 	"madderhollow/internal/relaytest"
-	"madderhollow/internal/testserver"
+	"madderhollow/internal/servertest"
 )
 
 // closedAddress is one at which nothing listens.
 const closedAddress = "127.0.0.1:1"
 
-// logRecorder counts log lines by message. Any goroutine may use it.
-type logRecorder struct {
-	t      *testing.T
-	mu     sync.Mutex
-	counts map[string]int
-}
-
-func newLogRecorder(t *testing.T) *logRecorder {
-	t.Helper()
-	return &logRecorder{t: t, counts: map[string]int{}}
-}
-
-func (r *logRecorder) logger() zerolog.Logger { return zerolog.New(r) }
-
-// Write records one line, as zerolog writes it.
-func (r *logRecorder) Write(line []byte) (int, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var fields struct{ Component, Message string }
-	if err := json.Unmarshal(line, &fields); err != nil || fields.Component != "relay" {
-		r.t.Errorf("got line %s, component %q, %v; want component relay", line, fields.Component, err)
-	}
-	r.counts[fields.Message]++
-	return len(line), nil
-}
-
-func (r *logRecorder) count(message string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.counts[message]
-}
-
-// total returns the number of lines.
-func (r *logRecorder) total() (lines int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, count := range r.counts {
-		lines += count
-	}
-	return lines
-}
-
-// await waits for a line with a message.
-func (r *logRecorder) await(t *testing.T, message string) {
-	t.Helper()
-	if !eventually.True(soon, func() bool { return r.count(message) > 0 }) {
-		t.Fatalf("got no line %q, want one", message)
-	}
-}
-
-// expectOnce fails the test unless there is one line with each message.
-func (r *logRecorder) expectOnce(t *testing.T, messages ...string) {
-	t.Helper()
-	for _, message := range messages {
-		if got := r.count(message); got != 1 {
-			t.Errorf("got %d lines %q, want 1", got, message)
-		}
-	}
-}
-
-// newServer returns the address of a server that ends with the test.
-func newServer(t *testing.T, handler http.HandlerFunc) (address string) {
-	t.Helper()
-	server, err := testserver.New("", handler)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := server.Close(); err != nil {
-			t.Error(err)
-		}
-	})
-	return server.Address()
-}
-
 // However many attempts fail, the event reader logs the beginning and the end of the condition.
 func TestEventReaderLogsDisconnectOnce(t *testing.T) {
 	t.Parallel()
 	const failures = 5
 	var requests atomic.Int32
-	address := newServer(t, func(w http.ResponseWriter, request *http.Request) {
+	address := servertest.Start(t, func(w http.ResponseWriter, request *http.Request) {
 		if requests.Add(1) <= failures {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -109,14 +34,14 @@
 		_, _ = w.Write([]byte(":\n\n"))           // a heartbeat; the reader may have ended
 		_ = http.NewResponseController(w).Flush() // as above
 		<-request.Context().Done()
-	})
-	logs := newLogRecorder(t)
+	}).Address()
+	logs := logtest.New(t, "relay")
 	reader := NewEventReader(EventReaderConfig{
 		Address: handover.NewAddress(address),
 		Codec:   testCodec(),
 		Sink:    (&harness{}).receive,
 		Seed:    1,
-		Log:     logs.logger(),
+		Log:     logs.Logger(),
 	})
 	var running sync.WaitGroup
 	running.Add(1)
@@ -125,8 +50,8 @@
 		reader.Run(t.Context())
 	}()
 	t.Cleanup(running.Wait)
-	logs.await(t, "event stream connected")
-	logs.expectOnce(t, "event stream disconnected; retrying", "event stream connected")
+	logs.Await(t, soon, "event stream connected")
+	logs.ExpectOnce(t, "event stream disconnected; retrying", "event stream connected")
 	if got := requests.Load(); got <= failures {
 		t.Errorf("got %d requests, want more than %d", got, failures)
 	}
@@ -135,21 +60,19 @@
 // While the stream at a new address fails, the old one is kept, and the condition ends with the move back.
 func TestEventReaderLogsFailingMoveOnce(t *testing.T) {
 	t.Parallel()
-	logs := newLogRecorder(t)
-	setup := newLoggingHarness(t, 1, logs.logger())
-	t.Cleanup(func() { setup.end(t) })
+	setup, logs := startLoggingHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
 	setup.Connect(0, "a", 1, true)
 	setup.takeEvents(1)
 	setup.address.Move(closedAddress)
-	logs.await(t, "event stream at new relay address failed; keeping old stream")
+	logs.Await(t, soon, "event stream at new relay address failed; keeping old stream")
 	setup.Connect(1, "a", 1, true)
 	if got := setup.takeEvents(1); got == nil {
 		t.Error("got no event of the old stream, want one")
 	}
 	setup.address.Move(setup.Address())
-	logs.await(t, "event stream uses current relay address")
-	logs.expectOnce(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
+	logs.Await(t, soon, "event stream uses current relay address")
+	logs.ExpectOnce(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
 }
 
 func TestEventReaderSeparatesDisconnectFromFailingMove(t *testing.T) {
@@ -158,24 +81,21 @@
 		duringHandover bool
 		want           string
 	}{
-		"no other stream": {duringHandover: false, want: "event stream disconnected; retrying"},
-		"during handover": {duringHandover: true, want: "event stream at new relay address failed; keeping old stream"},
+		"no other stream": {duringHandover: false, want: "warn: event stream disconnected; retrying"},
+		"during handover": {duringHandover: true, want: "warn: event stream at new relay address failed; keeping old stream"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			logs := newLogRecorder(t)
-			reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(closedAddress), Log: logs.logger()})
+			logs := logtest.New(t, "relay")
+			reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(closedAddress), Log: logs.Logger()})
 			reader.logFailure(ErrStatus, test.duringHandover)
-			logs.expectOnce(t, test.want)
-			if got := logs.total(); got != 1 {
-				t.Errorf("got %d lines, want 1", got)
-			}
+			logs.ExpectLines(t, test.want)
 		})
 	}
 }
 
 func TestReadStreamReturnsErrStatus(t *testing.T) {
 	t.Parallel()
-	address := newServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	address := servertest.Start(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }).Address()
 	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: testCodec(), Log: zerolog.Nop()})
 	err := reader.readStream(t.Context(), address, func(*streamItem) bool { return true })
 	if !errors.Is(err, ErrStatus) {
@@ -218,9 +138,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			logs := newLogRecorder(t)
-			setup := newLoggingHarness(t, 1, logs.logger())
-			t.Cleanup(func() { setup.end(t) })
+			setup, logs := startLoggingHarness(t)
 			var calls atomic.Int32
 			setup.SetFault(func([]string) relaytest.Fault {
 				if int(calls.Add(1)) <= test.failures {
@@ -229,44 +147,40 @@
 				return relaytest.NoFault
 			})
 			setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-			logs.await(t, test.want[len(test.want)-1])
-			logs.expectOnce(t, test.want...)
+			logs.Await(t, soon, test.want[len(test.want)-1])
+			logs.ExpectOnce(t, test.want...)
 		})
 	}
 }
 
 func TestOrderClientLogsUnsentCallsOnce(t *testing.T) {
 	t.Parallel()
-	logs := newLogRecorder(t)
-	setup := newLoggingHarness(t, 1, logs.logger())
-	t.Cleanup(func() { setup.end(t) })
+	setup, logs := startLoggingHarness(t)
 	setup.address.Move(closedAddress)
 	setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
 	if !eventually.True(soon, func() bool { return setup.queue.Stats().Repeated >= 5 }) {
 		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().Repeated)
 	}
 	setup.address.Move(setup.Address())
-	logs.await(t, "calls sent again")
-	logs.expectOnce(t, "call not sent; retrying", "calls sent again")
+	logs.Await(t, soon, "calls sent again")
+	logs.ExpectOnce(t, "call not sent; retrying", "calls sent again")
 }
 
 func TestOrderClientLogsRejections(t *testing.T) {
 	t.Parallel()
-	logs := newLogRecorder(t)
-	setup := newLoggingHarness(t, 1, logs.logger())
-	t.Cleanup(func() { setup.end(t) })
+	setup, logs := startLoggingHarness(t)
 	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // the proxy never connected
-	logs.await(t, "order rejected twice; dropped")
-	logs.expectOnce(t, "order rejected; retrying", "order rejected twice; dropped")
+	logs.Await(t, soon, "order rejected twice; dropped")
+	logs.ExpectOnce(t, "order rejected; retrying", "order rejected twice; dropped")
 }
 
 // While the new address cannot be connected to, calls keep the old connection.
 func TestCallConnKeepsOldConnectionWhileMoveFails(t *testing.T) {
 	t.Parallel()
-	serverAddress := newServer(t, func(http.ResponseWriter, *http.Request) {})
+	serverAddress := servertest.Start(t, func(http.ResponseWriter, *http.Request) {}).Address()
 	address := handover.NewAddress(serverAddress)
-	logs := newLogRecorder(t)
-	conn := newCallConn(address, componentLogger(logs.logger()))
+	logs := logtest.New(t, "relay")
+	conn := newCallConn(address, componentLogger(logs.Logger()))
 	t.Cleanup(conn.close)
 	expectConnected := func() {
 		t.Helper()
@@ -285,5 +199,5 @@
 	}
 	address.Move(serverAddress)
 	expectConnected()
-	logs.expectOnce(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
+	logs.ExpectOnce(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
 }
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -10,6 +10,8 @@
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/quickcheck"
@@ -79,12 +81,12 @@
 
 // However calls end, the relay's tables reach the ordered state, and repeated calls never exceed the message limit of a
 // proxy.
-func TestTablesReachOrderedStateDespiteFaults(t *testing.T) {
+func TestOrderClientReachesOrderedStateDespiteFaults(t *testing.T) {
 	t.Parallel()
 	const batches = 12
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		setup := newHarness(t, seed)
+		setup := newHarness(t, seed, zerolog.Nop())
 		defer setup.end(t)
 		fault, stopFaults := randomFaults(seed + 1)
 		setup.SetFault(fault)
@@ -229,7 +231,7 @@
 // A call in flight is completed, and orders submitted meanwhile are sent too.
 func TestShutdownCompletesCallInFlightAndPendingOrders(t *testing.T) {
 	t.Parallel()
-	setup := newHarness(t, 1)
+	setup := newHarness(t, 1, zerolog.Nop())
 	calls, release := make(chan struct{}, 10), make(chan struct{})
 	setup.SetFault(func([]string) relaytest.Fault {
 		calls <- struct{}{}
@@ -267,7 +269,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			setup := newHarness(t, 1)
+			setup := newHarness(t, 1, zerolog.Nop())
 			calls := make(chan struct{}, 1000)
 			setup.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return fault })
 			setup.queue.Submit(entry("a", 1))
@@ -286,7 +288,7 @@
 
 func TestShutdownEndsWithUnreachableRelay(t *testing.T) {
 	t.Parallel()
-	setup := newHarness(t, 1)
+	setup := newHarness(t, 1, zerolog.Nop())
 	if err := setup.Close(); err != nil {
 		t.Fatal(err)
 	}
