--- a/internal/orderqueue/bench_test.go
+++ b/internal/orderqueue/bench_test.go
@@ -79,7 +79,7 @@
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
 			queue, batch := newLargeQueue(b, proxies)
 			queue.budget.limit = 1
-			for _, r := range queue.directory.connected {
+			for _, r := range queue.proxies.connected {
 				r.messages = 1
 			}
 			queue.Submit(batch)
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -26,14 +26,21 @@
 }
 
 // Requeue returns a call to the queue of which nothing was applied.
-func (q *Queue) Requeue(call Call) { q.RequeueFrom(call, 0) }
+func (q *Queue) Requeue(call Call) { q.requeueFrom(call, 0) }
 
-// RequeueFrom returns a call's orders from a position on to the queue, before all newer ones. The orders before it are
-// considered done; the last of these may have been rejected.
-func (q *Queue) RequeueFrom(call Call, position int) {
+// RequeueFromRejected returns a call to the queue whose order at a position was rejected, to send that order again. The
+// orders before it were applied.
+func (q *Queue) RequeueFromRejected(call Call, rejected int) { q.requeueFrom(call, rejected) }
+
+// RequeueAfterRejected drops the order at a position, which was rejected, and returns the rest of its call to the queue. The
+// orders before it were applied.
+func (q *Queue) RequeueAfterRejected(call Call, rejected int) { q.requeueFrom(call, rejected+1) }
+
+// requeueFrom requeues a call's orders from a position on.
+func (q *Queue) requeueFrom(call Call, position int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if position == 0 { // no proxy received it, so calls to an unreachable relay use up no message
+	if position == 0 { // no proxy received the call, and calls to an unreachable relay must not use up the message budget
 		q.budget.refund(call.number)
 	}
 	q.requeue(call, position, noSequence)
@@ -46,7 +53,7 @@
 	defer q.mu.Unlock()
 	sequence, ok := call.provingSequence()
 	if ok && slices.Contains(q.acknowledgments.received, sequence) {
-		q.requeue(Call{split: call.split}, 0, noSequence)
+		q.repeated++ // nothing is requeued, but Stats.Repeated has all ambiguous calls
 		return
 	}
 	q.requeue(call, 0, sequence)
@@ -57,17 +64,19 @@
 // acknowledgment proves that they were applied, or noSequence.
 func (q *Queue) requeue(call Call, position, attemptedBy int) {
 	q.repeated++
-	if position > len(call.orders) { // the acknowledgment request itself was rejected
+	if position > len(call.orders) { // the acknowledgment request itself was rejected and is dropped
 		call.sequences = nil
 		call.allProxies = false
 	}
-	firstNotApplied := min(max(position-1, 0), len(call.orders)) // the order before the position may have been rejected
-	for _, p := range call.orders[firstNotApplied:] {
-		q.directory.markUncertain(p)
+	// The order before the position counts as uncertain, too: it was not applied if it was rejected and dropped.
+	firstUncertain := min(max(position-1, 0), len(call.orders))
+	for _, p := range call.orders[firstUncertain:] {
+		q.proxies.markUncertain(p)
 	}
 	newer := q.pending.reset()
-	for _, p := range call.orders[min(position, len(call.orders)):] {
-		if q.directory.outdated(p) {
+	firstRequeued := min(position, len(call.orders))
+	for _, p := range call.orders[firstRequeued:] {
+		if q.proxies.outdated(p) {
 			continue
 		}
 		p.attemptedBy = attemptedBy
--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -3,6 +3,9 @@
 // resolves calls whose answer was lost. It makes no decision about tables or rates, opens no connection and starts no
 // goroutine.
 //
+// A message is what the relay sends to one proxy to apply a call: one for each call and each proxy that the call reaches,
+// however many of its orders concern the proxy. The platform limits the messages to a proxy within a time window.
+//
 // Several goroutines may use a Queue, but only one of them, the order client, takes and requeues calls, one at a time.
 //
 // A call goes through these states:
@@ -13,9 +16,10 @@
 //	 | | |     Requeue    | | |  RequeueAmbiguous            | acknowledgment of
 //	 | | +----------------+ | +---------------> ambiguous ---+ its sequence number
 //	 | |                    |                       |
-//	 | |    RequeueFrom     | one order rejected    | none within the delay
+//	 | |   one order        |                       | none within the delay
 //	 | +--------------------+                       |
-//	 +----------------------------------------------+ repeated
+//	 |   rejected                                   |
+//	 +----------------------------------------------+
 //
 // The states:
 //
@@ -23,10 +27,10 @@
 //   - in flight: the call was sent and counts as a message to each proxy that it reaches (budget.go).
 //   - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
 //     all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
-//     acknowledgments.go).
+//     acknowledgments.go). After the delay they are sent again: a repeat costs one message, while a lost order could break
+//     a rule.
 //   - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
-//   - repeated: no acknowledgment arrived within the delay. The orders are sent again: a repeat costs one message, while a
-//     lost order could break a rule.
-//   - rejected: the relay did not accept one order. The rest is queued again, with or without that order as the caller
-//     decides.
+//
+// When the relay rejects an order, it has applied those before it and none after it. The latter are queued again, with the
+// rejected order (RequeueFromRejected) or without it (RequeueAfterRejected).
 package orderqueue
--- a/internal/orderqueue/harness_test.go
+++ b/internal/orderqueue/harness_test.go
@@ -35,9 +35,9 @@
 // mustTake takes a call that is available at once.
 func mustTake(t *testing.T, q *Queue) Call {
 	t.Helper()
-	call, ok, recheck := q.take()
+	call, ok, recheckAfter := q.take()
 	if !ok {
-		t.Fatalf("got no call, to be checked again in %v; want a call", recheck)
+		t.Fatalf("got no call, recheck after %v; want a call", recheckAfter)
 	}
 	return call
 }
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -19,11 +19,11 @@
 // orderSeparator separates the orders of a call, in the escaped form that is sent.
 const orderSeparator = "%3B"
 
-// orderKind is the type of order in an orderKey.
+// orderKind is the type of an order.
 type orderKind int
 
 const (
-	otherKind orderKind = iota
+	otherKind orderKind = iota // in the key of no pending order
 	weightKind
 	rateLimitKind
 	clearKind
@@ -38,7 +38,7 @@
 	name   string // endpoint or request classes
 }
 
-// keyOf returns an order's key.
+// keyOf returns an order's key. An order of another type cannot be encoded, so the queue never holds one.
 func keyOf(order assign.Order) orderKey {
 	switch o := order.(type) {
 	case assign.SetWeight:
@@ -71,7 +71,7 @@
 	size           int // bytes in a call, escaped and with its separator
 	attemptedBy    int // sequence number of the ambiguous call that may have applied it, or noSequence
 	submittedAt    time.Time
-	generation     int   // directory.generation of the proxy that it attaches a table to, when it was submitted
+	generation     int   // proxyTracker.generation of the proxy that it attaches a table to, when it was submitted
 	previousTables []int // tables that this proxy may keep using if the order is not applied; set when it is sent
 }
 
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -26,9 +26,9 @@
 	acknowledgments acknowledgmentLedger
 	ambiguity       ambiguityBackoff
 	budget          messageBudget
-	directory       directory
-	calls           int // returned so far; also the last one's number
-	repeated        int // of them, requeued ones
+	proxies         proxyTracker
+	calls           int // returned by Take and TryTake; also the number of the last one
+	repeated        int // of these: requeued, or ambiguous
 	maxOrderWait    time.Duration
 }
 
@@ -51,7 +51,7 @@
 		pending:   newPendingQueue(),
 		ambiguity: newAmbiguityBackoff(seconds(channel.MeanTransit)),
 		budget:    messageBudget{limit: int(channel.MessageLimit), window: seconds(channel.MessageWindow) + windowMargin},
-		directory: newDirectory(),
+		proxies:   newProxyTracker(),
 	}
 }
 
@@ -62,7 +62,7 @@
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return Stats{Proxies: len(q.directory.connected), Calls: q.calls, Repeated: q.repeated, Coalesced: q.pending.coalesced,
+	return Stats{Proxies: len(q.proxies.connected), Calls: q.calls, Repeated: q.repeated, Coalesced: q.pending.coalesced,
 		Waiting: q.pending.count(), MaxOrderWait: q.maxOrderWait}
 }
 
@@ -73,28 +73,26 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	observed := make([]assign.Event, 0, len(events))
-	acknowledged, reconnected := map[int]bool{}, map[int]bool{}
+	acknowledged := map[int]bool{} // by sequence number
+	changed := map[int]bool{}      // by proxy: connected or disconnected
 	for _, event := range events {
 		switch event := event.(type) {
 		case assign.Acknowledged:
 			acknowledged[event.Sequence] = true
 			observed = append(observed, q.acknowledgments.receive(event)...)
 		case assign.ProxyConnected:
-			reconnected[event.Proxy] = true
-			observed = append(observed, q.directory.connect(event))
+			changed[event.Proxy] = true
+			observed = append(observed, q.proxies.connect(event))
 		case assign.ProxyDisconnected:
-			reconnected[event.Proxy] = true
-			q.directory.disconnect(event.Proxy)
+			changed[event.Proxy] = true
+			q.proxies.disconnect(event.Proxy)
 			observed = append(observed, event)
 		default:
 			observed = append(observed, event)
 		}
 	}
-	if len(reconnected) > 0 {
-		q.pending.removeIf(func(p *pendingOrder) bool {
-			attach, ok := p.attachment()
-			return ok && reconnected[attach.Proxy]
-		})
+	if len(changed) > 0 {
+		q.dropAttachments(changed)
 	}
 	if len(acknowledged) > 0 {
 		q.dropApplied(acknowledged)
@@ -102,7 +100,15 @@
 	return observed
 }
 
-// dropApplied drops the orders of ambiguous calls whose acknowledgment arrived.
+// dropAttachments drops the pending attachments of some proxies.
+func (q *Queue) dropAttachments(proxies map[int]bool) {
+	q.pending.removeIf(func(p *pendingOrder) bool {
+		attach, ok := p.attachment()
+		return ok && proxies[attach.Proxy]
+	})
+}
+
+// dropApplied drops the pending orders of an ambiguous call that has been acknowledged, and ends the delay after it.
 func (q *Queue) dropApplied(acknowledged map[int]bool) {
 	if q.pending.removeIf(func(p *pendingOrder) bool { return acknowledged[p.attemptedBy] }) {
 		q.ambiguity.stop(time.Now())
@@ -127,7 +133,7 @@
 		}
 		p := newPendingOrder(order, text)
 		if attach, ok := p.attachment(); ok {
-			p.generation = q.directory.generation[attach.Proxy]
+			p.generation = q.proxies.generation[attach.Proxy]
 		}
 		q.pending.add(p)
 	}
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -44,7 +44,7 @@
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
 	queue.RequeueAmbiguous(call)
 	queue.expireAmbiguity()
-	queue.directory.connected[2].messages = 0
+	queue.proxies.connected[2].messages = 0
 	expectCall(t, queue, mustTake(t, queue), want...)
 }
 
@@ -95,7 +95,7 @@
 					want[r]++
 				}
 			}
-			for id, r := range q.directory.connected {
+			for id, r := range q.proxies.connected {
 				if r.messages != want[r] || r.messages > limit {
 					t.Logf("seed %d, proxy %d: got %d messages; want %d, at most %d", seed, id, r.messages, want[r], limit)
 					return false
@@ -113,10 +113,10 @@
 	for name, requeue := range map[string]func(*Queue, Call){
 		"ambiguous":         (*Queue).RequeueAmbiguous,
 		"not sent":          (*Queue).Requeue,
-		"rejected, dropped": func(q *Queue, call Call) { q.RequeueFrom(call, 1) },
+		"rejected, dropped": func(q *Queue, call Call) { q.RequeueAfterRejected(call, 0) },
 		"rejected, repeated": func(q *Queue, call Call) {
 			call.orders = append([]*pendingOrder{{order: assign.ClearTable{Table: 9}}}, call.orders...)
-			q.RequeueFrom(call, 1)
+			q.RequeueFromRejected(call, 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -128,7 +128,7 @@
 				return call
 			}
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 1})
-			proxy := queue.directory.connected[1]
+			proxy := queue.proxies.connected[1]
 			proxy.messages = 0
 			requeue(queue, submitAndTake(assign.AttachTable{Proxy: 1, Table: 2}))
 			queue.expireAmbiguity()
@@ -152,8 +152,8 @@
 	}
 }
 
-// The module orders another attachment for the proxy's new stream.
-func TestAttachmentForEndedStreamIsDropped(t *testing.T) {
+// The module orders another attachment for the proxy's new connection.
+func TestAttachmentForEndedConnectionIsDropped(t *testing.T) {
 	queue := newTestQueue(0)
 	weight := assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}
 	request := assign.AcknowledgmentRequest{Sequence: 1}
@@ -166,11 +166,11 @@
 		}
 		return call
 	}
-	// The stream ends while the attachment is pending.
+	// The connection ends while the attachment is pending.
 	queue.Submit(batch)
 	queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}})
 	expectCall(t, queue, take(), weight, request)
-	// The stream ends while the attachment is in flight.
+	// The connection ends while the attachment is in flight.
 	queue.Submit(batch)
 	call := take()
 	observed := queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, Fresh: true}})
--- a/internal/orderqueue/recipients_test.go
+++ b/internal/orderqueue/recipients_test.go
@@ -6,8 +6,8 @@
 	"madderhollow/assign"
 )
 
-func TestDirectoryFindsUsersOfTable(t *testing.T) {
-	proxies := newDirectory()
+func TestProxyTrackerFindsUsersOfTable(t *testing.T) {
+	proxies := newProxyTracker()
 	proxies.connect(assign.ProxyConnected{Proxy: 1})
 	proxy := proxies.connected[1]
 	proxies.setTables(proxy, "0,", 3)
@@ -28,7 +28,7 @@
 	proxies.disconnect(1)
 	expectUsers(3, 0)
 	expectUsers(4, 0)
-	if len(proxies.users) != 0 {
-		t.Errorf("after disconnect: got users %v, want none", proxies.users)
+	if len(proxies.usersByTable) != 0 {
+		t.Errorf("after disconnect: got users %v, want none", proxies.usersByTable)
 	}
 }
--- a/internal/orderqueue/take.go
+++ b/internal/orderqueue/take.go
@@ -12,7 +12,8 @@
 const (
 	// maxCallSize is the protocol's limit on the orders of one call, in bytes as sent.
 	maxCallSize = 60000
-	// acknowledgmentRequestSize is the part of maxCallSize reserved for the acknowledgment request, in bytes as sent.
+	// acknowledgmentRequestSize is the part of maxCallSize reserved for the acknowledgment request, in bytes as sent: the
+	// size of one with the largest sequence number.
 	acknowledgmentRequestSize = 17
 	// budgetRecheckInterval is the time between two checks whether orders are within the message budget again.
 	budgetRecheckInterval = 50 * time.Millisecond
@@ -24,13 +25,13 @@
 		if err := ctx.Err(); err != nil { // checked first: with an unreachable relay there are always pending orders
 			return Call{}, fmt.Errorf("take call: %w", err)
 		}
-		call, ok, recheck := q.take()
+		call, ok, recheckAfter := q.take()
 		if ok {
 			return call, nil
 		}
 		var timeout <-chan time.Time
-		if recheck > 0 {
-			timeout = time.After(recheck)
+		if recheckAfter > 0 {
+			timeout = time.After(recheckAfter)
 		}
 		select {
 		case <-q.wake:
@@ -48,7 +49,7 @@
 }
 
 // take returns a call, or the time after which pending orders may be sent; 0 if there are none.
-func (q *Queue) take() (call Call, ok bool, recheck time.Duration) {
+func (q *Queue) take() (call Call, ok bool, recheckAfter time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
@@ -63,10 +64,13 @@
 	call = q.newCall(chosen, len(rest) == 0)
 	q.pending.reset()
 	q.pending.addAll(rest)
-	if len(chosen) == 0 && !call.allProxies { // an acknowledgment request alone reaches no proxy
+	if len(chosen) == 0 && !call.allProxies { // a request alone reaches no proxy, so there is nothing to acknowledge
 		return Call{}, false, 0
 	}
-	q.finalize(&call, now)
+	q.calls++
+	call.number = q.calls
+	q.encode(&call)
+	q.recordSent(&call, now)
 	return call, true, 0
 }
 
@@ -95,11 +99,12 @@
 	if q.budget.limit == 0 {
 		return false
 	}
-	q.directory.forEachRecipient(order, func(r *recipient) { exceeded = exceeded || q.budget.exhausted(r) })
+	q.proxies.forEachRecipient(order, func(r *recipient) { exceeded = exceeded || q.budget.exhausted(r) })
 	return exceeded
 }
 
-// newCall forms a call. Complete: no order stays pending, so that the call completes all requested batches.
+// newCall forms a call, whose number and encoded orders are set later. Complete: no order stays pending, so that the call
+// completes all requested batches, and no further call requests their acknowledgment.
 func (q *Queue) newCall(chosen []*pendingOrder, complete bool) Call {
 	ledger := &q.acknowledgments
 	call := Call{
@@ -116,35 +121,37 @@
 	return call
 }
 
-// finalize numbers a call, adds its encoded orders, and records it as sent to the proxies that it reaches.
-func (q *Queue) finalize(call *Call, now time.Time) {
-	q.calls++
-	call.number = q.calls
-	sent := sentCall{number: call.number, at: now}
+// encode sets a call's encoded orders, with the acknowledgment request at the end.
+func (q *Queue) encode(call *Call) {
 	for _, p := range call.orders {
 		call.Orders = append(call.Orders, p.text)
-		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.submittedAt))
-		q.directory.attach(p, now)
-		q.directory.forEachRecipient(p.order, sent.count)
-	}
-	if n := len(call.sequences); n > 0 {
-		q.appendRequest(call, call.sequences[n-1])
-		q.acknowledgments.recordCall(call.sequences)
 	}
-	if call.allProxies {
-		for _, r := range q.directory.connected {
-			sent.count(r)
-		}
+	n := len(call.sequences)
+	if n == 0 {
+		return
 	}
-	q.budget.spend(sent)
-}
-
-// appendRequest appends the acknowledgment request to a call.
-func (q *Queue) appendRequest(call *Call, sequence int) {
-	text, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: sequence, AllProxies: call.allProxies})
+	text, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: call.sequences[n-1], AllProxies: call.allProxies})
 	if err != nil {
 		q.log.Error().Err(err).Msg("acknowledgment request dropped; encoding failed")
 		return
 	}
 	call.Orders = append(call.Orders, text)
 }
+
+// recordSent records that a call is sent now: its attachments, the messages that its recipients receive, and the batches that
+// it acknowledges.
+func (q *Queue) recordSent(call *Call, now time.Time) {
+	sent := sentCall{number: call.number, at: now}
+	for _, p := range call.orders {
+		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.submittedAt))
+		q.proxies.attach(p, now)
+		q.proxies.forEachRecipient(p.order, sent.count)
+	}
+	if call.allProxies {
+		for _, r := range q.proxies.connected {
+			sent.count(r)
+		}
+	}
+	q.budget.spend(sent)
+	q.acknowledgments.recordCall(call.sequences)
+}
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -157,10 +157,10 @@
 	if order == c.rejected {
 		c.log.Warn().Str("order", order).Msg("order rejected twice; dropped")
 		c.rejected = ""
-		c.queue.RequeueFrom(call, position+1)
+		c.queue.RequeueAfterRejected(call, position)
 		return
 	}
 	c.log.Warn().Str("order", order).Msg("order rejected; retrying")
 	c.rejected = order
-	c.queue.RequeueFrom(call, position)
+	c.queue.RequeueFromRejected(call, position)
 }
