--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// orderCount adds a call's number of orders to a log line.
-func orderCount(call orderqueue.Call) func(line *zerolog.Event) {
+// addOrderCount returns a function that adds a call's number of orders to a log line.
+func addOrderCount(call orderqueue.Call) func(line *zerolog.Event) {
 	return func(line *zerolog.Event) { line.Int("orders", len(call.Orders)) }
 }
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -17,6 +17,12 @@
 	"madderhollow/internal/wire"
 )
 
+// The request of a call; package wire has its body and the names in the answer.
+const (
+	callPath        = "/"
+	callContentType = "application/x-www-form-urlencoded"
+)
+
 const (
 	// answerTimeout is four times the 50 ms within which the relay answers, if it does at all.
 	answerTimeout = 200 * time.Millisecond
@@ -25,7 +31,7 @@
 	maxIdle = 2 * time.Second
 	// moveRetryDelay is the delay between attempts to connect to a new address while the old connection is in use.
 	moveRetryDelay = 250 * time.Millisecond
-	// maxAnswerSize bounds an answer, in bytes. The relay's answers have about a hundred.
+	// maxAnswerSize bounds an answer, in bytes; the rest of a longer one is not read. The relay's answers have about a hundred.
 	maxAnswerSize = 64 << 10
 )
 
@@ -33,7 +39,7 @@
 var ErrTooManyAccepted = errors.New("more orders accepted than sent")
 
 // callConn is the connection for calls. It has three states: closed (conn is nil), connected to the current address, and
-// connected to a previous address, which is used until a connection to the current one is open. One goroutine may use it.
+// connected to an old address, which is used until a connection to the current one is open. One goroutine may use it.
 type callConn struct {
 	address     *handover.Address
 	conn        *httpconn.Conn
@@ -51,35 +57,55 @@
 	})}
 }
 
-// ensure opens a connection unless there is one that can be used.
+// ensure opens a connection unless there is one that can be used. After an error it is closed; otherwise it is connected.
 func (c *callConn) ensure(ctx context.Context) error {
 	address, _ := c.address.Current()
 	if c.conn != nil && c.stale() {
 		c.close()
 	}
-	if c.conn != nil && c.conn.Address == address {
+	if c.conn == nil {
+		return c.connect(ctx, address)
+	}
+	if c.conn.Address == address {
 		c.moveFailing.Recover()
 		return nil
 	}
-	if c.conn != nil && time.Now().Before(c.moveRetryAt) {
-		return nil
+	c.move(ctx, address)
+	return nil
+}
+
+// connect opens a connection while there is none.
+func (c *callConn) connect(ctx context.Context, address string) error {
+	conn, err := httpconn.Dial(ctx, address, dialTimeout)
+	if err != nil {
+		return fmt.Errorf("call: %w", err)
+	}
+	c.use(conn)
+	return nil
+}
+
+// move replaces the connection to an old address by one to the current address. It keeps the old one if that fails.
+func (c *callConn) move(ctx context.Context, address string) {
+	if time.Now().Before(c.moveRetryAt) {
+		return
 	}
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
-	if err != nil && c.conn != nil {
+	if err != nil {
 		c.moveRetryAt = time.Now().Add(moveRetryDelay)
 		c.moveFailing.Fail(err, func(line *zerolog.Event) {
 			line.Str("address", address).Str("old_address", c.conn.Address)
 		})
-		return nil
-	}
-	if err != nil {
-		return fmt.Errorf("call: %w", err)
+		return
 	}
 	c.close()
+	c.use(conn)
+}
+
+// use makes a new connection to the current address the one for calls.
+func (c *callConn) use(conn *httpconn.Conn) {
 	c.conn = conn
 	c.lastUsed = time.Now()
 	c.moveFailing.Recover()
-	return nil
 }
 
 // stale reports whether a call over the open connection might be ambiguous.
@@ -109,8 +135,8 @@
 	}
 	defer c.conn.CloseWith(ctx)()
 	body := wire.EncodeCall(orders)
-	request := c.conn.NewRequest(http.MethodPost, "/")
-	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
+	request := c.conn.NewRequest(http.MethodPost, callPath)
+	request.Header.Set("Content-Type", callContentType)
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	request.ContentLength = int64(len(body))
 	response, sent, err := c.conn.Do(request, answerTimeout)
--- a/internal/relay/callconn_test.go
+++ b/internal/relay/callconn_test.go
@@ -19,8 +19,8 @@
 		{accepted: 4, sent: 3, wantErr: ErrTooManyAccepted},
 	} {
 		t.Run(fmt.Sprintf("%d of %d", test.accepted, test.sent), func(t *testing.T) {
-			text := fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", test.accepted)
-			answer, err := readAnswer(&http.Response{Body: io.NopCloser(strings.NewReader(text))}, test.sent)
+			body := io.NopCloser(strings.NewReader(acceptedAnswer(test.accepted)))
+			answer, err := readAnswer(&http.Response{Body: body}, test.sent)
 			if !errors.Is(err, test.wantErr) || answer.Accepted != test.accepted {
 				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.Accepted, err, test.accepted, test.wantErr)
 			}
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -2,6 +2,10 @@
 // acknowledgments. OrderClient makes the calls with orders; EventReader reads the event stream. Each owns its connections
 // and makes no decision.
 //
+// Run of either type blocks until its context ends, and calls the queue or the sink from its own goroutine. OrderClient also
+// makes its calls there; nothing else waits for them. EventReader reads each stream in a goroutine that ends before Run
+// returns. Its sink may block, which delays the reading of events and nothing else.
+//
 // # Event stream
 //
 // A stream starts with a snapshot, a ProxyConnected for each connected proxy. Changes and heartbeats follow; the first of
@@ -18,8 +22,8 @@
 // The states, and the two ways from buffering to forwarding:
 //
 //   - opening: the connection is being opened, and nothing has been received.
-//   - buffering: events are kept until it is certain whether any change was missed. This lasts only while a stream at a new
-//     address is read during the handover from the old one.
+//   - buffering: events are kept until it is certain whether any change was missed. This takes time only for a stream at a
+//     new address, during the handover from the old one; otherwise the first item starts a resync.
 //   - handover: the old stream delivered an item after the new one had started, and the new snapshot is complete, so no
 //     change can have been missed. Only the differences to what was reported before are forwarded.
 //   - resync: changes may have been missed, as after a break. The whole snapshot is forwarded, since a proxy may have
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -20,13 +20,13 @@
 	maxReopenDelay = 100 * time.Millisecond
 )
 
-// EventReaderConfig configures an EventReader. All fields are required.
+// EventReaderConfig configures an EventReader.
 type EventReaderConfig struct {
-	Address *handover.Address // of the relay; moved by its owner when the configuration changes
-	Codec   *wire.Codec       // decodes the events
-	Sink    eventqueue.Sink   // receives the decoded events, one at a time; its error ends the stream
-	Seed    int64             // of the random part of the delays between attempts
-	Log     zerolog.Logger
+	Address *handover.Address // of the relay; its owner may move it at any time; required
+	Codec   *wire.Codec       // decodes the events; required
+	Sink    eventqueue.Sink   // receives the events, from the goroutine that calls Run; its error ends the stream; required
+	Seed    int64             // of the random part of the delays between attempts; any value
+	Log     zerolog.Logger    // default: no log
 }
 
 // EventReader reads the relay's event stream over one connection, or over two during the handover to a new address. Use
@@ -61,7 +61,8 @@
 	}
 }
 
-// Run reads until the context ends, and closes its connections then. The caller provides the goroutine.
+// Run reads until the context ends. It returns after its connections are closed and the goroutines that read them have
+// ended. It is called once.
 func (r *EventReader) Run(ctx context.Context) {
 	handover.Follow(ctx, r.address, r.delays, handover.Source[*streamItem]{
 		Open: r.readStream,
@@ -78,9 +79,9 @@
 
 // receive passes an item on to the merger, and reports whether its stream is forwarding.
 func (r *EventReader) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool) {
-	forwarding = r.merger.receive(ctx, item, duringHandover)
+	forwarding, item.err = r.merger.receive(ctx, item, duringHandover)
 	if forwarding && item.isHeartbeat() {
-		r.logHeartbeat(item.stream)
+		r.recoverConditions(item.stream)
 	}
 	return forwarding
 }
@@ -93,13 +94,13 @@
 	}
 	address, _ := r.address.Current()
 	condition.Fail(err, func(line *zerolog.Event) {
-		line.Str("address", address).Int("proxies", len(r.merger.connected))
+		line.Str("address", address).Int("proxies", len(r.merger.reported))
 	})
 }
 
-// logHeartbeat logs that failures have ended. It is called for heartbeats alone, because a stream that breaks after its
-// snapshot each time has not recovered.
-func (r *EventReader) logHeartbeat(stream *streamState) {
+// recoverConditions ends the failures that a stream which forwards a heartbeat disproves. An event does not suffice, because
+// a stream that breaks after its snapshot each time has not recovered.
+func (r *EventReader) recoverConditions(stream *streamState) {
 	r.disconnected.Recover()
 	if address, _ := r.address.Current(); stream.address == address {
 		r.moveFailing.Recover()
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -55,7 +55,7 @@
 	setup.SetHeartbeat(20 * time.Millisecond)
 	setup.connectProxies(2)
 	setup.Inspect(func(state *relaytest.State) { state.Proxies[1].Zone = "nowhere" })
-	setup.CutStreams("event: joined\ndata: node=x\n\n")
+	setup.CutStreams(malformedEvent)
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}
 	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
@@ -94,9 +94,9 @@
 	h.address.Move(h.Address())
 }
 
-// tally takes the events so far and counts how many times each proxy was reported as connected since it was reported as
-// disconnected, which counts as -1.
-func (h *harness) tally(connections map[int]int) {
+// countReports takes the events so far and counts how many times each proxy was reported as connected since it was reported
+// as disconnected, which counts as -1.
+func (h *harness) countReports(connections map[int]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, event := range h.events {
@@ -143,7 +143,7 @@
 		}
 		reported := map[int]int{}
 		same := eventually.True(soon, func() (complete bool) {
-			setup.tally(reported)
+			setup.countReports(reported)
 			setup.Inspect(func(state *relaytest.State) { complete = len(state.Tables[1]) == orders })
 			return complete && reported[staying] > 0 == connected[staying] && reported[staying+1] > 0 == connected[staying+1]
 		})
@@ -165,7 +165,7 @@
 	return entries
 }
 
-// A proxy reconnects while a call with its attachment is in flight, so either stream may have received the attachment. The
+// A proxy reconnects while a call with its attachment is in flight, so either connection may have received the attachment. The
 // proxy is not reported as fresh, and the acknowledgment still counts for the call's other orders.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
@@ -175,7 +175,7 @@
 	setup.takeEvents(2)
 	calls, release := make(chan struct{}, 10), make(chan struct{})
 	setup.SetFault(func(orders []string) relaytest.Fault {
-		if !strings.HasPrefix(orders[0], "attach") {
+		if !strings.HasPrefix(orders[0], attachPrefix) {
 			return relaytest.NoFault
 		}
 		calls <- struct{}{}
@@ -207,8 +207,8 @@
 	setup.Inspect(func(state *relaytest.State) {
 		for _, call := range state.Calls[1:] {
 			for _, order := range call {
-				if strings.HasPrefix(order, "attach,3") {
-					t.Errorf("got call %v, want no attachment for a stream that has ended", call)
+				if strings.HasPrefix(order, attachPrefix+"3") {
+					t.Errorf("got call %v, want no attachment for a connection that has ended", call)
 				}
 			}
 		}
@@ -235,7 +235,7 @@
 	got, want := map[int]int{}, map[int]int{0: 1, 1: -1, 2: -1}
 	same := eventually.True(soon, func() bool {
 		setup.SendHeartbeat()
-		setup.tally(got)
+		setup.countReports(got)
 		return reflect.DeepEqual(got, want)
 	})
 	if !same {
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -12,6 +12,12 @@
 	"madderhollow/internal/wire"
 )
 
+// The request for the event stream; package wire has the names of its events.
+const (
+	eventStreamPath = "/stream"
+	eventStreamType = "text/event-stream"
+)
+
 const (
 	// heartbeatTimeout is the longest time between two items. The relay sends a heartbeat each second; one may be late.
 	heartbeatTimeout = 2200 * time.Millisecond
@@ -22,29 +28,29 @@
 // ErrStatus is a response to the request for the event stream that is not 200 OK.
 var ErrStatus = errors.New("unexpected status")
 
-// streamItem is one event of a stream, or a heartbeat. The goroutine that reads the stream owns it, except while yield in
-// readStream blocks; then the receiver does.
+// streamItem is one event of a stream, or a heartbeat. EventReader.receive owns it while deliver blocks in readStream, which
+// owns it before and after.
 type streamItem struct {
 	stream    *streamState
 	event     assign.Event // nil for a heartbeat
 	decodeErr error        // the event could not be decoded
-	err       error        // set by the receiver to end the stream
+	err       error        // set by EventReader.receive to end the stream
 }
 
 // isHeartbeat reports whether the item is a heartbeat.
 func (i *streamItem) isHeartbeat() bool { return i.event == nil && i.decodeErr == nil }
 
-// readStream opens a stream at an address and yields its items until it fails, yield returns false or the context ends. It
-// returns the reason and has closed the connection then.
-func (r *EventReader) readStream(ctx context.Context, address string, yield func(*streamItem) bool) error {
+// readStream opens a stream at an address and delivers its items until reading fails, an item is rejected, deliver returns
+// false or the context ends. It closes the connection and returns the reason. It is the Open of a handover.Source.
+func (r *EventReader) readStream(ctx context.Context, address string, deliver func(*streamItem) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
 		return fmt.Errorf("open event stream: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // nothing that was written can be lost
+	defer func() { _ = conn.Close() }() // the connection is only read, so an error of closing it loses nothing
 	defer conn.CloseWith(ctx)()
-	request := conn.NewRequest(http.MethodGet, "/stream")
-	request.Header.Set("Accept", "text/event-stream")
+	request := conn.NewRequest(http.MethodGet, eventStreamPath)
+	request.Header.Set("Accept", eventStreamType)
 	response, _, err := conn.Do(request, headTimeout)
 	if err != nil {
 		return fmt.Errorf("open event stream: %w", err)
@@ -62,7 +68,7 @@
 		if err := r.readItem(stream, item); err != nil {
 			return err
 		}
-		if !yield(item) {
+		if !deliver(item) {
 			return fmt.Errorf("read event stream: %w", ctx.Err())
 		}
 		if item.err != nil {
@@ -71,7 +77,7 @@
 	}
 }
 
-// readItem reads and decodes the next item. An event that cannot be decoded is left to the receiver.
+// readItem reads and decodes the next item. An event that cannot be decoded is no error: it sets item.decodeErr.
 func (r *EventReader) readItem(stream *wire.Stream, item *streamItem) error {
 	name, data, err := stream.Next()
 	if err != nil {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"testing"
 	"time"
@@ -35,6 +36,18 @@
 	return assign.ChannelConfig{MessageLimit: messageLimit, MessageWindow: messageWindow.Seconds(), MeanTransit: 0.05}
 }
 
+// Texts of the protocol that tests send or look for.
+const (
+	heartbeat      = ":\n\n"
+	malformedEvent = "event: joined\ndata: node=x\n\n" // of a proxy that connected, without a valid number
+	attachPrefix   = "attach,"                         // of an encoded assign.AttachTable; the proxy's number follows
+)
+
+// acceptedAnswer returns an answer that reports a number of accepted orders.
+func acceptedAnswer(accepted int) string {
+	return fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", accepted)
+}
+
 // harness is a fake relay with an order client, its queue, and an event reader whose events it keeps.
 type harness struct {
 	*relaytest.Relay
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -31,7 +31,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = w.Write([]byte(":\n\n"))           // a heartbeat; the reader may have ended
+		_, _ = w.Write([]byte(heartbeat))         // fails if the reader has ended
 		_ = http.NewResponseController(w).Flush() // as above
 		<-request.Context().Done()
 	}).Address()
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -29,12 +29,12 @@
 	maxLoggedOrder = 200
 )
 
-// OrderClientConfig configures an OrderClient. All fields are required.
+// OrderClientConfig configures an OrderClient.
 type OrderClientConfig struct {
-	Address *handover.Address // of the relay; moved by its owner when the configuration changes
-	Queue   *orderqueue.Queue // provides the calls; nothing else takes or requeues them
-	Seed    int64             // of the random part of the delays between attempts
-	Log     zerolog.Logger
+	Address *handover.Address // of the relay; its owner may move it at any time; required
+	Queue   *orderqueue.Queue // provides the calls; nothing else may take or requeue them; required
+	Seed    int64             // of the random part of the delays between attempts; any value
+	Log     zerolog.Logger    // default: no log
 }
 
 // OrderClient makes a queue's calls, one at a time. Use NewOrderClient.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Run makes calls until the context ends. The call under way and one with the pending orders are still made then, within
-// shutdownTimeout. The caller provides the goroutine.
+// Run makes calls until the context ends, and closes the connection before it returns. The call under way and one with the
+// pending orders are still made after the context's end, within shutdownTimeout. It is called once.
 func (c *OrderClient) Run(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ends shutdownTimeout after ctx
 	defer cancel()
@@ -97,11 +97,11 @@
 func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
-		c.conditions.unanswered.Fail(err, orderCount(call))
+		c.conditions.unanswered.Fail(err, addOrderCount(call))
 		c.queue.RequeueAmbiguous(call) // which delays the next call, too
 		return
 	}
-	c.conditions.unsent.Fail(err, orderCount(call))
+	c.conditions.unsent.Fail(err, addOrderCount(call))
 	c.queue.Requeue(call)
 	c.delays.Wait(ctx)
 }
--- a/internal/relay/streammerger.go
+++ b/internal/relay/streammerger.go
@@ -31,8 +31,13 @@
 	forwardedBefore  int            // streamMerger.forwarded when the stream started
 	buffered         []assign.Event // nil for a heartbeat
 	snapshotComplete bool
-	unconfirmed      map[int]bool // in a resync: proxies reported as connected that the snapshot has not contained so far
-	skipUndecodable  bool         // events of the snapshot that cannot be decoded are skipped
+	unconfirmed      map[int]reportedProxy // in a resync: reported proxies that the snapshot has not contained so far
+	skipUndecodable  bool                  // events of the snapshot that cannot be decoded are skipped
+}
+
+// reportedProxy is a proxy that was last reported as connected.
+type reportedProxy struct {
+	fresh bool // in that report
 }
 
 // streamMerger merges successive event streams, two at a time during a handover, into one sequence of events: each proxy is
@@ -41,47 +46,45 @@
 type streamMerger struct {
 	sink        eventqueue.Sink
 	log         zerolog.Logger
-	connected   map[int]bool // proxies reported as connected; the value is whether they were fresh
-	undecodable bool         // the last stream ended with an event that could not be decoded
-	forwarded   int          // items forwarded when they arrived, heartbeats included
+	reported    map[int]reportedProxy // by proxy
+	undecodable bool                  // the last stream ended with an event that could not be decoded
+	forwarded   int                   // items forwarded when they arrived, heartbeats included
 }
 
 // newStreamMerger returns a merger that has reported no proxy yet.
 func newStreamMerger(sink eventqueue.Sink, log zerolog.Logger) *streamMerger {
-	return &streamMerger{sink: sink, log: log, connected: map[int]bool{}}
+	return &streamMerger{sink: sink, log: log, reported: map[int]reportedProxy{}}
 }
 
-// receive forwards an item or buffers it, and reports whether its stream is forwarding, so that no other is needed. It sets
-// the item's error if the stream has to end. DuringHandover: another stream is forwarding.
-func (m *streamMerger) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool) {
+// receive forwards an item or buffers it, and reports whether its stream is forwarding, so that no other is needed. After an
+// error, which is that of the sink or of decoding the item, the stream has to end. DuringHandover: another stream is
+// forwarding.
+func (m *streamMerger) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool, err error) {
 	stream := item.stream
 	if stream.phase == phaseOpening {
 		m.begin(stream)
 	}
 	if item.decodeErr != nil {
-		m.handleUndecodable(item)
-		return false
+		return false, m.handleUndecodable(item)
 	}
 	if _, connected := item.event.(assign.ProxyConnected); !connected {
 		stream.snapshotComplete = true
 	}
 	if stream.phase == phaseForwarding {
 		m.forwarded++
-		item.err = m.forward(ctx, stream, item.event)
-		return true
+		return true, m.forward(ctx, stream, item.event)
 	}
 	stream.buffered = append(stream.buffered, item.event)
 	switch m.decide(stream, duringHandover) {
 	case keepBuffering:
-		return false
+		return false, nil
 	case completeHandover:
 		stream.buffered = m.changes(stream.buffered)
 	case resync:
-		stream.unconfirmed = maps.Clone(m.connected)
+		stream.unconfirmed = maps.Clone(m.reported)
 	}
 	stream.phase = phaseForwarding
-	item.err = m.forwardBuffered(ctx, stream)
-	return true
+	return true, m.forwardBuffered(ctx, stream)
 }
 
 // begin prepares a stream for its first item.
@@ -92,15 +95,15 @@
 	m.undecodable = false
 }
 
-// handleUndecodable skips an event that cannot be decoded, or ends the stream.
-func (m *streamMerger) handleUndecodable(item *streamItem) {
+// handleUndecodable skips an event that cannot be decoded, or returns its error to end the stream.
+func (m *streamMerger) handleUndecodable(item *streamItem) error {
 	if item.stream.skipUndecodable && !item.stream.snapshotComplete {
 		m.undecodable = false
 		m.log.Warn().Err(item.decodeErr).Msg("undecodable event skipped")
-		return
+		return nil
 	}
 	m.undecodable = true
-	item.err = item.decodeErr
+	return item.decodeErr
 }
 
 // bufferDecision is what happens to the events that a stream has delivered so far.
@@ -119,7 +122,8 @@
 	if oldStreamAlive && stream.snapshotComplete {
 		return completeHandover
 	}
-	if (oldStreamAlive || duringHandover) && len(stream.buffered) < maxBuffered {
+	oldStreamMayDeliver := duringHandover // it is still open
+	if (oldStreamAlive || oldStreamMayDeliver) && len(stream.buffered) < maxBuffered {
 		return keepBuffering
 	}
 	return resync
@@ -128,15 +132,15 @@
 // changes returns the differences between a complete snapshot and what was reported before, followed by the events after
 // the snapshot.
 func (m *streamMerger) changes(buffered []assign.Event) (changes []assign.Event) {
-	missing := maps.Clone(m.connected)
+	missing := maps.Clone(m.reported)
 	snapshotLength := 0
 	for ; snapshotLength < len(buffered); snapshotLength++ {
 		proxy, ok := buffered[snapshotLength].(assign.ProxyConnected)
 		if !ok {
 			break
 		}
-		reportedFresh, reported := m.connected[proxy.Proxy]
-		becameFresh := proxy.Fresh && !reportedFresh
+		before, reported := m.reported[proxy.Proxy]
+		becameFresh := proxy.Fresh && !before.fresh
 		if !reported || becameFresh {
 			changes = append(changes, proxy)
 		}
@@ -164,7 +168,7 @@
 func (m *streamMerger) forward(ctx context.Context, stream *streamState, event assign.Event) error {
 	if connected, ok := event.(assign.ProxyConnected); ok {
 		delete(stream.unconfirmed, connected.Proxy)
-		m.connected[connected.Proxy] = connected.Fresh
+		m.reported[connected.Proxy] = reportedProxy{fresh: connected.Fresh}
 		return m.sink(ctx, event)
 	}
 	if err := m.completeResync(ctx, stream); err != nil {
@@ -190,11 +194,11 @@
 	return nil
 }
 
-// disconnect reports a proxy as disconnected, if it was reported as connected.
+// disconnect reports a proxy as disconnected, if it was last reported as connected.
 func (m *streamMerger) disconnect(ctx context.Context, id int) error {
-	if _, reported := m.connected[id]; !reported {
+	if _, reported := m.reported[id]; !reported {
 		return nil
 	}
-	delete(m.connected, id)
+	delete(m.reported, id)
 	return m.sink(ctx, assign.ProxyDisconnected{Proxy: id})
 }
--- a/internal/relay/streammerger_test.go
+++ b/internal/relay/streammerger_test.go
@@ -39,10 +39,11 @@
 		if next.undecodable {
 			item.decodeErr = errUndecodable
 		}
-		if merger.receive(ctx, item, next.duringHandover) {
+		isForwarding, err := merger.receive(ctx, item, next.duringHandover)
+		if isForwarding {
 			forwarding[next.stream] = true
 		}
-		if errors.Is(item.err, errUndecodable) {
+		if errors.Is(err, errUndecodable) {
 			failed[next.stream] = true
 		}
 	}
