--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -45,14 +45,8 @@
 
 // receive records an acknowledgment and returns it, after the acknowledgments of the batches merged with it.
 func (l *acknowledgmentLedger) receive(acknowledgment assign.Acknowledged) (all []assign.Event) {
-	for _, merged := range slices.Backward(l.merged) {
-		if merged.last != acknowledgment.Sequence {
-			continue
-		}
-		for _, sequence := range merged.earlier {
-			all = append(all, assign.Acknowledged{Proxy: acknowledgment.Proxy, Sequence: sequence, Latency: acknowledgment.Latency})
-		}
-		break
+	for _, sequence := range l.mergedWith(acknowledgment.Sequence) {
+		all = append(all, assign.Acknowledged{Proxy: acknowledgment.Proxy, Sequence: sequence, Latency: acknowledgment.Latency})
 	}
 	if !slices.Contains(l.received, acknowledgment.Sequence) {
 		l.received = newest(append(l.received, acknowledgment.Sequence))
@@ -60,9 +54,19 @@
 	return append(all, acknowledgment)
 }
 
+// mergedWith returns the sequence numbers of the batches that the newest call with this last one acknowledges, too.
+func (l *acknowledgmentLedger) mergedWith(last int) []int {
+	for _, merged := range slices.Backward(l.merged) {
+		if merged.last == last {
+			return merged.earlier
+		}
+	}
+	return nil
+}
+
 // requestAgain puts the sequence numbers of a requeued call before those requested since, each once.
 func (l *acknowledgmentLedger) requestAgain(sequences []int, allProxies, split bool) {
-	l.split = len(l.requested) == 0 && split
+	l.split = split && len(l.requested) == 0 // split describes the last requested batch, not the call's if there is a later one
 	all := slices.Clone(sequences)
 	for _, sequence := range l.requested {
 		if !slices.Contains(all, sequence) {
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -25,15 +25,15 @@
 	return c.sequences[len(c.sequences)-1], true
 }
 
-// Requeue returns a call to the queue of which nothing was applied.
+// Requeue returns all orders of a call to the queue. None of them was applied.
 func (q *Queue) Requeue(call Call) { q.requeueFrom(call, 0) }
 
-// RequeueFromRejected returns a call to the queue whose order at a position was rejected, to send that order again. The
-// orders before it were applied.
+// RequeueFromRejected returns a call's orders to the queue from the rejected one on, which is sent again. Rejected is its
+// position in Call.Orders; the orders before it were applied.
 func (q *Queue) RequeueFromRejected(call Call, rejected int) { q.requeueFrom(call, rejected) }
 
-// RequeueAfterRejected drops the order at a position, which was rejected, and returns the rest of its call to the queue. The
-// orders before it were applied.
+// RequeueAfterRejected returns a call's orders after the rejected one to the queue, and drops the rejected one. Rejected is
+// its position in Call.Orders; the orders before it were applied.
 func (q *Queue) RequeueAfterRejected(call Call, rejected int) { q.requeueFrom(call, rejected+1) }
 
 // requeueFrom requeues a call's orders from a position on.
@@ -46,8 +46,8 @@
 	q.requeue(call, position, noSequence)
 }
 
-// RequeueAmbiguous returns a call to the queue that was applied completely or not at all, and delays all calls so that its
-// acknowledgment can arrive. If that has arrived already, nothing is repeated and nothing delayed.
+// RequeueAmbiguous returns all orders of an ambiguous call to the queue, and delays all calls so that its acknowledgment can
+// arrive. If that has arrived already, the call was applied: nothing is requeued and nothing delayed.
 func (q *Queue) RequeueAmbiguous(call Call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -133,7 +133,8 @@
 	if err := c.ensure(ctx); err != nil {
 		return answer, false, err
 	}
-	defer c.conn.CloseWith(ctx)()
+	stop := c.conn.CloseWith(ctx)
+	defer stop()
 	body := wire.EncodeCall(orders)
 	request := c.conn.NewRequest(http.MethodPost, callPath)
 	request.Header.Set("Content-Type", callContentType)
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -48,7 +48,8 @@
 		return fmt.Errorf("open event stream: %w", err)
 	}
 	defer func() { _ = conn.Close() }() // the connection is only read, so an error of closing it loses nothing
-	defer conn.CloseWith(ctx)()
+	stop := conn.CloseWith(ctx)
+	defer stop()
 	request := conn.NewRequest(http.MethodGet, eventStreamPath)
 	request.Header.Set("Accept", eventStreamType)
 	response, _, err := conn.Do(request, headTimeout)
