--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -61,12 +61,12 @@
 		return fmt.Errorf("open event stream: %w: %s", ErrStatus, response.Status)
 	}
 	item := &streamItem{stream: &streamState{address: address}}
-	stream := wire.NewStream(response.Body)
+	events := wire.NewStream(response.Body)
 	for {
 		if err := conn.SetDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
 			return fmt.Errorf("read event stream: set deadline: %w", err)
 		}
-		if err := r.readItem(stream, item); err != nil {
+		if err := r.readItem(events, item); err != nil {
 			return err
 		}
 		if !deliver(item) {
@@ -79,8 +79,8 @@
 }
 
 // readItem reads and decodes the next item. An event that cannot be decoded is no error: it sets item.decodeErr.
-func (r *EventReader) readItem(stream *wire.Stream, item *streamItem) error {
-	name, data, err := stream.Next()
+func (r *EventReader) readItem(events *wire.Stream, item *streamItem) error {
+	name, data, err := events.Next()
 	if err != nil {
 		return fmt.Errorf("read event stream: %w", err)
 	}
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -1,6 +1,7 @@
 package relay
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"sync"
@@ -39,7 +40,7 @@
 	reader := NewEventReader(EventReaderConfig{
 		Address: handover.NewAddress(address),
 		Codec:   testCodec(),
-		Sink:    (&harness{}).receive,
+		Sink:    func(context.Context, assign.Event) error { return nil },
 		Seed:    1,
 		Log:     logs.Logger(),
 	})
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// shutdownTimeout bounds the call under way and one with the pending orders after the context has ended: the program may
-	// be killed 0.7 s after it was asked to end.
+	// shutdownTimeout bounds the calls after the context has ended: the program may be killed 0.7 s after it was asked to end.
 	shutdownTimeout = 400 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the delays after calls that were not sent. They are short, because the grace
 	// period of a drain runs on while the relay is down. A failed connect does not load the relay.
@@ -60,12 +59,12 @@
 	}
 }
 
-// Run makes calls until the context ends, and closes the connection before it returns. The call under way and one with the
-// pending orders are still made after the context's end, within shutdownTimeout. It is called once.
+// Run makes calls until the context ends, and closes the connection before it returns. After the context's end it completes
+// the call under way and makes calls with the pending orders, within shutdownTimeout. It is called once.
 func (c *OrderClient) Run(ctx context.Context) {
-	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ends shutdownTimeout after ctx
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) }) // callCtx outlives ctx by so long
 	defer stop()
 	defer c.conn.close()
 	for {
