--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -9,6 +9,8 @@
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/quickcheck"
@@ -21,10 +23,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
-	for i := range 3 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(3)
+	setup.connectProxies(3)
 	setup.queue.Submit([]assign.Order{
 		assign.SetWeight{Table: 5, Endpoint: "t", Weight: 1},
 		assign.AttachTable{Proxy: 1, Table: 5},
@@ -54,12 +53,9 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
-	for i := range 2 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(2)
+	setup.connectProxies(2)
 	setup.Inspect(func(state *relaytest.State) { state.Proxies[1].Zone = "nowhere" })
-	setup.CutStreams("event: joined\ndata: node=x\n\n")
+	setup.CutStreams(malformedEvent)
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}
 	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
@@ -77,12 +73,11 @@
 // A stream without heartbeats has ended, even if its connection is open.
 func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
-	h := startHarness(t)
-	h.SetHeartbeat(time.Hour)
-	h.Connect(0, "a", 2, true)
-	h.takeEvents(1)
+	setup := startHarness(t)
+	setup.SetHeartbeat(time.Hour)
+	setup.connectProxies(1)
 	want := []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, Fresh: true}}
-	if got := h.takeEvents(1); !reflect.DeepEqual(got, want) {
+	if got := setup.takeEvents(1); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -99,9 +94,9 @@
 	h.address.Move(h.Address())
 }
 
-// tally takes the events so far and counts how many times each proxy was reported as connected since it was reported as
-// disconnected, which counts as -1.
-func (h *harness) tally(connections map[int]int) {
+// countReports takes the events so far and counts how many times each proxy was reported as connected since it was reported
+// as disconnected, which counts as -1.
+func (h *harness) countReports(connections map[int]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, event := range h.events {
@@ -121,18 +116,15 @@
 }
 
 // During the relay's moves connected proxies are not reported again, each change is reported and no call is lost.
-func TestRelayMovesWithoutRepeatedOrLostEvents(t *testing.T) {
+func TestEventReaderFollowsMovesWithoutRepeatedOrLostEvents(t *testing.T) {
 	t.Parallel()
 	const staying = 6 // proxies that stay connected; two more connect and disconnect
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		setup := newHarness(t, seed)
+		setup := newHarness(t, seed, zerolog.Nop())
 		defer setup.end(t)
 		setup.SetHeartbeat(30 * time.Millisecond)
-		for i := range staying {
-			setup.Connect(i, "a", 2, true)
-		}
-		setup.takeEvents(staying)
+		setup.connectProxies(staying)
 		connected, orders := map[int]bool{}, 0
 		for range 4 {
 			setup.moveOnce(t, random)
@@ -151,7 +143,7 @@
 		}
 		reported := map[int]int{}
 		same := eventually.True(soon, func() (complete bool) {
-			setup.tally(reported)
+			setup.countReports(reported)
 			setup.Inspect(func(state *relaytest.State) { complete = len(state.Tables[1]) == orders })
 			return complete && reported[staying] > 0 == connected[staying] && reported[staying+1] > 0 == connected[staying+1]
 		})
@@ -173,7 +165,7 @@
 	return entries
 }
 
-// A proxy reconnects while a call with its attachment is in flight, so either stream may have received the attachment. The
+// A proxy reconnects while a call with its attachment is in flight, so either connection may have received the attachment. The
 // proxy is not reported as fresh, and the acknowledgment still counts for the call's other orders.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
@@ -183,7 +175,7 @@
 	setup.takeEvents(2)
 	calls, release := make(chan struct{}, 10), make(chan struct{})
 	setup.SetFault(func(orders []string) relaytest.Fault {
-		if !strings.HasPrefix(orders[0], "attach") {
+		if !strings.HasPrefix(orders[0], attachPrefix) {
 			return relaytest.NoFault
 		}
 		calls <- struct{}{}
@@ -215,8 +207,8 @@
 	setup.Inspect(func(state *relaytest.State) {
 		for _, call := range state.Calls[1:] {
 			for _, order := range call {
-				if strings.HasPrefix(order, "attach,3") {
-					t.Errorf("got call %v, want no attachment for a stream that has ended", call)
+				if strings.HasPrefix(order, attachPrefix+"3") {
+					t.Errorf("got call %v, want no attachment for a connection that has ended", call)
 				}
 			}
 		}
@@ -229,10 +221,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.SetHeartbeat(time.Hour) // the new stream waits for a heartbeat of the old one
-	for i := range 3 {
-		setup.Connect(i, "a", 2, true)
-	}
-	setup.takeEvents(3)
+	setup.connectProxies(3)
 	setup.Inspect(func(state *relaytest.State) { delete(state.Proxies, 1) })
 	if err := setup.Move("", time.Hour); err != nil {
 		t.Fatal(err)
@@ -246,7 +235,7 @@
 	got, want := map[int]int{}, map[int]int{0: 1, 1: -1, 2: -1}
 	same := eventually.True(soon, func() bool {
 		setup.SendHeartbeat()
-		setup.tally(got)
+		setup.countReports(got)
 		return reflect.DeepEqual(got, want)
 	})
 	if !same {
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// shutdownTimeout bounds the call under way and one with the pending orders after the context has ended: the program may
-	// be killed 0.7 s after it was asked to end.
+	// shutdownTimeout bounds the calls after the context has ended: the program may be killed 0.7 s after it was asked to end.
 	shutdownTimeout = 400 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the delays after calls that were not sent. They are short, because the grace
 	// period of a drain runs on while the relay is down. A failed connect does not load the relay.
@@ -29,12 +28,12 @@
 	maxLoggedOrder = 200
 )
 
-// OrderClientConfig configures an OrderClient. All fields are required.
+// OrderClientConfig configures an OrderClient.
 type OrderClientConfig struct {
-	Address *handover.Address // of the relay; moved by its owner when the configuration changes
-	Queue   *orderqueue.Queue // provides the calls; nothing else takes or requeues them
-	Seed    int64             // of the random part of the delays between attempts
-	Log     zerolog.Logger
+	Address *handover.Address // of the relay; its owner may move it at any time; required
+	Queue   *orderqueue.Queue // provides the calls; nothing else may take or requeue them; required
+	Seed    int64             // of the random part of the delays between attempts; any value
+	Log     zerolog.Logger    // default: no log
 }
 
 // OrderClient makes a queue's calls, one at a time. Use NewOrderClient.
@@ -60,12 +59,12 @@
 	}
 }
 
-// Run makes calls until the context ends. The call under way and one with the pending orders are still made then, within
-// shutdownTimeout. The caller provides the goroutine.
+// Run makes calls until the context ends, and closes the connection before it returns. After the context's end it completes
+// the call under way and makes calls with the pending orders, within shutdownTimeout. It is called once.
 func (c *OrderClient) Run(ctx context.Context) {
-	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // ends shutdownTimeout after ctx
+	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) })
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) }) // callCtx outlives ctx by so long
 	defer stop()
 	defer c.conn.close()
 	for {
@@ -97,11 +96,11 @@
 func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
-		c.conditions.unanswered.Fail(err, orderCount(call))
+		c.conditions.unanswered.Fail(err, addOrderCount(call))
 		c.queue.RequeueAmbiguous(call) // which delays the next call, too
 		return
 	}
-	c.conditions.unsent.Fail(err, orderCount(call))
+	c.conditions.unsent.Fail(err, addOrderCount(call))
 	c.queue.Requeue(call)
 	c.delays.Wait(ctx)
 }
@@ -157,10 +156,10 @@
 	if order == c.rejected {
 		c.log.Warn().Str("order", order).Msg("order rejected twice; dropped")
 		c.rejected = ""
-		c.queue.RequeueFrom(call, position+1)
+		c.queue.RequeueAfterRejected(call, position)
 		return
 	}
 	c.log.Warn().Str("order", order).Msg("order rejected; retrying")
 	c.rejected = order
-	c.queue.RequeueFrom(call, position)
+	c.queue.RequeueFromRejected(call, position)
 }
