--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
 // Package config loads the configuration of an assigner: the JSON file that EDGE_CONFIG names, and the environment variables
-// that override members of it.
+// that override fields of it.
 //
-// file.go has the members of the file, load.go reads it at the start, update.go while the program runs.
+// file.go has the fields of the file, load.go reads it at the start, update.go while the program runs.
 package config
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 	"madderhollow/internal/settings"
 	"madderhollow/internal/wire"
 )
@@ -44,33 +44,33 @@
 // UsesPeers reports whether the settings allow messages between assigners and there are other assigners.
 func (c *Config) UsesPeers() bool { return c.Settings.PeerMessages && len(c.Peers) > 0 }
 
-// newConfig converts the members of a file.
-func newConfig(members *file) (*Config, error) {
+// newConfig converts the fields of a file.
+func newConfig(fields *file) (*Config, error) {
 	const seedBase, seedBits = 16, 64
-	seed, err := strconv.ParseUint(members.Seed, seedBase, seedBits)
+	seed, err := strconv.ParseUint(fields.Seed, seedBase, seedBits)
 	if err != nil {
-		return nil, memberError(seedMember, strconv.Quote(members.Seed), "a hexadecimal number of at most 16 digits")
+		return nil, fieldError(seedField, strconv.Quote(fields.Seed), "a hexadecimal number of at most 16 digits")
 	}
-	if len(members.Settings) == 0 {
-		return nil, memberError(settingsMember, member.Missing, "an object")
+	if len(fields.Settings) == 0 {
+		return nil, fieldError(settingsField, fieldcheck.Missing, "an object")
 	}
-	if members.InitialEndpoints == nil {
-		return nil, memberError(initialEndpointsMember, member.Missing, "an endpoint list")
+	if fields.InitialEndpoints == nil {
+		return nil, fieldError(initialEndpointsField, fieldcheck.Missing, "an endpoint list")
 	}
 	return &Config{
-		Name:             members.Name,
-		Listen:           members.Listen,
-		Discovery:        members.Discovery,
-		Relay:            members.Relay.Address,
+		Name:             fields.Name,
+		Listen:           fields.Listen,
+		Discovery:        fields.Discovery,
+		Relay:            fields.Relay.Address,
 		Seed:             int64(seed),
-		Cores:            members.Limits.Cores,
-		MemoryMB:         orDefault(int(members.Limits.MemoryMB), defaultMemoryMB),
-		Descriptors:      orDefault(members.Limits.Descriptors, defaultDescriptors),
-		PeerListen:       members.PeerListen,
-		Peers:            members.Peers,
-		PeersBroadcast:   members.PeersBroadcast,
-		InitialEndpoints: *members.InitialEndpoints,
-		Settings:         settings.Translate(members.Settings),
+		Cores:            fields.Limits.Cores,
+		MemoryMB:         orDefault(int(fields.Limits.MemoryMB), defaultMemoryMB),
+		Descriptors:      orDefault(fields.Limits.Descriptors, defaultDescriptors),
+		PeerListen:       fields.PeerListen,
+		Peers:            fields.Peers,
+		PeersBroadcast:   fields.PeersBroadcast,
+		InitialEndpoints: *fields.InitialEndpoints,
+		Settings:         settings.Translate(fields.Settings),
 	}, nil
 }
 
@@ -81,16 +81,16 @@
 	return value
 }
 
-func memberError(name, value, want string) error {
-	return fmt.Errorf("configuration: %w", &member.Error{Member: name, Value: value, Want: want})
+func fieldError(name, value, want string) error {
+	return fmt.Errorf("configuration: %w", &fieldcheck.Error{Field: name, Value: value, Want: want})
 }
 
-// validate checks the members that would otherwise fail while the program runs.
+// validate checks the fields that would otherwise fail while the program runs.
 func (c *Config) validate() error {
 	if _, err := wire.NewCodec(c.Settings, time.Now()).EndpointUpdate(c.InitialEndpoints); err != nil {
-		return fmt.Errorf("configuration: %q: %w", initialEndpointsMember, err)
+		return fmt.Errorf("configuration: %q: %w", initialEndpointsField, err)
 	}
-	addresses := []namedAddress{{listenMember, c.Listen}, {discoveryMember, c.Discovery}, {relayAddressMember, c.Relay}}
+	addresses := []namedAddress{{listenField, c.Listen}, {discoveryField, c.Discovery}, {relayAddressField, c.Relay}}
 	if c.UsesPeers() {
 		addresses = append(addresses, c.peerAddresses()...)
 	}
@@ -98,19 +98,19 @@
 }
 
 func (c *Config) peerAddresses() []namedAddress {
-	addresses := []namedAddress{{peerListenMember, c.PeerListen}}
+	addresses := []namedAddress{{peerListenField, c.PeerListen}}
 	for _, peer := range c.Peers {
-		addresses = append(addresses, namedAddress{peersMember, peer})
+		addresses = append(addresses, namedAddress{peersField, peer})
 	}
 	if c.PeersBroadcast != "" {
-		addresses = append(addresses, namedAddress{peersBroadcastMember, c.PeersBroadcast})
+		addresses = append(addresses, namedAddress{peersBroadcastField, c.PeersBroadcast})
 	}
 	return addresses
 }
 
-// namedAddress is an address and the member that holds it.
+// namedAddress is an address and the field that holds it.
 type namedAddress struct {
-	member  string
+	field   string
 	address string
 }
 
@@ -118,7 +118,7 @@
 func checkAddresses(addresses ...namedAddress) error {
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.address); err != nil {
-			return memberError(a.member, strconv.Quote(a.address), "an IP address and a port")
+			return fieldError(a.field, strconv.Quote(a.address), "an IP address and a port")
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 // validFile is the content of a valid configuration file.
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestParseNamesInvalidMember(t *testing.T) {
+func TestParseNamesInvalidField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"seed":"x"}`:                       "seed",
 		`{"seed":"1"}`:                       "settings",
@@ -43,9 +43,9 @@
 		`{"seed":"1","settings":{"az":"x"},"known":{"index":0,"snapshot":true},"listen":"nowhere"}`: "listen",
 		`{"seed":"1","settings":{"az":"x"},"known":{"index":-1,"snapshot":true}}`:                   "index",
 	} {
-		var memberError *member.Error
-		if _, err := Parse([]byte(text), environment(nil)); !errors.As(err, &memberError) || memberError.Member != want {
-			t.Errorf("%s: got error %v, want one of member %s", text, err, want)
+		var fieldError *fieldcheck.Error
+		if _, err := Parse([]byte(text), environment(nil)); !errors.As(err, &fieldError) || fieldError.Field != want {
+			t.Errorf("%s: got error %v, want one of field %s", text, err, want)
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -2,21 +2,21 @@
 
 import "madderhollow/internal/wire"
 
-// Members of the configuration file that errors name; dotted if nested.
+// Fields of the configuration file that errors name; dotted if nested.
 const (
-	seedMember             = "seed"
-	settingsMember         = "settings"
-	initialEndpointsMember = "known"
-	listenMember           = "listen"
-	discoveryMember        = "discovery"
-	relayMember            = "relay"
-	relayAddressMember     = "relay.address"
-	peerListenMember       = "peer_listen"
-	peersMember            = "peers"
-	peersBroadcastMember   = "peers_all"
+	seedField             = "seed"
+	settingsField         = "settings"
+	initialEndpointsField = "known"
+	listenField           = "listen"
+	discoveryField        = "discovery"
+	relayField            = "relay"
+	relayAddressField     = "relay.address"
+	peerListenField       = "peer_listen"
+	peersField            = "peers"
+	peersBroadcastField   = "peers_all"
 )
 
-// file maps the members of the configuration file. Unknown members are ignored.
+// file maps the fields of the configuration file. Unknown fields are ignored.
 type file struct {
 	Name             string             `json:"name"`
 	Listen           string             `json:"listen"`
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Load reads and validates the file that EDGE_CONFIG names. The other environment variables override its members.
+// Load reads and validates the file that EDGE_CONFIG names. The other environment variables override its fields.
 func Load(env func(string) string) (*Config, error) {
 	path := env(fileVariable)
 	if path == "" {
@@ -67,23 +67,23 @@
 	return config, nil
 }
 
-// Parse is Load on the content of a file. An invalid member is a *member.Error.
+// Parse is Load on the content of a file. An invalid field is a *fieldcheck.Error.
 func Parse(data []byte, env func(string) string) (*Config, error) {
-	var members file
-	if err := json.Unmarshal(data, &members); err != nil {
+	var fields file
+	if err := json.Unmarshal(data, &fields); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	override(&members.Name, env(nameVariable))
-	override(&members.Listen, env(listenVariable))
-	override(&members.Discovery, env(discoveryVariable))
-	config, err := newConfig(&members)
+	override(&fields.Name, env(nameVariable))
+	override(&fields.Listen, env(listenVariable))
+	override(&fields.Discovery, env(discoveryVariable))
+	config, err := newConfig(&fields)
 	if err != nil {
 		return nil, err
 	}
 	return config, config.validate()
 }
 
-// override replaces a member by the value of an environment variable that is set.
+// override replaces a field by the value of an environment variable that is set.
 func override(field *string, value string) {
 	if value != "" {
 		*field = value
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// Update is what a running program applies of a new configuration file. Other members need a restart.
+// Update is what a running program applies of a new configuration file. Other fields need a restart.
 type Update struct {
 	Discovery string // address
 	Relay     string // address
-	members   map[string]json.RawMessage
+	fields    map[string]json.RawMessage
 }
 
 // LoadUpdate reads a new configuration file while the program runs. The file takes precedence over the environment here,
@@ -23,32 +23,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	var members file
+	var fields file
 	update := &Update{}
-	if err := errors.Join(json.Unmarshal(data, &members), json.Unmarshal(data, &update.members)); err != nil {
+	if err := errors.Join(json.Unmarshal(data, &fields), json.Unmarshal(data, &update.fields)); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	update.Discovery = members.Discovery
-	update.Relay = members.Relay.Address
-	return update, checkAddresses(namedAddress{discoveryMember, update.Discovery}, namedAddress{relayAddressMember, update.Relay})
+	update.Discovery = fields.Discovery
+	update.Relay = fields.Relay.Address
+	return update, checkAddresses(namedAddress{discoveryField, update.Discovery}, namedAddress{relayAddressField, update.Relay})
 }
 
-// NeedsRestart returns the names of the members that differ from an earlier file and take effect only after a restart,
+// NeedsRestart returns the names of the fields that differ from an earlier file and take effect only after a restart,
 // sorted. Before may be nil, which differs in nothing.
-func (u *Update) NeedsRestart(before *Update) (members []string) {
+func (u *Update) NeedsRestart(before *Update) (fields []string) {
 	if before == nil {
 		return nil
 	}
-	for name, value := range u.members {
-		if !needsNoRestart(name) && !bytes.Equal(value, before.members[name]) {
-			members = append(members, name)
+	for name, value := range u.fields {
+		if !needsNoRestart(name) && !bytes.Equal(value, before.fields[name]) {
+			fields = append(fields, name)
 		}
 	}
-	slices.Sort(members)
-	return members
+	slices.Sort(fields)
+	return fields
 }
 
-// needsNoRestart reports whether a member may change while the program runs, or matters only at the start.
+// needsNoRestart reports whether a field may change while the program runs, or matters only at the start.
 func needsNoRestart(name string) bool {
-	return slices.Contains([]string{seedMember, initialEndpointsMember, discoveryMember, relayMember}, name)
+	return slices.Contains([]string{seedField, initialEndpointsField, discoveryField, relayField}, name)
 }
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
-func TestUpdateNamesMembersThatNeedRestart(t *testing.T) {
+func TestUpdateNamesFieldsThatNeedRestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, validFile)
 	before, err := LoadUpdate(path)
@@ -22,18 +22,18 @@
 		t.Fatalf("got %+v (%v), want the addresses of the new file", after, err)
 	}
 	if got, want := after.NeedsRestart(before), []string{"more", "name"}; !slices.Equal(got, want) {
-		t.Errorf("got members %v, want %v", got, want)
+		t.Errorf("got fields %v, want %v", got, want)
 	}
 	if got := after.NeedsRestart(nil); got != nil {
-		t.Errorf("without an earlier file: got members %v, want none", got)
+		t.Errorf("without an earlier file: got fields %v, want none", got)
 	}
 }
 
 func TestLoadUpdateRejectsInvalidAddress(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, `{"discovery":"nowhere"}`)
-	var memberError *member.Error
-	if _, err := LoadUpdate(path); !errors.As(err, &memberError) || memberError.Member != discoveryMember {
-		t.Errorf("got error %v, want one of member %s", err, discoveryMember)
+	var fieldError *fieldcheck.Error
+	if _, err := LoadUpdate(path); !errors.As(err, &fieldError) || fieldError.Field != discoveryField {
+		t.Errorf("got error %v, want one of field %s", err, discoveryField)
 	}
 }
--- /dev/null
+++ b/internal/fieldcheck/fieldcheck_test.go
@@ -0,0 +1,61 @@
+package fieldcheck
+
+import (
+	"errors"
+	"math"
+	"testing"
+)
+
+func TestNumberAcceptsValuesWithinBounds(t *testing.T) {
+	for _, test := range []struct {
+		value float64
+		valid bool
+	}{
+		{0, true}, {0.5, true}, {10, true},
+		{-0.1, false}, {math.Nextafter(10, 11), false}, {math.NaN(), false}, {math.Inf(1), false}, {math.Inf(-1), false},
+	} {
+		got, err := Number("delay", "mean latency in ms", &test.value, 10)
+		if test.valid && (err != nil || got != test.value) {
+			t.Errorf("%g: got %g (%v), want the value", test.value, got, err)
+		}
+		var fieldError *Error
+		if !test.valid && (!errors.As(err, &fieldError) || fieldError.Field != "delay") {
+			t.Errorf("%g: got error %v, want one of field delay", test.value, err)
+		}
+	}
+}
+
+func TestCountRejectsFraction(t *testing.T) {
+	whole, fraction := 3.0, 3.5
+	if got, err := Count("sum", "requests", &whole, 10); err != nil || got != 3 {
+		t.Errorf("got %d (%v), want 3", got, err)
+	}
+	if got, err := Count("sum", "requests", &fraction, 10); err == nil {
+		t.Errorf("got %d, want an error", got)
+	}
+}
+
+func TestErrorNamesFieldValueAndTerm(t *testing.T) {
+	negative := -1.0
+	for value, want := range map[*float64]string{
+		nil:       `"delay" is missing, want mean latency in ms: a number from 0 to 10`,
+		&negative: `"delay" is -1, want mean latency in ms: a number from 0 to 10`,
+	} {
+		if _, err := Number("delay", "mean latency in ms", value, 10); err == nil || err.Error() != want {
+			t.Errorf("got %v, want %s", err, want)
+		}
+	}
+}
+
+func TestChecksKeepFirstError(t *testing.T) {
+	first, value, negative := errors.New("first"), 3.0, -1.0
+	checks := &Checks{}
+	checks.Keep(nil)
+	if got := checks.Number("delay", "mean latency in ms", &value, 10); got != value || checks.Err() != nil {
+		t.Errorf("valid field: got %g (%v), want %g", got, checks.Err(), value)
+	}
+	checks.Keep(first)
+	if got := checks.Count("sum", "requests", &negative, 10); got != 0 || !errors.Is(checks.Err(), first) {
+		t.Errorf("invalid field after an error: got %d (%v), want 0 (%v)", got, checks.Err(), first)
+	}
+}
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -103,5 +103,5 @@
 	}
 }
 
-// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further members as arguments.
+// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
 const proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
--- a/internal/settings/mappings.go
+++ b/internal/settings/mappings.go
@@ -2,14 +2,14 @@
 
 import "madderhollow/assign"
 
-// mapping connects a member of a settings object to the field that it sets.
+// mapping connects a setting to the field of assign.Config that it sets.
 type mapping struct {
 	path string // dotted
 	set  func(value any)
 }
 
 // configMappings returns the table of all settings except those of request classes: path, field and, by the function, type and
-// unit. assign.Config documents the fields.
+// unit. assign.Config documents the fields, docs/configuration.md the settings.
 func configMappings(config *assign.Config) []mapping {
 	return []mapping{
 		{"az", text(&config.Zone)},
@@ -39,7 +39,10 @@
 	}
 }
 
-// classMappings returns the table of an entry of "classes".
+// requestClassesSetting is the list of request classes, one object for each.
+const requestClassesSetting = "classes"
+
+// classMappings returns the table of a request class.
 func classMappings(class *assign.RequestClassConfig) []mapping {
 	return []mapping{
 		{"name", text(&class.Name)},
@@ -78,6 +81,7 @@
 	}
 }
 
+// loadMetrics sets a field to the metrics of a list of names.
 func loadMetrics(field *[]assign.LoadMetric) func(any) {
 	return func(value any) {
 		var names []string
@@ -87,3 +91,31 @@
 		}
 	}
 }
+
+// LoadMetric returns the metric of a load report's column. The protocol has two names for each metric that the module uses;
+// another metric keeps its name.
+func LoadMetric(name string) assign.LoadMetric {
+	switch name {
+	case "load_share", "util": // used fraction of the capacity
+		return assign.MetricBusy
+	case "concurrent", "inflight": // requests
+		return assign.MetricInFlight
+	case "mean_ms", "latency_ms": // ms
+		return assign.MetricServiceTime
+	case "tps", "qps": // 1/s
+		return assign.MetricCompletionRate
+	case "err_ps", "eps": // 1/s
+		return assign.MetricErrorRate
+	case "depth", "queue": // requests
+		return assign.MetricQueued
+	}
+	return assign.LoadMetric(name)
+}
+
+// LoadValue converts the value of a load metric to the unit of package assign: ms become seconds.
+func LoadValue(metric assign.LoadMetric, value float64) float64 {
+	if metric == assign.MetricServiceTime {
+		return value / millisecondsPerSecond
+	}
+	return value
+}
--- a/internal/settings/random_settings_test.go
+++ b/internal/settings/random_settings_test.go
@@ -14,13 +14,13 @@
 	"madderhollow/internal/testconfig"
 )
 
-// invalidValue draws a value that is invalid for most members.
+// invalidValue draws a value that is invalid for most settings.
 func invalidValue(random *rand.Rand) any {
 	return []any{nil, "odd", -1.0, 0.0, 1e300, true, []any{}, []any{"a", 1.0, nil}, map[string]any{"x": 1.0},
 		math.MaxInt64 * 1.0}[random.Intn(10)]
 }
 
-// corrupt removes members of an object, adds others, and sets some to a value of another type or out of range.
+// corrupt removes settings of an object, adds others, and sets some to a value of another type or out of range.
 func corrupt(random *rand.Rand, object map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		switch value := object[name].(type) {
@@ -114,7 +114,7 @@
 	return true
 }
 
-// For settings with missing, unknown, empty or invalid members, the module decides with what remains, and each of its orders
+// For settings with missing, unknown, empty or invalid ones, the module decides with what remains, and each of its orders
 // can be encoded.
 func TestTranslateAcceptsCorruptSettings(t *testing.T) {
 	property := func(seed int64) bool {
--- a/internal/settings/setters.go
+++ b/internal/settings/setters.go
@@ -1,6 +1,6 @@
 package settings
 
-import "madderhollow/internal/member"
+import "madderhollow/internal/fieldcheck"
 
 // maxNumber bounds the numbers of a settings object. Orders computed from a larger number could not be encoded.
 const maxNumber = 1e15
@@ -13,7 +13,7 @@
 	millisecondsPerSecond = 1000
 )
 
-// Each function below returns a setter: it assigns a member's value to the field, and leaves the field unchanged if the
+// Each function below returns a setter: it assigns a setting's value to the field, and leaves the field unchanged if the
 // value is of another type or out of range.
 
 func text(field *string) func(any) {
@@ -32,10 +32,10 @@
 	}
 }
 
-// validNumber returns a member's number and whether it is one from 0 to maxNumber.
+// validNumber returns a setting's number and whether it is one from 0 to maxNumber.
 func validNumber(value any) (number float64, ok bool) {
 	number, ok = value.(float64)
-	return number, ok && member.InRange(number, maxNumber)
+	return number, ok && fieldcheck.InRange(number, maxNumber)
 }
 
 func number(field *float64) func(any) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
 // Package settings translates a deployment's settings object into assign.Config. Both hosts of the decision module use it.
 //
-// The names, units and words of the settings object are mapped here and used nowhere else: mappings.go has the table of
-// members, loadmetrics.go the names of load metrics. A member that is missing, of another type or out of range leaves the
-// default of assign.DefaultConfig, and unknown members are ignored, so that any deployment's settings can be used. All
-// functions are pure and may be called by any goroutine.
+// The names, units and words of the settings object are mapped in mappings.go and used nowhere else. A setting that is missing,
+// of another type or out of range leaves the default of assign.DefaultConfig, and unknown ones are ignored, so that any
+// deployment's settings can be used. All functions are pure and may be called by any goroutine.
 package settings
 
 import (
@@ -15,7 +14,7 @@
 // Translate returns the configuration for a settings object as decoded by encoding/json.
 func Translate(object map[string]any) assign.Config {
 	config := assign.DefaultConfig()
-	config.RequestClasses = requestClasses(object["classes"])
+	config.RequestClasses = requestClasses(object[requestClassesSetting])
 	apply(object, configMappings(&config))
 	return config
 }
@@ -31,7 +30,7 @@
 	return classes
 }
 
-// apply sets the fields of the members that the object has.
+// apply sets the fields of the settings that the object has.
 func apply(object map[string]any, mappings []mapping) {
 	for _, m := range mappings {
 		if value, ok := lookUp(object, m.path); ok {
@@ -40,7 +39,7 @@
 	}
 }
 
-// lookUp returns the member at a dotted path.
+// lookUp returns the setting at a dotted path.
 func lookUp(object map[string]any, path string) (any, bool) {
 	for {
 		name, rest, nested := strings.Cut(path, ".")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"madderhollow/internal/settings"
 )
 
-// Members that are missing, of another type or out of range leave the defaults; unknown members are ignored.
-func TestTranslateKeepsDefaultsForInvalidMembers(t *testing.T) {
+// Settings that are missing, of another type or out of range leave the defaults; unknown ones are ignored.
+func TestTranslateKeepsDefaultsForInvalidSettings(t *testing.T) {
 	for name, object := range map[string]map[string]any{
 		"nothing":       {},
 		"unknown":       {"what": map[string]any{"is": "this"}, "admission": "off", "zone": "x"},
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -9,7 +9,7 @@
 	"madderhollow/internal/settings"
 )
 
-// Errors of lines that are not messages. A field with an unusable value is a *member.Error.
+// Errors of lines that are not messages. A field with an unusable value is a *fieldcheck.Error.
 var (
 	ErrNotArray     = errors.New("not a JSON array")
 	ErrEmptyMessage = errors.New("message is empty")
@@ -72,7 +72,7 @@
 	if _, err := start.Batch.Int64(); err != nil {
 		message.fail(exactField, "a whole number")
 	}
-	return start, message.err
+	return start, message.err()
 }
 
 func (d *Decoder) decodeOpenInstance(raw []json.RawMessage) (Message, error) {
@@ -85,8 +85,8 @@
 	if !ok {
 		message.fail(2, "an object")
 	}
-	if message.err != nil {
-		return nil, message.err
+	if err := message.err(); err != nil {
+		return nil, err
 	}
 	open.Config = settings.Translate(object)
 	if metrics := open.Config.Reports.LoadMetrics; metrics != nil {
@@ -99,11 +99,11 @@
 	message := parse(name, raw)
 	instance := message.count(0)
 	if name == haltInstanceName {
-		return HaltInstance{instance}, message.err
+		return HaltInstance{instance}, message.err()
 	}
 	event, known := d.event(message, instance)
 	if !known {
 		return UnknownMessage{name}, nil
 	}
-	return InstanceEvent{instance, event}, message.err
+	return InstanceEvent{instance, event}, message.err()
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,8 +7,8 @@
 	"madderhollow/internal/settings"
 )
 
-// event decodes the event in a message for an instance. Known is false if the message has no known name. Field errors are
-// in message.err.
+// event decodes the event in a message for an instance. Known is false if the message has no known name. An invalid field
+// is an error of message.err.
 func (d *Decoder) event(message *fields, instance int) (event assign.Event, known bool) {
 	switch message.message {
 	case endpointUpdateName:
@@ -77,11 +77,9 @@
 			message.fail(3, "an array of entries, each an array")
 			break
 		}
-		entry := &fields{message: fmt.Sprintf("%s: entry %d", message.message, n), values: values}
+		entry := &fields{message: fmt.Sprintf("entry %d", n), values: values}
 		update.Endpoints = append(update.Endpoints, endpoint(entry))
-		if entry.err != nil && message.err == nil {
-			message.err = entry.err
-		}
+		message.checks.Keep(entry.err())
 	}
 	return update
 }
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -6,35 +6,44 @@
 	"math"
 	"strconv"
 
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 const (
 	millisecondsPerSecond = 1000
-	maxID                 = 65535   // of proxies, shards and sequence numbers
-	maxExactInteger       = 1 << 53 // above it float64 does not represent every whole number
+	// maxID is the largest number of a proxy, a shard or an acknowledgment request: they have 16 bits. Package wire accepts
+	// one proxy fewer, 0 to 65534.
+	maxID = math.MaxUint16
+	// maxExactInteger is the bound up to which float64 represents every whole number.
+	maxExactInteger = 1 << 53
 )
 
-// fields reads the fields of one message by position and keeps the first error. Its methods return a zero value for an
-// invalid field, so the caller may go on reading and look at err once.
+// fields reads the fields of one message by position. Its methods return a zero value for an invalid field and keep the
+// first error, so the caller may go on reading and look at err once.
 type fields struct {
-	message string // name, and the entry within the message if any
+	message string // name, or the entry within a message
 	values  []any
-	err     error
+	checks  fieldcheck.Checks
 }
 
-// fail records that a field is invalid, unless there is an error already.
-func (f *fields) fail(i int, want string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s: %w", f.message, &member.Error{Member: fmt.Sprintf("field %d", i), Value: valueText(f.at(i)), Want: want})
+// err returns the first error, nil if all fields are valid.
+func (f *fields) err() error {
+	if err := f.checks.Err(); err != nil {
+		return fmt.Errorf("%s: %w", f.message, err)
 	}
+	return nil
+}
+
+// fail records that a field is invalid.
+func (f *fields) fail(i int, want string) {
+	f.checks.Keep(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.at(i)), Want: want})
 }
 
 // valueText returns the text of a field's value for an error.
 func valueText(value any) string {
 	switch value := value.(type) {
 	case nil:
-		return member.Missing
+		return fieldcheck.Missing
 	case string:
 		return strconv.Quote(value)
 	}
@@ -61,7 +70,7 @@
 
 func (f *fields) notNegative(i int) float64 {
 	v := f.number(i)
-	if !member.InRange(v, math.MaxFloat64) {
+	if !fieldcheck.InRange(v, math.MaxFloat64) {
 		f.fail(i, "a number from 0")
 	}
 	return v
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 func decode(t *testing.T, line string) Message {
@@ -115,8 +115,8 @@
 		{`["mark",1,1.5]`, "mark", "field 1"},
 	} {
 		message, err := NewDecoder().Decode([]byte(test.line))
-		var memberError *member.Error
-		if !errors.As(err, &memberError) || memberError.Member != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
+		var fieldError *fieldcheck.Error
+		if !errors.As(err, &fieldError) || fieldError.Field != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
 			t.Errorf("%s: got error %v, want one of %s: %s (message %#v)", test.line, err, test.message, test.field, message)
 		}
 	}
@@ -169,7 +169,7 @@
 		event, _ := message.(InstanceEvent)
 		report, ok := event.Event.(assign.EndpointLoadReport)
 		if err == nil && ok && (report.Attempts < 0 || report.Failed < 0 || report.Interval < 0) {
-			t.Errorf("%s: got %+v, which has a negative number", line, report)
+			t.Errorf("%s: got %+v, want numbers from 0", line, report)
 		}
 	})
 }
--- a/internal/testconfig/testconfig.go
+++ b/internal/testconfig/testconfig.go
@@ -3,7 +3,7 @@
 
 import "madderhollow/assign"
 
-// New returns the default configuration with zones, a number of proxies and request classes with default members.
+// New returns the default configuration with zones, a number of proxies and request classes with default fields.
 func New(zones []string, proxies int, classNames ...string) assign.Config {
 	config := assign.DefaultConfig()
 	config.Zones = zones
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 // Answer is the relay's answer to a call: the number of orders that it accepted, or an error code.
@@ -65,7 +65,7 @@
 	case acceptedElement:
 		accepted, err := strconv.Atoi(text)
 		if err != nil || accepted < 0 {
-			return &member.Error{Member: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
+			return &fieldcheck.Error{Field: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
 		}
 		p.answer.Accepted = accepted
 		p.found = true
--- a/internal/wire/answer_test.go
+++ b/internal/wire/answer_test.go
@@ -19,7 +19,7 @@
 		{input: ``},
 		{input: `ok`},
 		{input: `<Response><results><item><taken>3</taken>`},
-		{input: `<a><taken>-1</taken></a>`, member: "taken"},
+		{input: `<a><taken>-1</taken></a>`, field: "taken"},
 		{input: `<a><taken></taken></a>`},
 	} {
 		got, err := DecodeAnswer([]byte(test.input))
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -14,11 +14,14 @@
 	"time"
 
 	"madderhollow/assign"
+	"madderhollow/internal/fieldcheck"
 )
 
 const (
 	millisecondsPerSecond      = 1000
 	microsecondsPerMillisecond = 1000
+	// maxProxies is the number of proxies if the settings do not state it. Proxy numbers have 16 bits; 65535 is not accepted.
+	maxProxies = math.MaxUint16
 	// maxNumber bounds counts and times. A larger value is a defective counter, and sums of it lose digits.
 	maxNumber = 1e9
 	// maxUnixTime bounds the start time of an endpoint, in ms: the year 5138, well below the range of time.Duration.
@@ -29,7 +32,7 @@
 	tolerance = 10
 )
 
-// Errors of messages that parse but cannot be used. A member with an unusable value is a *member.Error.
+// Errors of messages that parse but cannot be used. A field with an unusable value is a *fieldcheck.Error.
 var (
 	ErrUnknownMessage = errors.New("unknown message type")
 	ErrUnknownZone    = errors.New("unknown zone")
@@ -46,8 +49,8 @@
 	classes     []string // names of the request classes, by position
 	zones       []string
 	proxies     int       // proxy numbers are below this
-	maxLatency  float64   // ms; no answer arrives after all deadlines
-	maxInterval float64   // ms, that a report covers
+	maxLatency  float64   // ms; a larger mean is invalid, since no client waits beyond the last deadline
+	maxInterval float64   // ms; a longer report interval is invalid
 	epoch       time.Time // wall clock's time at 0 of the assigner's clock
 }
 
@@ -56,7 +59,7 @@
 	codec := &Codec{
 		loadMetrics: config.Reports.LoadMetrics,
 		zones:       config.Zones,
-		proxies:     math.MaxUint16,
+		proxies:     maxProxies,
 		maxLatency:  maxNumber,
 		epoch:       epoch,
 	}
@@ -92,16 +95,19 @@
 func (c *Codec) checkZone(name string) error {
 	noZones := name == "" && len(c.zones) == 0
 	if !noZones && !slices.Contains(c.zones, name) {
-		return fmt.Errorf("%w %q in %q", ErrUnknownZone, name, zoneMember)
+		return fmt.Errorf("%w %q in %q", ErrUnknownZone, name, zoneField)
 	}
 	return nil
 }
 
-// proxy returns the number of a proxy; nil is a missing one.
-func (c *Codec) proxy(checks *memberChecks, value *float64) int {
-	number := checks.count(proxyMember, "number of a proxy", value)
+// proxyTerm describes proxyField in errors.
+const proxyTerm = "number of a proxy"
+
+// proxy returns the number of a proxy; a nil value is a missing field.
+func (c *Codec) proxy(checks *fieldcheck.Checks, value *float64) int {
+	number := checks.Count(proxyField, proxyTerm, value, maxNumber)
 	if number >= c.proxies {
-		checks.keep(fmt.Errorf("%w %d in %q, want one below %d", ErrUnknownProxy, number, proxyMember, c.proxies))
+		checks.Keep(fmt.Errorf("%w %d in %q, want one below %d", ErrUnknownProxy, number, proxyField, c.proxies))
 	}
 	return number
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 	"madderhollow/internal/testconfig"
 )
 
@@ -23,9 +23,9 @@
 
 // invalidInput is an input that must be rejected, and why.
 type invalidInput struct {
-	input  string
-	member string // name in the member.Error; empty: the error is another one
-	is     error  // sentinel; nil: the error is another one
+	input string
+	field string // name in the fieldcheck.Error; empty: the error is another one
+	is    error  // sentinel; nil: the error is another one
 }
 
 // check fails the test unless the error of decoding is the expected one.
@@ -35,9 +35,9 @@
 		t.Errorf("%s: got %#v, want an error", i.input, got)
 		return
 	}
-	var memberError *member.Error
-	if i.member != "" && (!errors.As(err, &memberError) || memberError.Member != i.member) {
-		t.Errorf("%s: got error %q, want one of member %s", i.input, err, i.member)
+	var fieldError *fieldcheck.Error
+	if i.field != "" && (!errors.As(err, &fieldError) || fieldError.Field != i.field) {
+		t.Errorf("%s: got error %q, want one of field %s", i.input, err, i.field)
 	}
 	if i.is != nil && !errors.Is(err, i.is) {
 		t.Errorf("%s: got error %q, want %q", i.input, err, i.is)
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 // DecodeEndpointList decodes an answer of discovery. One entry that cannot be used makes the whole list unusable: an
@@ -28,50 +28,49 @@
 	}
 	endpoints := make([]assign.Endpoint, len(list.Endpoints))
 	for i, entry := range list.Endpoints {
-		endpoint, err := c.endpoint(entry)
-		if err != nil {
+		checks := &fieldcheck.Checks{}
+		endpoints[i] = c.endpoint(checks, entry)
+		if err := checks.Err(); err != nil {
 			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", *list.Version, i, entry.Name, err)
 		}
-		endpoints[i] = endpoint
 	}
 	return assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full, Endpoints: endpoints}, nil
 }
 
-// checkHeader checks the members of a list besides its entries.
+// checkHeader checks the fields of a list besides its entries.
 func checkHeader(list EndpointList) error {
 	if list.Version == nil || *list.Version < 0 {
-		return &member.Error{Member: versionMember, Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"}
+		return &fieldcheck.Error{Field: versionField, Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"}
 	}
 	if list.Full == nil {
-		return &member.Error{Member: fullMember, Value: member.Missing, Want: "whether the list is complete: true or false"}
+		return &fieldcheck.Error{Field: fullField, Value: fieldcheck.Missing, Want: "whether the list is complete: true or false"}
 	}
 	return nil
 }
 
 func valueOrMissing(value *int64) string {
 	if value == nil {
-		return member.Missing
+		return fieldcheck.Missing
 	}
 	return strconv.FormatInt(*value, 10)
 }
 
-func (c *Codec) endpoint(entry ListedEndpoint) (assign.Endpoint, error) {
-	checks := &memberChecks{}
+func (c *Codec) endpoint(checks *fieldcheck.Checks, entry ListedEndpoint) assign.Endpoint {
 	state, err := endpointState(entry.State)
-	checks.keep(err)
+	checks.Keep(err)
 	if !isOrderArgument(entry.Name) {
-		checks.keep(&member.Error{Member: nameMember, Value: strconv.Quote(entry.Name),
+		checks.Keep(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
 			Want: fmt.Sprintf("name of an endpoint: a string, not empty, without any of %q", reservedCharacters)})
 	}
 	return assign.Endpoint{
 		Zone:        entry.Zone,
 		Group:       entry.Group,
 		Name:        entry.Name,
-		Weight:      checks.number(weightMember, "weight", &entry.Weight, maxNumber),
+		Weight:      checks.Number(weightField, "weight", &entry.Weight, maxNumber),
 		State:       state,
-		StartedAt:   c.clockTime(checks.number(startedAtMember, "Unix time of the start in ms", &entry.StartedAt, maxUnixTime)),
+		StartedAt:   c.clockTime(checks.Number(startedAtField, "Unix time of the start in ms", &entry.StartedAt, maxUnixTime)),
 		MachineType: entry.MachineType,
-	}, checks.err
+	}
 }
 
 func endpointState(state string) (assign.EndpointState, error) {
@@ -83,7 +82,7 @@
 	case stateRemoved:
 		return assign.Removed, nil
 	}
-	return 0, &member.Error{Member: stateMember, Value: strconv.Quote(state),
+	return 0, &fieldcheck.Error{Field: stateField, Value: strconv.Quote(state),
 		Want: fmt.Sprintf("state of an endpoint: %s, %s or %s", stateReady, stateDraining, stateRemoved)}
 }
 
--- a/internal/wire/endpointlist_test.go
+++ b/internal/wire/endpointlist_test.go
@@ -20,15 +20,15 @@
 
 func TestDecodeEndpointListRejectsInvalidLists(t *testing.T) {
 	for _, test := range []invalidInput{
-		{input: `{}`, member: "index"},
+		{input: `{}`, field: "index"},
 		{input: `{"index":41,"snap`},
-		{input: `{"index":1,"endpoints":[]}`, member: "snapshot"},
-		{input: `{"index":-1,"snapshot":true}`, member: "index"},
-		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}`, member: "status"},
-		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"","status":"active"}]}`, member: "name"},
-		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"a;b","status":"active"}]}`, member: "name"},
-		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"active","weight":-1}]}`, member: "weight"},
-		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"active","since_ms":1e300}]}`, member: "since_ms"},
+		{input: `{"index":1,"endpoints":[]}`, field: "snapshot"},
+		{input: `{"index":-1,"snapshot":true}`, field: "index"},
+		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"odd"}]}`, field: "status"},
+		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"","status":"active"}]}`, field: "name"},
+		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"a;b","status":"active"}]}`, field: "name"},
+		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"active","weight":-1}]}`, field: "weight"},
+		{input: `{"index":1,"snapshot":true,"endpoints":[{"name":"s","status":"active","since_ms":1e300}]}`, field: "since_ms"},
 	} {
 		got, err := testCodec().DecodeEndpointList([]byte(test.input))
 		test.check(t, got, err)
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -21,11 +21,11 @@
 		case assign.EndpointLoadReport:
 			if event.Attempts < event.Failed || event.Failed < 0 || !(event.Interval > 0) || !(event.MeanLatency >= 0) ||
 				event.Load != nil && len(event.Load) != 2 {
-				t.Errorf("%s: got %+v, which is out of bounds", line, event)
+				t.Errorf("%s: got %+v, want failures up to the attempts, an interval above 0 and no load or two values", line, event)
 			}
 		case assign.ProxyTrafficReport:
 			if event.Proxy < 0 || event.Proxy > 5 || event.Requests < 0 || event.Failed < 0 || !(event.Interval > 0) {
-				t.Errorf("%s: got %+v, which is out of bounds", line, event)
+				t.Errorf("%s: got %+v, want a proxy from 0 to 5, counts from 0 and an interval above 0", line, event)
 			}
 		}
 	})
@@ -37,7 +37,7 @@
 		update, err := testCodec().DecodeEndpointList(body)
 		for _, endpoint := range update.Endpoints {
 			if err == nil && (!isOrderArgument(endpoint.Name) || !(endpoint.Weight >= 0) || !(endpoint.StartedAt >= 0)) {
-				t.Errorf("%s: got %+v, which is out of bounds", body, endpoint)
+				t.Errorf("%s: got %+v, want a name without special characters, weight and start from 0", body, endpoint)
 			}
 		}
 	})
@@ -48,7 +48,7 @@
 	f.Add([]byte(`<Response><results><item><taken>3</taken></item></results></Response>`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if answer, err := DecodeAnswer(text); err == nil && answer.Accepted < 0 {
-			t.Errorf("%s: got %+v, which is out of bounds", text, answer)
+			t.Errorf("%s: got %+v, want accepted orders from 0", text, answer)
 		}
 		for stream := NewStream(strings.NewReader(string(text))); ; {
 			eventType, data, err := stream.Next()
@@ -58,7 +58,7 @@
 			event, err := testCodec().DecodeRelayEvent(eventType, data)
 			connected, ok := event.(assign.ProxyConnected)
 			if ok && err == nil && (connected.Proxy < 0 || connected.Proxy > 5 || !(connected.TypicalRate >= 0)) {
-				t.Errorf("%s: got %+v, which is out of bounds", data, connected)
+				t.Errorf("%s: got %+v, want a proxy from 0 to 5 and a rate from 0", data, connected)
 			}
 		}
 	})
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -5,7 +5,7 @@
 // This file maps the names in the protocol's messages to the terms of this program. Only this package and the fakes of the
 // protocol's other side use the names. Times on the wire are milliseconds and become seconds.
 
-// Types of messages at the assigner's address, in member "@type".
+// Types of messages at the assigner's address, in field "@type".
 const (
 	pingType               = "ping"      // Ping
 	pongType               = "pong"      // answer to Ping
@@ -22,24 +22,24 @@
 	acknowledgedType      = "applied" // assign.Acknowledged
 )
 
-// Members of reports and of relay events.
+// Fields of reports and of relay events.
 const (
-	zoneMember           = "locality" // zone, by name
-	proxyMember          = "node"     // proxy, by number
-	requestClassMember   = "route"    // request class, by name
-	endpointMember       = "endpoint" // endpoint, by name
-	requestsMember       = "total"    // requests of a proxy or attempts at an endpoint
-	failedMember         = "errors"   // failed ones among them
-	meanLatencyMember    = "rtt"      // mean latency of the successful attempts, ms
-	reportIntervalMember = "interval" // time that the report covers, ms
-	typicalRateMember    = "w"        // rate that the proxy usually receives, 1/s
-	freshMember          = "cold"     // not 0: the proxy holds its default tables only
-	sequenceMember       = "nonce"    // sequence number of an acknowledgment request
-	ackLatencyMember     = "latency"  // from the order to its effect, ms
+	zoneField           = "locality" // zone, by name
+	proxyField          = "node"     // proxy, by number
+	requestClassField   = "route"    // request class, by name
+	endpointField       = "endpoint" // endpoint, by name
+	requestsField       = "total"    // requests of a proxy or attempts at an endpoint
+	failedField         = "errors"   // failed ones among them
+	meanLatencyField    = "rtt"      // mean latency of the successful attempts, ms
+	reportIntervalField = "interval" // time that the report covers, ms
+	typicalRateField    = "w"        // rate that the proxy usually receives, 1/s
+	freshField          = "cold"     // not 0: the proxy holds its default tables only
+	sequenceField       = "nonce"    // sequence number of an acknowledgment request
+	ackLatencyField     = "latency"  // from the order to its effect, ms
 )
 
-// reportMembers has the members of all messages at the assigner's address. Pointers are nil for missing members.
-type reportMembers struct {
+// reportFields has the fields of all messages at the assigner's address. Pointers are nil for missing fields.
+type reportFields struct {
 	Type         string          `json:"@type"`
 	Zone         string          `json:"locality"`
 	Endpoint     string          `json:"endpoint"`
@@ -52,14 +52,14 @@
 	Load         json.RawMessage `json:"metrics"`  // object; the names are those of settings.LoadMetric
 }
 
-// Members of EndpointList and ListedEndpoint that errors name.
+// Fields of EndpointList and ListedEndpoint that errors name.
 const (
-	versionMember   = "index"    // version of the list
-	fullMember      = "snapshot" // the list is complete
-	nameMember      = "name"     // name of the endpoint
-	stateMember     = "status"   // one of the states below
-	weightMember    = "weight"   // capacity relative to other endpoints
-	startedAtMember = "since_ms" // Unix time of the start, ms
+	versionField   = "index"    // version of the list
+	fullField      = "snapshot" // the list is complete
+	nameField      = "name"     // name of the endpoint
+	stateField     = "status"   // one of the states below
+	weightField    = "weight"   // capacity relative to other endpoints
+	startedAtField = "since_ms" // Unix time of the start, ms
 )
 
 // States of a listed endpoint.
@@ -81,7 +81,7 @@
 	StartedAt   float64 `json:"since_ms"` // Unix time, ms; 0: not stated
 }
 
-// EndpointList is an answer of discovery or the initial list of the configuration file. Pointers are nil for missing members.
+// EndpointList is an answer of discovery or the initial list of the configuration file. Pointers are nil for missing fields.
 type EndpointList struct {
 	Version   *int64           `json:"index"`
 	Full      *bool            `json:"snapshot"` // endpoints that the list does not name are removed
@@ -99,6 +99,9 @@
 	acknowledgmentRequestOrder = "fence"   // assign.AcknowledgmentRequest: sequence number, 1 for all proxies or 0
 )
 
+// callPrefix is the body of a call up to its orders. The body is a form: parameter "orders" has the orders, URL-encoded.
+const callPrefix = "Action=CommitChanges&orders="
+
 // Special characters in an order.
 const (
 	allTablesOrClasses    = "*"
--- a/internal/wire/names_test.go
+++ b/internal/wire/names_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// Errors name members by the constants, decoding uses the struct tags.
-func TestMemberConstantsMatchTags(t *testing.T) {
-	report, list, entry := reflect.TypeFor[reportMembers](), reflect.TypeFor[EndpointList](), reflect.TypeFor[ListedEndpoint]()
+// Errors name fields by the constants, decoding uses the struct tags.
+func TestFieldConstantsMatchTags(t *testing.T) {
+	report, list, entry := reflect.TypeFor[reportFields](), reflect.TypeFor[EndpointList](), reflect.TypeFor[ListedEndpoint]()
 	for _, test := range []struct {
 		structure reflect.Type
 		field     string
 		want      string
 	}{
-		{report, "Zone", zoneMember}, {report, "Endpoint", endpointMember}, {report, "RequestClass", requestClassMember},
-		{report, "Proxy", proxyMember}, {report, "Requests", requestsMember}, {report, "Failed", failedMember},
-		{report, "MeanLatency", meanLatencyMember}, {report, "Interval", reportIntervalMember},
-		{list, "Version", versionMember}, {list, "Full", fullMember},
-		{entry, "Name", nameMember}, {entry, "State", stateMember}, {entry, "Weight", weightMember},
-		{entry, "StartedAt", startedAtMember},
+		{report, "Zone", zoneField}, {report, "Endpoint", endpointField}, {report, "RequestClass", requestClassField},
+		{report, "Proxy", proxyField}, {report, "Requests", requestsField}, {report, "Failed", failedField},
+		{report, "MeanLatency", meanLatencyField}, {report, "Interval", reportIntervalField},
+		{list, "Version", versionField}, {list, "Full", fullField},
+		{entry, "Name", nameField}, {entry, "State", stateField}, {entry, "Weight", weightField},
+		{entry, "StartedAt", startedAtField},
 	} {
 		field, ok := test.structure.FieldByName(test.field)
 		if got := field.Tag.Get("json"); !ok || got != test.want {
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -9,9 +9,6 @@
 	"madderhollow/assign"
 )
 
-// callPrefix is the body of a call up to its orders.
-const callPrefix = "Action=CommitChanges&orders="
-
 // EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode for an order of another type or with a name
 // that contains a reserved character.
 func (c *Codec) EncodeOrder(order assign.Order) (string, error) {
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -6,26 +6,9 @@
 	"strconv"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
-// eventMembers reads the members of a relay event.
-type eventMembers struct {
-	memberChecks
-	values url.Values
-}
-
-// parse returns a member that is a number from 0. Term is what it holds, with its unit.
-func (m *eventMembers) parse(name, term string) float64 {
-	text := m.values.Get(name)
-	value, err := strconv.ParseFloat(text, 64)
-	if err != nil {
-		m.keep(&member.Error{Member: name, Value: strconv.Quote(text), Want: term + ": a number"})
-		return 0
-	}
-	return m.number(name, term, &value, maxNumber)
-}
-
 // DecodeRelayEvent decodes one event of the relay's stream, with its type and its data, into assign.ProxyConnected,
 // assign.ProxyDisconnected or assign.Acknowledged.
 func (c *Codec) DecodeRelayEvent(eventType, data string) (assign.Event, error) {
@@ -33,36 +16,69 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", eventType, err)
 	}
-	members := &eventMembers{values: values}
-	event := c.relayEvent(eventType, members)
-	if members.err != nil {
-		return nil, fmt.Errorf("%s: %w", eventType, members.err)
-	}
-	return event, nil
-}
-
-func (c *Codec) relayEvent(eventType string, members *eventMembers) assign.Event {
-	number := members.parse(proxyMember, "number of a proxy")
-	proxy := c.proxy(&members.memberChecks, &number)
+	fields := &eventFields{values: values}
+	var event assign.Event
 	switch eventType {
 	case proxyConnectedType:
-		zone := members.values.Get(zoneMember)
-		members.keep(c.checkZone(zone))
-		return assign.ProxyConnected{
-			Proxy:       proxy,
-			Zone:        zone,
-			TypicalRate: members.parse(typicalRateMember, "typical rate in 1/s"),
-			Fresh:       members.parse(freshMember, "whether the proxy is fresh") != 0,
-		}
+		event = c.proxyConnected(fields)
 	case proxyDisconnectedType:
-		return assign.ProxyDisconnected{Proxy: proxy}
+		event = assign.ProxyDisconnected{Proxy: c.eventProxy(fields)}
 	case acknowledgedType:
-		return assign.Acknowledged{
-			Proxy:    proxy,
-			Sequence: int(members.parse(sequenceMember, "sequence number")),
-			Latency:  members.parse(ackLatencyMember, "latency in ms") / millisecondsPerSecond,
-		}
+		event = c.acknowledged(fields)
+	default:
+		return nil, fmt.Errorf("%s: %w", eventType, ErrUnknownMessage)
+	}
+	if err := fields.checks.Err(); err != nil {
+		return nil, fmt.Errorf("%s: %w", eventType, err)
+	}
+	return event, nil
+}
+
+func (c *Codec) proxyConnected(fields *eventFields) assign.ProxyConnected {
+	proxy := c.eventProxy(fields)
+	zone := fields.values.Get(zoneField)
+	fields.checks.Keep(c.checkZone(zone))
+	return assign.ProxyConnected{
+		Proxy:       proxy,
+		Zone:        zone,
+		TypicalRate: fields.number(typicalRateField, "typical rate in 1/s"),
+		Fresh:       fields.number(freshField, "whether the proxy is fresh") != 0,
+	}
+}
+
+func (c *Codec) acknowledged(fields *eventFields) assign.Acknowledged {
+	return assign.Acknowledged{
+		Proxy:    c.eventProxy(fields),
+		Sequence: int(fields.number(sequenceField, "sequence number")), // a fraction is cut off
+		Latency:  fields.number(ackLatencyField, "latency in ms") / millisecondsPerSecond,
+	}
+}
+
+func (c *Codec) eventProxy(fields *eventFields) int {
+	number := fields.number(proxyField, proxyTerm)
+	return c.proxy(&fields.checks, &number)
+}
+
+// eventFields reads the fields of a relay event and keeps the first error.
+type eventFields struct {
+	checks fieldcheck.Checks
+	values url.Values
+}
+
+// number returns a field that holds a number from 0 to maxNumber. Term is what it holds, with its unit.
+func (f *eventFields) number(name, term string) float64 {
+	value, err := strconv.ParseFloat(f.values.Get(name), 64)
+	if err != nil {
+		f.checks.Keep(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: term + ": a number"})
+		return 0
+	}
+	return f.checks.Number(name, term, &value, maxNumber)
+}
+
+// quoted returns a field's text for an error.
+func (f *eventFields) quoted(name string) string {
+	if !f.values.Has(name) {
+		return fieldcheck.Missing
 	}
-	members.keep(ErrUnknownMessage)
-	return nil
+	return strconv.Quote(f.values.Get(name))
 }
--- a/internal/wire/relayevents_test.go
+++ b/internal/wire/relayevents_test.go
@@ -25,13 +25,27 @@
 	}{
 		{"joined", invalidInput{input: "node=6&locality=a&w=1&cold=0", is: ErrUnknownProxy}},
 		{"joined", invalidInput{input: "node=1&locality=q&w=1&cold=0", is: ErrUnknownZone}},
-		{"joined", invalidInput{input: "node=1&locality=a&w=NaN&cold=0", member: "w"}},
-		{"left", invalidInput{input: "node=", member: "node"}},
+		{"joined", invalidInput{input: "node=1&locality=a&w=NaN&cold=0", field: "w"}},
+		{"left", invalidInput{input: "node=", field: "node"}},
 		{"left", invalidInput{input: "%zz"}},
-		{"applied", invalidInput{input: "node=1&nonce=-1&latency=0", member: "nonce"}},
+		{"applied", invalidInput{input: "node=1&nonce=-1&latency=0", field: "nonce"}},
 		{"odd", invalidInput{input: "node=1", is: ErrUnknownMessage}},
+		{"odd", invalidInput{input: "node=x", is: ErrUnknownMessage}},
+		{"odd", invalidInput{input: "", is: ErrUnknownMessage}},
 	} {
 		got, err := testCodec().DecodeRelayEvent(test.eventType, test.input)
 		test.check(t, got, err)
 	}
 }
+
+func TestRelayEventErrorTellsMissingFromInvalidField(t *testing.T) {
+	for data, want := range map[string]string{
+		"":       `left: "node" is missing, want number of a proxy: a number`,
+		"node=":  `left: "node" is "", want number of a proxy: a number`,
+		"node=x": `left: "node" is "x", want number of a proxy: a number`,
+	} {
+		if got, err := testCodec().DecodeRelayEvent(proxyDisconnectedType, data); err == nil || err.Error() != want {
+			t.Errorf("%q: got %v (%v), want error %s", data, got, err, want)
+		}
+	}
+}
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 	"madderhollow/internal/settings"
 )
 
@@ -38,93 +38,87 @@
 
 // DecodeMessage decodes one line received at the assigner's address.
 func (c *Codec) DecodeMessage(line []byte) (Message, error) {
-	var members reportMembers
-	if err := json.Unmarshal(line, &members); err != nil {
+	var fields reportFields
+	if err := json.Unmarshal(line, &fields); err != nil {
 		return nil, fmt.Errorf("malformed message: %w", err)
 	}
-	switch members.Type {
+	checks := &fieldcheck.Checks{}
+	var message Message
+	switch fields.Type {
 	case pingType:
-		return Ping{}, nil
+		message = Ping{}
 	case collectorType:
-		if err := c.checkZone(members.Zone); err != nil {
-			return nil, fmt.Errorf("%s: %w", members.Type, err)
-		}
-		return Collector{members.Zone}, nil
+		checks.Keep(c.checkZone(fields.Zone))
+		message = Collector{fields.Zone}
 	case endpointLoadReportType:
-		report, err := c.endpointLoadReport(&members)
-		return reportMessage(members.Type, report, err)
+		message = Report{c.endpointLoadReport(checks, &fields)}
 	case proxyTrafficReportType:
-		report, err := c.proxyTrafficReport(&members)
-		return reportMessage(members.Type, report, err)
+		message = Report{c.proxyTrafficReport(checks, &fields)}
+	default:
+		return nil, fmt.Errorf("%w %q", ErrUnknownMessage, fields.Type)
 	}
-	return nil, fmt.Errorf("%w %q", ErrUnknownMessage, members.Type)
-}
-
-func reportMessage(messageType string, event assign.Event, err error) (Message, error) {
-	if err != nil {
-		return nil, fmt.Errorf("%s: %w", messageType, err)
+	if err := checks.Err(); err != nil {
+		return nil, fmt.Errorf("%s: %w", fields.Type, err)
 	}
-	return Report{event}, nil
+	return message, nil
 }
 
-// commonMembers are the members that both reports have.
-type commonMembers struct {
+// commonFields are the fields that both reports have.
+type commonFields struct {
 	requests int // or attempts
 	failed   int
 	interval float64 // s
 }
 
-func (c *Codec) commonMembers(checks *memberChecks, members *reportMembers) commonMembers {
-	requests := checks.count(requestsMember, "requests or attempts", members.Requests)
-	failed := checks.count(failedMember, "failed requests or attempts", members.Failed)
-	interval := checks.number(reportIntervalMember, "report interval in ms", members.Interval, c.maxInterval)
+func (c *Codec) commonFields(checks *fieldcheck.Checks, fields *reportFields) commonFields {
+	requests := checks.Count(requestsField, "requests or attempts", fields.Requests, maxNumber)
+	failed := checks.Count(failedField, "failed requests or attempts", fields.Failed, maxNumber)
+	interval := checks.Number(reportIntervalField, "report interval in ms", fields.Interval, c.maxInterval)
 	if interval == 0 {
-		checks.keep(&member.Error{Member: reportIntervalMember, Value: "0", Want: "report interval in ms: more than 0"})
+		checks.Keep(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
 	}
-	return commonMembers{requests, failed, interval / millisecondsPerSecond}
+	return commonFields{requests, failed, interval / millisecondsPerSecond}
 }
 
-func (c *Codec) endpointLoadReport(members *reportMembers) (assign.EndpointLoadReport, error) {
-	checks := &memberChecks{}
-	counts := c.commonMembers(checks, members)
-	checks.keep(c.checkZone(members.Zone))
-	if members.Endpoint == "" {
-		checks.keep(fmt.Errorf("%q: %w", endpointMember, ErrNoEndpointName))
+func (c *Codec) endpointLoadReport(checks *fieldcheck.Checks, fields *reportFields) assign.EndpointLoadReport {
+	counts := c.commonFields(checks, fields)
+	checks.Keep(c.checkZone(fields.Zone))
+	if fields.Endpoint == "" {
+		checks.Keep(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
 	}
 	// Only attempts are checked against their failures: a request may fail in an interval after that of its arrival.
 	if counts.failed > counts.requests {
-		checks.keep(&member.Error{Member: failedMember, Value: strconv.Itoa(counts.failed),
+		checks.Keep(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
 			Want: fmt.Sprintf("failed attempts: at most the %d attempts", counts.requests)})
 	}
 	latency := 0.0
 	if counts.requests > counts.failed { // without a successful attempt the latency has no meaning and may be missing
-		latency = checks.number(meanLatencyMember, "mean latency in ms", members.MeanLatency, c.maxLatency)
+		latency = checks.Number(meanLatencyField, "mean latency in ms", fields.MeanLatency, c.maxLatency)
 	}
 	return assign.EndpointLoadReport{
-		Zone:        members.Zone,
-		Endpoint:    members.Endpoint,
+		Zone:        fields.Zone,
+		Endpoint:    fields.Endpoint,
 		Interval:    counts.interval,
 		MeanLatency: latency / millisecondsPerSecond,
 		Attempts:    counts.requests,
 		Failed:      counts.failed,
-		Load:        c.load(members.Load),
-	}, checks.err
+		Load:        c.load(fields.Load),
+	}
 }
 
-func (c *Codec) proxyTrafficReport(members *reportMembers) (assign.ProxyTrafficReport, error) {
-	checks := &memberChecks{}
-	counts := c.commonMembers(checks, members)
-	proxy := c.proxy(checks, members.Proxy)
-	if !slices.Contains(c.classes, members.RequestClass) {
-		checks.keep(fmt.Errorf("%w %q in %q", ErrUnknownClass, members.RequestClass, requestClassMember))
+func (c *Codec) proxyTrafficReport(checks *fieldcheck.Checks, fields *reportFields) assign.ProxyTrafficReport {
+	counts := c.commonFields(checks, fields)
+	proxy := c.proxy(checks, fields.Proxy)
+	if !slices.Contains(c.classes, fields.RequestClass) {
+		checks.Keep(fmt.Errorf("%w %q in %q", ErrUnknownClass, fields.RequestClass, requestClassField))
 	}
 	return assign.ProxyTrafficReport{
 		Proxy:        proxy,
-		RequestClass: members.RequestClass,
+		RequestClass: fields.RequestClass,
 		Interval:     counts.interval,
 		Requests:     counts.requests,
 		Failed:       counts.failed,
-	}, checks.err
+	}
 }
 
 // load returns the values of a load report in the order of the configured metrics. A report with a missing or invalid
@@ -141,7 +135,7 @@
 		if column < 0 {
 			continue
 		}
-		if !member.InRange(value, maxOf(metric)) {
+		if !fieldcheck.InRange(value, maxOf(metric)) {
 			return nil
 		}
 		row[column] = settings.LoadValue(metric, value)
