--- /dev/null
+++ b/internal/loglimit/loglimit_test.go
@@ -0,0 +1,21 @@
+package loglimit
+
+import (
+	"bytes"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+)
+
+func TestLoggerDropsLinesAboveBurst(t *testing.T) {
+	var output bytes.Buffer
+	limited := New(zerolog.New(&output))
+	for range 3 * Burst {
+		limited.Warn().Msg("line dropped")
+		limited.Info().Msg("line skipped")
+	}
+	if got := strings.Count(output.String(), "\n"); got != Burst {
+		t.Errorf("got %d lines, want %d:\n%s", got, Burst, output.String())
+	}
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,6 @@
 // Package peer exchanges short messages between assigners as UDP datagrams. Delivery is not guaranteed, and no decision
-// depends on it: without a socket the assigner works on.
+// depends on it: without a socket the assigner works on. Socket.Run receives in the goroutine that calls it and blocks until
+// its context ends; Socket.Send may be called by any goroutine and does not block for longer than a system call.
 package peer
 
 import (
@@ -17,10 +18,11 @@
 	"madderhollow/internal/backoff"
 	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/eventqueue"
+	"madderhollow/internal/loglimit"
 )
 
 const (
-	// maxMessageSize is the protocol's limit on a datagram, in bytes. A longer one invalidates the whole run.
+	// maxMessageSize is the protocol's limit on a datagram, in bytes. The platform forbids longer ones.
 	maxMessageSize = 256
 	// readRetryDelay is the pause after a failed read. It keeps a broken socket from using a whole core.
 	readRetryDelay = 10 * time.Millisecond
@@ -38,8 +40,8 @@
 // Config configures a Socket. Addresses are IP:port.
 type Config struct {
 	Listen    string          // address to bind; required
-	Peers     []string        // addresses of all assigners, in the order of their numbers
-	Broadcast string          // address that reaches all peers; empty: there is none
+	Peers     []string        // addresses of all assigners, in the order of their numbers; default: none
+	Broadcast string          // address that reaches all peers; default: there is none
 	Sink      eventqueue.Sink // receives assign.PeerMessageReceived; Run blocks while it does; required
 	Log       zerolog.Logger
 }
@@ -53,6 +55,7 @@
 	broadcast netip.AddrPort              // invalid: there is none
 	sink      eventqueue.Sink
 	log       zerolog.Logger
+	dropLog   zerolog.Logger          // of dropped datagrams, limited because anybody may send any number
 	binding   *conditionlog.Condition // used by Open and then by Run alone
 }
 
@@ -64,31 +67,47 @@
 		numbers: map[netip.AddrPort]int{},
 		sink:    config.Sink,
 		log:     log,
+		dropLog: loglimit.New(log),
 		binding: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "peer socket bind failed; retrying",
 			Recovered: "peer socket bound",
 		}),
 	}
+	if err := socket.setAddresses(config); err != nil {
+		return nil, err
+	}
+	socket.bind()
+	return socket, nil
+}
+
+// setAddresses parses the configured addresses.
+func (s *Socket) setAddresses(config Config) error {
 	for number, peer := range config.Peers {
-		address, err := netip.ParseAddrPort(peer)
+		address, err := parseAddress(fmt.Sprintf("address of peer %d", number), peer)
 		if err != nil {
-			return nil, fmt.Errorf("address of peer %d: %w", number, err)
+			return err
 		}
-		socket.peers = append(socket.peers, address)
-		socket.numbers[address] = number
+		s.peers = append(s.peers, address)
+		s.numbers[address] = number
 	}
 	var err error
 	if config.Broadcast != "" {
-		if socket.broadcast, err = netip.ParseAddrPort(config.Broadcast); err != nil {
-			return nil, fmt.Errorf("peer broadcast address: %w", err)
+		if s.broadcast, err = parseAddress("peer broadcast address", config.Broadcast); err != nil {
+			return err
 		}
 	}
-	if socket.listen, err = netip.ParseAddrPort(config.Listen); err != nil {
-		return nil, fmt.Errorf("peer listen address: %w", err)
+	s.listen, err = parseAddress("peer listen address", config.Listen)
+	return err
+}
+
+// parseAddress parses an IP:port. Errors begin with what the address is.
+func parseAddress(what, address string) (netip.AddrPort, error) {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return netip.AddrPort{}, fmt.Errorf("%s: %w", what, err)
 	}
-	socket.bind()
-	return socket, nil
+	return parsed, nil
 }
 
 // bind makes one attempt to bind the socket, and logs if it failed.
@@ -151,7 +170,7 @@
 func (s *Socket) receive(ctx context.Context, from netip.AddrPort, data []byte) error {
 	number, err := s.sender(from, data)
 	if err != nil {
-		s.log.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
+		s.dropLog.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
 		return nil
 	}
 	return s.sink(ctx, assign.PeerMessageReceived{From: number, Data: append([]byte(nil), data...)})
@@ -188,11 +207,8 @@
 
 // destination returns the address for a message.
 func (s *Socket) destination(to int, data []byte) (netip.AddrPort, error) {
-	address := s.broadcast
-	if to >= 0 && to < len(s.peers) {
-		address = s.peers[to]
-	}
-	if !address.IsValid() || to >= len(s.peers) {
+	address, known := s.address(to)
+	if !known {
 		return netip.AddrPort{}, ErrUnknownPeer
 	}
 	if len(data) > maxMessageSize {
@@ -200,3 +216,14 @@
 	}
 	return address, nil
 }
+
+// address returns the address of a peer, by its number, or of all peers if the number is negative.
+func (s *Socket) address(number int) (address netip.AddrPort, known bool) {
+	if number < 0 {
+		return s.broadcast, s.broadcast.IsValid()
+	}
+	if number >= len(s.peers) {
+		return netip.AddrPort{}, false
+	}
+	return s.peers[number], true
+}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -1,6 +1,7 @@
 package peer
 
 import (
+	"bytes"
 	"context"
 	"net"
 	"reflect"
@@ -11,6 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"madderhollow/assign"
+	"madderhollow/internal/loglimit"
 )
 
 // timeout bounds every wait, so that a busy machine does not fail a test.
@@ -29,10 +31,17 @@
 
 // start opens a socket and runs it until the end of the test.
 func start(t *testing.T, listen, broadcast string, peers ...string) (*Socket, chan assign.Event) {
+	t.Helper()
+	return startWithLog(t, zerolog.Nop(), Config{Listen: listen, Broadcast: broadcast, Peers: peers})
+}
+
+// startWithLog is start with a logger.
+func startWithLog(t *testing.T, log zerolog.Logger, config Config) (*Socket, chan assign.Event) {
 	t.Helper()
 	events := make(chan assign.Event, 1000)
-	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	socket, err := Open(Config{Listen: listen, Peers: peers, Broadcast: broadcast, Sink: sink, Log: zerolog.Nop()})
+	config.Sink = func(_ context.Context, event assign.Event) error { events <- event; return nil }
+	config.Log = log
+	socket, err := Open(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,6 +106,31 @@
 	}
 }
 
+// Anybody may send datagrams, so their lines are limited.
+func TestDroppedDatagramsAreLoggedUpToBurst(t *testing.T) {
+	free, peer, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
+	own := free.LocalAddr()
+	if err := free.Close(); err != nil {
+		t.Fatal(err)
+	}
+	var output bytes.Buffer // written by the goroutine of Run, before the event is received
+	_, events := startWithLog(t, zerolog.New(&output),
+		Config{Listen: own.String(), Peers: []string{own.String(), peer.LocalAddr().String()}})
+	for range 3 * loglimit.Burst {
+		mustSend(t, unknown, []byte("who"), own)
+	}
+	mustSend(t, peer, []byte("hi"), own)
+	select {
+	case event := <-events:
+		checkReceived(t, event)
+	case <-time.After(timeout):
+		t.Fatal("got no event, want the message of peer 1")
+	}
+	if got := strings.Count(output.String(), "datagram dropped"); got != loglimit.Burst {
+		t.Errorf("got %d lines, want %d:\n%s", got, loglimit.Burst, output.String())
+	}
+}
+
 // While another socket holds the address, messages to send are dropped; the socket binds once the address is free.
 func TestSocketBindsOnceAddressIsFree(t *testing.T) {
 	held, other := listenUDP(t), listenUDP(t)
--- a/internal/reportserver/connections.go
+++ b/internal/reportserver/connections.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxCollectors bounds the connections of collectors. There is one collector per zone; others are left over from broken
-	// connections.
+	// maxCollectors bounds the connections of collectors, because any client can claim to be one. There is one collector per
+	// zone; other connections are left over from broken ones. With more than maxCollectors zones, collectors evict each other.
 	maxCollectors = 16
 	// minEvictionAge is the age before which an unidentified connection is not evicted: the first line of a collector may
 	// still be on its way.
@@ -84,20 +84,18 @@
 	return len(cs.clients)
 }
 
-// makeRoom reports whether another connection may be accepted. If not, it evicts all unidentified connections of at least
-// minEvictionAge; new ones wait in the kernel's queue until the evicted ones are removed.
-func (cs *connections) makeRoom() bool {
+// hasRoom reports whether another connection may be accepted. If not, new ones wait in the kernel's queue.
+func (cs *connections) hasRoom() bool { return cs.count() < cs.max }
+
+// evictUnidentified closes all unidentified connections of at least minEvictionAge. Their sessions then remove them.
+func (cs *connections) evictUnidentified() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if len(cs.clients) < cs.max {
-		return true
-	}
 	for c := range cs.clients {
 		if !c.identified() && time.Since(c.acceptedAt) > minEvictionAge {
 			c.close()
 		}
 	}
-	return false
 }
 
 // limitCollectors evicts the collector that has been silent for longest if there are more than maxCollectors.
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"testing"
 	"time"
@@ -14,12 +15,39 @@
 	"madderhollow/internal/wire"
 )
 
+// Lines of the protocol that the tests send.
+const (
+	pingLine        = `{"@type":"ping"}`
+	refusedLine     = `{"@type":"refused"}`
+	collectorFormat = `{"@type":"collector","locality":%q}` // with its zone as argument
+	relayEventLine  = `{"@type":"joined","node":1}`
+	// endpointReportOfB is a report of zone b.
+	endpointReportOfB = `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`
+	// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
+	proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
+	// longReportStart begins a proxy traffic report whose last field is a text without its end, longReportEnd ends it.
+	longReportStart = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
+	longReportEnd   = `"}`
+	unknownType     = `{"@type":"odd"}`
+	missingFields   = `{"@type":"usage"}`
+	lineStart       = `{"@type":`
+)
+
+// collectorLine returns the line that identifies a collector of a zone.
+func collectorLine(zone string) string { return fmt.Sprintf(collectorFormat, zone) }
+
 // timeout bounds every wait, so that a busy machine does not fail a test.
 const timeout = 5 * time.Second
 
 // startServer starts a server that allows a number of connections. It ends with the test, which fails if a connection is
 // still open then.
 func startServer(t *testing.T, connections int) (address string, events chan assign.Event, server *Server) {
+	t.Helper()
+	return startServerWithLog(t, connections, zerolog.Nop())
+}
+
+// startServerWithLog is startServer with a logger.
+func startServerWithLog(t *testing.T, connections int, log zerolog.Logger) (address string, events chan assign.Event, server *Server) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +56,7 @@
 	events = make(chan assign.Event, 10000)
 	codec := wire.NewCodec(testconfig.New([]string{"a", "b"}, 8, "read"), time.Now())
 	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, MemoryMB: 32, Log: zerolog.Nop()})
+	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, MemoryMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); server.Serve(ctx, listener) }()
@@ -102,6 +130,3 @@
 		t.Fatal(err)
 	}
 }
-
-// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
-const proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
--- a/internal/reportserver/lines.go
+++ b/internal/reportserver/lines.go
@@ -64,39 +64,59 @@
 
 // next blocks until a line is complete and returns it with its end; it is valid until the next call. After ErrLineTooLong
 // and ErrLineBudgetExhausted the line has been skipped, except that too long a line of an unidentified connection is not read
-// to its end. Other errors are the connection's.
+// to its end, since the connection is closed. Other errors are the connection's.
 func (l *lineReader) next() ([]byte, error) {
 	if err := l.setDeadline(); err != nil {
 		return nil, err
 	}
-	maxSize := maxLineSize
-	if !l.client.identified() {
-		maxSize = maxUnidentifiedLineSize
-	}
-	var skipped error
 	for {
-		part, err := l.reader.ReadSlice('\n')
-		l.client.lastRead.Store(time.Now().UnixNano())
-		complete := err == nil
-		if !complete && !errors.Is(err, bufio.ErrBufferFull) {
-			return nil, fmt.Errorf("read line: %w", err)
+		part, complete, err := l.readPart()
+		if err != nil {
+			return nil, err
 		}
-		if len(l.prefix)+len(part) > maxSize+len("\n") {
+		if len(l.prefix)+len(part) > l.maxSize() {
 			if !l.client.identified() {
 				return nil, ErrLineTooLong
 			}
-			skipped = ErrLineTooLong
+			return nil, l.skip(complete, ErrLineTooLong)
 		}
 		if complete {
-			return l.finish(part, skipped)
+			return l.finish(part), nil
 		}
-		if skipped == nil && !l.keep(part) {
-			skipped = ErrLineBudgetExhausted
+		if !l.append(part) {
+			return nil, l.skip(complete, ErrLineBudgetExhausted)
 		}
-		if skipped != nil {
-			l.discard()
+	}
+}
+
+// readPart blocks until a line is complete or the read buffer is full, and returns what was read of the line.
+func (l *lineReader) readPart() (part []byte, complete bool, err error) {
+	part, err = l.reader.ReadSlice('\n')
+	l.client.lastRead.Store(time.Now().UnixNano())
+	if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
+		return nil, false, fmt.Errorf("read line: %w", err)
+	}
+	return part, err == nil, nil
+}
+
+// maxSize returns the size of the longest line that the client may send, with its end.
+func (l *lineReader) maxSize() int {
+	if l.client.identified() {
+		return maxLineSize + len("\n")
+	}
+	return maxUnidentifiedLineSize + len("\n")
+}
+
+// skip discards the line, reads to its end unless it is complete, and returns the reason or the connection's error.
+func (l *lineReader) skip(complete bool, reason error) error {
+	l.discard()
+	for !complete {
+		var err error
+		if _, complete, err = l.readPart(); err != nil {
+			return err
 		}
 	}
+	return reason
 }
 
 // setDeadline sets the read deadline for the next line. An unidentified client has one deadline for all its lines. A
@@ -123,21 +143,18 @@
 	return nil
 }
 
-// finish returns the line that a part completes, or the reason why it was skipped.
-func (l *lineReader) finish(part []byte, skipped error) ([]byte, error) {
-	line := part
-	if len(l.prefix) > 0 {
-		line = slices.Concat(l.prefix, part)
+// finish returns the line that a part completes, and releases the bytes of its prefix.
+func (l *lineReader) finish(part []byte) []byte {
+	if len(l.prefix) == 0 {
+		return part
 	}
+	line := slices.Concat(l.prefix, part)
 	l.discard()
-	if skipped != nil {
-		return nil, skipped
-	}
-	return line, nil
+	return line
 }
 
-// keep appends a part to the line's prefix and reports whether the budget allowed it.
-func (l *lineReader) keep(part []byte) bool {
+// append appends a part to the line's prefix and reports whether the budget allowed it.
+func (l *lineReader) append(part []byte) bool {
 	if !l.budget.reserve(len(part)) {
 		return false
 	}
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -21,7 +21,7 @@
 		event := assign.ProxyTrafficReport{Proxy: i % 8, RequestClass: "read", Interval: 1, Requests: i}
 		switch random.Intn(8) {
 		case 0:
-			lines.WriteString([]string{"", "{", "nonsense", `{"@type":"odd"}`, `{"@type":"usage"}`, "\x00\xff"}[random.Intn(6)])
+			lines.WriteString([]string{"", "{", "nonsense", unknownType, missingFields, "\x00\xff"}[random.Intn(6)])
 		case 1: // longer than the read buffer
 			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", random.Intn(20000)))
 			want = append(want, event)
@@ -45,7 +45,7 @@
 		random := rand.New(rand.NewSource(seed))
 		reports, want := randomReports(random)
 		conn := connect(t, address)
-		for text := `{"@type":"collector","locality":"b"}` + "\n" + reports; text != ""; {
+		for text := collectorLine("b") + "\n" + reports; text != ""; {
 			n := min(len(text), 1+random.Intn(1<<uint(random.Intn(18))))
 			if _, err := io.WriteString(conn, text[:n]); err != nil {
 				t.Fatal(err)
@@ -72,7 +72,7 @@
 func TestLinesShareMemoryBudget(t *testing.T) {
 	const longReport = 1 // requests of the long lines; the short lines after them have 100 and more
 	address, events, server := startServer(t, 100)
-	long := fmt.Sprintf(`{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`, longReport) +
+	long := fmt.Sprintf(longReportStart, longReport) +
 		strings.Repeat("x", maxLineSize-200)
 	fit := int(server.lineBudget.limit) / len(long)
 	var collectors []*collectortest.Collector
@@ -89,7 +89,7 @@
 	}
 	finish := func(some []*collectortest.Collector, reports int) (longLines int) {
 		for i, collector := range some {
-			if err := collector.Write("\"}\n" + fmt.Sprintf(proxyReportFormat, i%8, 100+i, "") + "\n"); err != nil {
+			if err := collector.Write(longReportEnd + "\n" + fmt.Sprintf(proxyReportFormat, i%8, 100+i, "") + "\n"); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -1,4 +1,7 @@
-// Package reportserver serves the assigner's address: collectors send reports there, and any client may ping.
+// Package reportserver serves the assigner's address: collectors send reports there, and any client may ping. Server.Serve
+// accepts in the goroutine that calls it, and blocks until its context ends and all sessions have ended. Each connection has
+// one goroutine, which reads its lines, answers pings and calls the sink; a sink that blocks stops the reading of that
+// connection alone.
 //
 // The files have one job each: accepting connections (server.go), which connections stay open when there are too many
 // (connections.go), reading lines within a budget of memory (lines.go), and the session of one client (session.go).
@@ -18,6 +21,7 @@
 	"madderhollow/internal/backoff"
 	"madderhollow/internal/conditionlog"
 	"madderhollow/internal/eventqueue"
+	"madderhollow/internal/loglimit"
 	"madderhollow/internal/wire"
 )
 
@@ -27,13 +31,9 @@
 	// lineMemoryDivisor sets the budget for lines being read, as a fraction of the memory limit.
 	lineMemoryDivisor = 8
 	bytesPerMB        = 1 << 20
-	// acceptRetryDelay is the pause before the next accept when descriptors are short. It keeps the loop from using a whole
-	// core.
+	// acceptRetryDelay is the pause after a failed accept, and between checks for room when there are too many connections.
+	// It keeps the loop from using a whole core.
 	acceptRetryDelay = 5 * time.Millisecond
-	// limitedLogBurst lines are logged in each limitedLogPeriod about malformed lines and unidentified connections, which
-	// may occur by the hundreds. The counters have them all.
-	limitedLogBurst  = 5
-	limitedLogPeriod = 10 * time.Second
 )
 
 // Config configures a Server.
@@ -41,9 +41,9 @@
 	Codec *wire.Codec     // decodes lines; required
 	Sink  eventqueue.Sink // receives the reports; the goroutine of each connection calls it and may block in it; required
 	// Descriptors is the process's limit on open file descriptors. All but spareDescriptors of them are for clients, and at
-	// least one is.
+	// least one is; required.
 	Descriptors int
-	MemoryMB    int // the process's memory limit, of which lines being read get 1/8
+	MemoryMB    int // the process's memory limit, of which lines being read get 1/lineMemoryDivisor; required
 	Log         zerolog.Logger
 }
 
@@ -59,7 +59,7 @@
 	codec       *wire.Codec
 	sink        eventqueue.Sink
 	log         zerolog.Logger
-	limitedLog  zerolog.Logger // at most limitedLogBurst lines per limitedLogPeriod
+	limitedLog  zerolog.Logger // for what may occur by the hundreds, limited by package loglimit
 	connections *connections
 	lineBudget  *byteBudget
 
@@ -73,16 +73,12 @@
 		codec:       config.Codec,
 		sink:        config.Sink,
 		log:         log,
-		limitedLog:  log.Sample(newLogLimit()),
+		limitedLog:  loglimit.New(log),
 		connections: newConnections(max(1, config.Descriptors-spareDescriptors)),
 		lineBudget:  &byteBudget{limit: int64(config.MemoryMB) * bytesPerMB / lineMemoryDivisor},
 	}
 }
 
-func newLogLimit() zerolog.Sampler {
-	return &zerolog.BurstSampler{Burst: limitedLogBurst, Period: limitedLogPeriod}
-}
-
 // Stats returns the counters.
 func (s *Server) Stats() Stats {
 	return Stats{
@@ -127,9 +123,7 @@
 		Recovered: "accept succeeded",
 	})
 	for {
-		for !s.connections.makeRoom() && ctx.Err() == nil {
-			backoff.Sleep(ctx, acceptRetryDelay)
-		}
+		s.awaitRoom(ctx)
 		conn, err := listener.Accept()
 		if err == nil {
 			accepting.Recover()
@@ -143,12 +137,27 @@
 	}
 }
 
+// awaitRoom blocks until there is room for a connection or the context ends. It evicts unidentified connections as long as
+// there is none.
+func (s *Server) awaitRoom(ctx context.Context) {
+	for !s.connections.hasRoom() && ctx.Err() == nil {
+		s.connections.evictUnidentified()
+		backoff.Sleep(ctx, acceptRetryDelay)
+	}
+}
+
 // serve runs the session of a client and then closes its connection.
 func (s *Server) serve(ctx context.Context, client *client) {
 	defer s.connections.remove(client)
 	session := newSession(s, client)
 	defer session.lines.discard()
-	if err := session.run(ctx); err != nil && ctx.Err() == nil {
-		session.refuse(err)
+	reason := session.run(ctx)
+	if ctx.Err() != nil {
+		return
+	}
+	if reason != nil {
+		session.refuse(reason)
+		return
 	}
+	session.logDisconnect()
 }
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxMalformedLinesFirst malformed lines in a row close the connection of a collector without a valid report, and
+	// maxMalformedLinesBeforeReport malformed lines in a row close the connection of a collector without a valid report, and
 	// maxMalformedLines one with valid reports. Single malformed reports occur among valid ones; after a longer run the
 	// stream is out of step, and a new connection starts with a complete line.
-	maxMalformedLinesFirst = 4
-	maxMalformedLines      = 12
+	maxMalformedLinesBeforeReport = 4
+	maxMalformedLines             = 12
 	// writeTimeout bounds the time until the client has read an answer.
 	writeTimeout = 500 * time.Millisecond
 	// maxLoggedLineSize bounds the part of a malformed line that is logged, in bytes.
@@ -41,7 +41,8 @@
 //	               eviction leads to closed
 //	closed         run has returned; refuse logs the reason and sends the client a last line
 //
-// A client that closes its connection, and the end of the context, lead to closed without refuse.
+// A client that closes its connection, and the end of the context, lead to closed without refuse. The former is logged if the
+// client was a collector.
 type session struct {
 	server         *Server
 	client         *client // holds the state: identified or not
@@ -58,17 +59,13 @@
 func (s *session) run(ctx context.Context) error {
 	for {
 		line, err := s.lines.next()
-		if err != nil && !s.isSkipped(err) {
-			return s.closeReason(err)
-		}
-		var message wire.Message
-		if err == nil {
-			message, err = s.decode(line)
-		}
-		if err == nil {
-			err = s.handle(ctx, message)
-		} else {
+		switch {
+		case err == nil:
+			err = s.receive(ctx, line)
+		case s.isSkipped(err):
 			err = s.skip(line, err)
+		default:
+			return s.closeReason(err)
 		}
 		if err != nil {
 			return err
@@ -76,6 +73,15 @@
 	}
 }
 
+// receive handles the message in a line; a malformed line is skipped. An error closes the connection.
+func (s *session) receive(ctx context.Context, line []byte) error {
+	message, err := s.decode(line)
+	if err != nil {
+		return s.skip(line, err)
+	}
+	return s.handle(ctx, message)
+}
+
 // isSkipped reports whether a read error concerns one skipped line of a collector, after which the next can be read.
 func (s *session) isSkipped(err error) bool {
 	return s.client.identified() && (errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrLineBudgetExhausted))
@@ -119,11 +125,12 @@
 	return event, ok
 }
 
-// skip counts a malformed line. It returns the reason as an error if the connection has to be closed.
+// skip counts a malformed line, nil if it could not be read. It returns the reason as an error if the connection has to be
+// closed.
 func (s *session) skip(line []byte, reason error) error {
 	s.server.malformedLines.Add(1)
 	s.malformedLines++
-	tooMany := s.malformedLines >= maxMalformedLines || !s.hasReports && s.malformedLines >= maxMalformedLinesFirst
+	tooMany := s.malformedLines >= maxMalformedLines || !s.hasReports && s.malformedLines >= maxMalformedLinesBeforeReport
 	if tooMany || !s.client.identified() {
 		return reason
 	}
@@ -175,3 +182,10 @@
 	}
 	_ = s.write(wire.Refused()) // best effort: the client may not read, or may be gone
 }
+
+// logDisconnect logs that a collector closed its connection. Other clients are not logged: most only send a ping.
+func (s *session) logDisconnect() {
+	if zone := s.client.zone.Load(); zone != nil {
+		s.server.log.Info().Str("zone", *zone).Msg("collector disconnected")
+	}
+}
--- a/internal/reportserver/session_test.go
+++ b/internal/reportserver/session_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"github.com/rs/zerolog"
+
 	"madderhollow/internal/eventually"
 )
 
@@ -40,21 +42,21 @@
 			}
 		}
 	}
-	const collector = "{\"@type\":\"collector\",\"locality\":\"a\"}\n"
+	collector := collectorLine("a") + "\n"
 	return map[string]func(net.Conn){
 		"silence":                 func(net.Conn) {},
-		"half a line":             once(`{"@type":"col`),
+		"half a line":             once(collector[:len(collector)/2]),
 		"endless line":            endless("x"),
 		"endless lines":           endless("x\n"),
-		"endless pings":           endless("{\"@type\":\"ping\"}\n"),
+		"endless pings":           endless(pingLine + "\n"),
 		"byte by byte":            func(conn net.Conn) { endless("{")(slowConn{conn}) },
 		"HTTP":                    once("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"unknown zone":            once("{\"@type\":\"collector\",\"locality\":\"q\"}\n"),
+		"unknown zone":            once(collectorLine("q") + "\n"),
 		"report before its zone":  once(fmt.Sprintf(proxyReportFormat+"\n", 1, 99, "")),
-		"relay event":             once("{\"@type\":\"joined\",\"node\":1}\n"),
-		"only a ping":             once("{\"@type\":\"ping\"}\n"),
+		"relay event":             once(relayEventLine + "\n"),
+		"only a ping":             once(pingLine + "\n"),
 		"malformed lines":         once(collector + "x\nx\nx\nx\n"),
-		"collector's half a line": once(collector + `{"@type":`),
+		"collector's half a line": once(collector + lineStart),
 	}
 }
 
@@ -67,15 +69,15 @@
 	var clients sync.WaitGroup
 	for name, send := range misbehavingClients() {
 		conn := connect(t, address)
-		go send(conn)
+		go send(conn) // ends when the server closes the connection, at the latest when the test's cleanup does
 		clients.Add(1)
-		go func() {
+		go func() { // ends with the connection or at its read deadline; clients.Wait awaits it
 			defer clients.Done()
 			if err := conn.SetReadDeadline(began.Add(3 * time.Second)); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 			text, err := io.ReadAll(conn)
-			if errors.Is(err, os.ErrDeadlineExceeded) && !strings.Contains(string(text), "refused") {
+			if errors.Is(err, os.ErrDeadlineExceeded) && !strings.Contains(string(text), refusedLine) {
 				t.Errorf("%s: got %q and an open connection, want it closed or refused", name, text)
 			}
 		}()
@@ -102,7 +104,7 @@
 	collector := dial(t, address)
 	for i := range 3 * maxMalformedLines {
 		mustSend(t, collector, "{")
-		mustSend(t, collector, `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`) // of another zone
+		mustSend(t, collector, endpointReportOfB) // the collector is that of zone a
 		mustReport(t, collector, i)
 		if got := nextRequests(t, events); got != i {
 			t.Fatalf("got a report of %d requests, want %d", got, i)
@@ -141,3 +143,32 @@
 		}
 	}
 }
+
+// logLines passes on each line of a log.
+type logLines chan string
+
+func (l logLines) Write(line []byte) (int, error) {
+	l <- string(line)
+	return len(line), nil
+}
+
+func TestDisconnectOfCollectorIsLogged(t *testing.T) {
+	lines := make(logLines, 100)
+	address, _, _ := startServerWithLog(t, 5, zerolog.New(lines))
+	if err := dial(t, address).Close(); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{
+		`{"level":"info","component":"report_server","zone":"a","message":"collector connected"}`,
+		`{"level":"info","component":"report_server","zone":"a","message":"collector disconnected"}`,
+	} {
+		select {
+		case got := <-lines:
+			if strings.TrimSpace(got) != want {
+				t.Errorf("got line %s, want %s", got, want)
+			}
+		case <-time.After(timeout):
+			t.Fatalf("got no line within %v, want %s", timeout, want)
+		}
+	}
+}
--- a/internal/wire/relayevents_test.go
+++ b/internal/wire/relayevents_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestRelayEventErrorTellsMissingFromInvalidField(t *testing.T) {
+func TestRelayEventErrorDistinguishesMissingFromInvalidField(t *testing.T) {
 	for data, want := range map[string]string{
 		"":       `left: "node" is missing, want number of a proxy: a number`,
 		"node=":  `left: "node" is "", want number of a proxy: a number`,
