--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
 // Package config loads the configuration of an assigner: the JSON file that EDGE_CONFIG names, and the environment variables
-// that override fields of it.
+// that override fields of it. Load, LoadWithRetry and LoadUpdate block while they read the file, for as long as the other end
+// stays silent if it is a pipe; a context does not end a read. Any goroutine may call them.
 //
 // file.go has the fields of the file, load.go reads it at the start, update.go while the program runs.
 package config
@@ -85,7 +86,8 @@
 	return fmt.Errorf("configuration: %w", &fieldcheck.Error{Field: name, Value: value, Want: want})
 }
 
-// validate checks the fields that would otherwise fail while the program runs.
+// validate checks the fields that would otherwise fail while the program runs. The initial endpoints are converted only to
+// check them: the times in the event depend on the start of the assigner's clock, which is not known here.
 func (c *Config) validate() error {
 	if _, err := wire.NewCodec(c.Settings, time.Now()).EndpointUpdate(c.InitialEndpoints); err != nil {
 		return fmt.Errorf("configuration: %q: %w", initialEndpointsField, err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"os"
+	"reflect"
+	"strings"
 	"testing"
 
 	"madderhollow/internal/fieldcheck"
@@ -35,17 +37,47 @@
 	}
 }
 
+// Files with one invalid field after the valid ones that are checked before it.
+const (
+	invalidSeed     = `{"seed":"x"}`
+	noSettings      = `{"seed":"1"}`
+	noEndpoints     = `{"seed":"1","settings":{"az":"x"}}`
+	invalidListen   = `{"seed":"1","settings":{"az":"x"},"known":{"index":0,"snapshot":true},"listen":"nowhere"}`
+	negativeVersion = `{"seed":"1","settings":{"az":"x"},"known":{"index":-1,"snapshot":true}}`
+	versionField    = "index" // of the endpoint list
+)
+
 func TestParseNamesInvalidField(t *testing.T) {
 	for text, want := range map[string]string{
-		`{"seed":"x"}`:                       "seed",
-		`{"seed":"1"}`:                       "settings",
-		`{"seed":"1","settings":{"az":"x"}}`: "known",
-		`{"seed":"1","settings":{"az":"x"},"known":{"index":0,"snapshot":true},"listen":"nowhere"}`: "listen",
-		`{"seed":"1","settings":{"az":"x"},"known":{"index":-1,"snapshot":true}}`:                   "index",
+		invalidSeed:     seedField,
+		noSettings:      settingsField,
+		noEndpoints:     initialEndpointsField,
+		invalidListen:   listenField,
+		negativeVersion: versionField,
 	} {
 		var fieldError *fieldcheck.Error
-		if _, err := Parse([]byte(text), environment(nil)); !errors.As(err, &fieldError) || fieldError.Field != want {
-			t.Errorf("%s: got error %v, want one of field %s", text, err, want)
+		config, err := Parse([]byte(text), environment(nil))
+		if !errors.As(err, &fieldError) || fieldError.Field != want || config != nil {
+			t.Errorf("%s: got %+v (%v), want an error of field %s alone", text, config, err, want)
+		}
+	}
+}
+
+func TestFieldConstantsMatchTags(t *testing.T) {
+	whole, nested := reflect.TypeFor[file](), reflect.TypeFor[relay]()
+	for _, test := range []struct {
+		structure reflect.Type
+		field     string
+		want      string
+	}{
+		{whole, "Seed", seedField}, {whole, "Settings", settingsField}, {whole, "InitialEndpoints", initialEndpointsField},
+		{whole, "Listen", listenField}, {whole, "Discovery", discoveryField}, {whole, "Relay", relayField},
+		{nested, "Address", strings.TrimPrefix(relayAddressField, relayField+".")},
+		{whole, "PeerListen", peerListenField}, {whole, "Peers", peersField}, {whole, "PeersBroadcast", peersBroadcastField},
+	} {
+		field, ok := test.structure.FieldByName(test.field)
+		if got := field.Tag.Get("json"); !ok || got != test.want {
+			t.Errorf("%s.%s: got tag %q, want %q", test.structure.Name(), test.field, got, test.want)
 		}
 	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -24,13 +24,13 @@
 
 // Retry describes how LoadWithRetry repeats its attempts. The file may be written while the assigner starts.
 type Retry struct {
-	Timeout  time.Duration // after the first attempt; the attempt after it is the last one
-	Interval time.Duration // between attempts
-	Now      func() time.Time
-	Sleep    func(context.Context, time.Duration) // returns early if the context ends
+	Timeout  time.Duration                        // since the first attempt; the first attempt after it is the last one
+	Interval time.Duration                        // between attempts
+	Now      func() time.Time                     // required
+	Sleep    func(context.Context, time.Duration) // returns early if the context ends; required
 }
 
-// DefaultRetry returns a Retry that reports an invalid file within a second.
+// DefaultRetry returns a Retry that reports an invalid file within a second, by the wall clock.
 func DefaultRetry() Retry {
 	return Retry{Timeout: 600 * time.Millisecond, Interval: 20 * time.Millisecond, Now: time.Now, Sleep: backoff.Sleep}
 }
@@ -80,7 +80,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return config, config.validate()
+	if err := config.validate(); err != nil {
+		return nil, err
+	}
+	return config, nil
 }
 
 // override replaces a field by the value of an environment variable that is set.
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -17,7 +17,7 @@
 }
 
 // LoadUpdate reads a new configuration file while the program runs. The file takes precedence over the environment here,
-// because the environment is as old as the process.
+// because the environment is as old as the process. An update with an invalid address is returned with the error.
 func LoadUpdate(path string) (*Update, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,6 +29,17 @@
 	return conn
 }
 
+// freeAddress returns an address that no socket is bound to. The caller binds it next, since it may be assigned to any socket
+// that is bound to a free port.
+func freeAddress(t *testing.T) net.Addr {
+	t.Helper()
+	conn := listenUDP(t)
+	if err := conn.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return conn.LocalAddr()
+}
+
 // start opens a socket and runs it until the end of the test.
 func start(t *testing.T, listen, broadcast string, peers ...string) (*Socket, chan assign.Event) {
 	t.Helper()
@@ -47,7 +58,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); socket.Run(ctx) }()
+	go func() { defer close(ended); socket.Run(ctx) }() // ends with the test
 	t.Cleanup(func() { cancel(); <-ended })
 	return socket, events
 }
@@ -79,25 +90,28 @@
 	}
 }
 
+// awaitReceived fails the test unless the next event is the message "hi" of peer 1.
+func awaitReceived(t *testing.T, events chan assign.Event) {
+	t.Helper()
+	select {
+	case event := <-events:
+		checkReceived(t, event)
+	case <-time.After(timeout):
+		t.Fatal("got no event, want the message of peer 1")
+	}
+}
+
 // Received datagrams carry the sender's number. Datagrams of unknown senders and oversized ones are dropped, and oversized
 // ones are not sent.
 func TestSocketDropsOversizedAndUnknownDatagrams(t *testing.T) {
-	free, first, broadcast, other := listenUDP(t), listenUDP(t), listenUDP(t), listenUDP(t)
-	own := free.LocalAddr()
-	if err := free.Close(); err != nil {
-		t.Fatal(err)
-	}
+	first, broadcast, other := listenUDP(t), listenUDP(t), listenUDP(t)
+	own := freeAddress(t)
 	peers := []string{own.String(), first.LocalAddr().String(), broadcast.LocalAddr().String()}
 	socket, events := start(t, own.String(), peers[2], peers...)
 	mustSend(t, other, []byte("who"), own)
 	mustSend(t, first, make([]byte, maxMessageSize+1), own)
 	mustSend(t, first, []byte("hi"), own)
-	select {
-	case event := <-events:
-		checkReceived(t, event)
-	case <-time.After(timeout):
-		t.Error("got no event, want the message of peer 1")
-	}
+	awaitReceived(t, events)
 	for to, conn := range map[int]*net.UDPConn{1: first, -1: broadcast} {
 		socket.Send(to, make([]byte, maxMessageSize+1))
 		socket.Send(len(peers), []byte("nobody"))
@@ -108,11 +122,8 @@
 
 // Anybody may send datagrams, so their lines are limited.
 func TestDroppedDatagramsAreLoggedUpToBurst(t *testing.T) {
-	free, peer, unknown := listenUDP(t), listenUDP(t), listenUDP(t)
-	own := free.LocalAddr()
-	if err := free.Close(); err != nil {
-		t.Fatal(err)
-	}
+	peer, unknown := listenUDP(t), listenUDP(t)
+	own := freeAddress(t)
 	var output bytes.Buffer // written by the goroutine of Run, before the event is received
 	_, events := startWithLog(t, zerolog.New(&output),
 		Config{Listen: own.String(), Peers: []string{own.String(), peer.LocalAddr().String()}})
@@ -120,12 +131,7 @@
 		mustSend(t, unknown, []byte("who"), own)
 	}
 	mustSend(t, peer, []byte("hi"), own)
-	select {
-	case event := <-events:
-		checkReceived(t, event)
-	case <-time.After(timeout):
-		t.Fatal("got no event, want the message of peer 1")
-	}
+	awaitReceived(t, events)
 	if got := strings.Count(output.String(), "datagram dropped"); got != loglimit.Burst {
 		t.Errorf("got %d lines, want %d:\n%s", got, loglimit.Burst, output.String())
 	}
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -17,22 +17,24 @@
 
 // Lines of the protocol that the tests send.
 const (
-	pingLine        = `{"@type":"ping"}`
-	refusedLine     = `{"@type":"refused"}`
-	collectorFormat = `{"@type":"collector","locality":%q}` // with its zone as argument
-	relayEventLine  = `{"@type":"joined","node":1}`
+	pingLine          = `{"@type":"ping"}`
+	collectorFormat   = `{"@type":"collector","locality":%q}` // with its zone as argument
+	relayEventLine    = `{"@type":"joined","node":1}`
+	unknownTypeLine   = `{"@type":"odd"}`
+	missingFieldsLine = `{"@type":"usage"}`
+	lineStart         = `{"@type":`
 	// endpointReportOfB is a report of zone b.
 	endpointReportOfB = `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`
 	// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
 	proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
-	// longReportStart begins a proxy traffic report whose last field is a text without its end, longReportEnd ends it.
-	longReportStart = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
-	longReportEnd   = `"}`
-	unknownType     = `{"@type":"odd"}`
-	missingFields   = `{"@type":"usage"}`
-	lineStart       = `{"@type":`
+	// longReportFormat begins such a report with its requests as argument. Its last field is a text that longReportEnd ends.
+	longReportFormat = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
+	longReportEnd    = `"}`
 )
 
+// refusedLine is the line that a client receives before the server closes its connection.
+const refusedLine = `{"@type":"refused"}`
+
 // collectorLine returns the line that identifies a collector of a zone.
 func collectorLine(zone string) string { return fmt.Sprintf(collectorFormat, zone) }
 
@@ -59,7 +61,7 @@
 	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, MemoryMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); server.Serve(ctx, listener) }()
+	go func() { defer close(ended); server.Serve(ctx, listener) }() // ends with the test
 	t.Cleanup(func() {
 		cancel()
 		<-ended
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -21,7 +21,7 @@
 		event := assign.ProxyTrafficReport{Proxy: i % 8, RequestClass: "read", Interval: 1, Requests: i}
 		switch random.Intn(8) {
 		case 0:
-			lines.WriteString([]string{"", "{", "nonsense", unknownType, missingFields, "\x00\xff"}[random.Intn(6)])
+			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[random.Intn(6)])
 		case 1: // longer than the read buffer
 			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", random.Intn(20000)))
 			want = append(want, event)
@@ -72,7 +72,7 @@
 func TestLinesShareMemoryBudget(t *testing.T) {
 	const longReport = 1 // requests of the long lines; the short lines after them have 100 and more
 	address, events, server := startServer(t, 100)
-	long := fmt.Sprintf(longReportStart, longReport) +
+	long := fmt.Sprintf(longReportFormat, longReport) +
 		strings.Repeat("x", maxLineSize-200)
 	fit := int(server.lineBudget.limit) / len(long)
 	var collectors []*collectortest.Collector
--- a/internal/settings/hosts_test.go
+++ b/internal/settings/hosts_test.go
@@ -18,11 +18,25 @@
 	"familyInfo":{"bareMs":6000,"homeOnly":[false,true],"mutating":[false,true],"proxyCount":6},"unknown":{"key":[1,"z"]},
 	"report":{"columns":["load_share","mean_ms","tps"],"via":"inline"},"roundMs":2,"zones":["x","y"]}`
 
+// Messages of both hosts' protocols. Load values are an array in the simulator's and an object in the daemon's; the daemon's
+// load metrics have two names each.
+const (
+	openInstance        = `["openInstance",0,7,` + settingsObject + `]`
+	simulatorLoadReport = `["tally",0,"x",41.5,3,1000,"t",212,[0.61,140,93]]`
+
+	configurationFile = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":` + settingsObject + `}`
+	daemonLoadReportFormat = `{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
+		"interval":1000,"metrics":%s}` // with the load as argument
+	loadByFirstNames  = `{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`
+	loadBySecondNames = `{"util":0.61,"qps":93,"latency_ms":140}`
+)
+
 // fromSimulator returns the configuration and the event of a report that the simulator's host passes to the module.
 func fromSimulator(t *testing.T) (assign.Config, assign.Event) {
 	t.Helper()
 	decoder := simproto.NewDecoder()
-	message, err := decoder.Decode([]byte(`["openInstance",0,7,` + settingsObject + `]`))
+	message, err := decoder.Decode([]byte(openInstance))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +44,7 @@
 	if !ok {
 		t.Fatalf("got %#v, want the start of an instance", message)
 	}
-	message, err = decoder.Decode([]byte(`["tally",0,"x",41.5,3,1000,"t",212,[0.61,140,93]]`))
+	message, err = decoder.Decode([]byte(simulatorLoadReport))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,26 +58,22 @@
 // Measurements in the simulator are valid for the daemon only if both hosts pass the same configuration and events.
 func TestBothHostsPassSameConfigAndEvents(t *testing.T) {
 	simulated, report := fromSimulator(t)
-	cfg, err := config.Parse(fmt.Appendf(nil, `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
-		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":%s}`, settingsObject),
-		func(string) string { return "" })
+	cfg, err := config.Parse([]byte(configurationFile), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(simulated, cfg.Settings) || simulated.MinBatchInterval != 0.002 {
 		t.Errorf("got %+v in the simulator\nand %+v in the daemon, want the same, with batches at least 2 ms apart", simulated, cfg.Settings)
 	}
-	// Load values are an array in the simulator's protocol and an object in the daemon's.
-	load, ok := report.(assign.EndpointLoadReport)
-	if !ok || load.Load[1] != 0.14 {
+	decoded, ok := report.(assign.EndpointLoadReport)
+	if !ok || decoded.Load[1] != 0.14 {
 		t.Errorf("got %+v, want a load report with a service time of 0.14 s", report)
 	}
 	codec := wire.NewCodec(cfg.Settings, time.Unix(0, 0))
-	for _, metrics := range []string{`{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`, `{"util":0.61,"qps":93,"latency_ms":140}`} {
-		message, err := codec.DecodeMessage([]byte(`{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
-			"interval":1000,"metrics":` + metrics + `}`))
+	for _, load := range []string{loadByFirstNames, loadBySecondNames} {
+		message, err := codec.DecodeMessage(fmt.Appendf(nil, daemonLoadReportFormat, load))
 		if err != nil || !reflect.DeepEqual(message, wire.Report{Event: report}) {
-			t.Errorf("%s: got %+v (%v), want %+v", metrics, message, err, report)
+			t.Errorf("%s: got %+v (%v), want %+v", load, message, err, report)
 		}
 	}
 }
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -18,16 +18,32 @@
 	return out.String(), diagnosed.String()
 }
 
+// Messages of the protocol, and messages of replies, for instance 4.
 const (
-	openInstance = `["openInstance",4,1,{"classes":[{"name":"r"}],"familyInfo":{"pendingMax":500}}]`
-	fullUpdate   = `["update",4,1,"C",[["n",0,"a:1",1,"healthy",null,"m"]]]`
+	batchStart1       = `["mark",1,1]`
+	batchStart2       = `["mark",2,2]`
+	batchStart3       = `["mark",3,3]`
+	batchStartLarge   = `["mark",4,9007199254740993]` // float64 does not represent the number of the batch
+	batchEnd          = `["flush"]`
+	openInstance      = `["openInstance",4,1,{"classes":[{"name":"r"}],"familyInfo":{"pendingMax":500}}]`
+	haltInstance      = `["halt",4]`
+	fullUpdate        = `["update",4,1,"C",[["n",0,"a:1",1,"healthy",null,"m"]]]`
+	proxyConnected    = `["connected",4,0,"n",5,false]`
+	proxyDisconnected = `["left",4,0]`
+	invalidProxy      = `["left",4,"x"]`
+
+	replyEnd1     = `["end",1]` + "\n"
+	replyEnd3     = `["end",3]` + "\n"
+	replyEndLarge = `["end",9007199254740993]` + "\n"
+	setWeight     = `["setLine",4,0,1,"a:1"]`
+	attachTable   = `["handTable",4,0,0,1]`
+	faultStart    = `["fault",4,"`
 )
 
 func TestHostRepliesToEachBatch(t *testing.T) {
-	reply, diagnostics := serve(t, `["mark",1,1]`, `["flush"]`, `["mark",2,2]`, openInstance, fullUpdate, `["connected",4,0,"n",5,false]`,
-		`["flush"]`, `["mark",3,3]`, `["halt",4]`, `["flush"]`, `["mark",4,9007199254740993]`, `["left",4,0]`, `["flush"]`)
-	for _, want := range []string{"[\"end\",1]\n", `["setLine",4,0,1,"a:1"]`, `["handTable",4,0,0,1]`,
-		"[\"end\",3]\n", "[\"end\",9007199254740993]\n"} {
+	reply, diagnostics := serve(t, batchStart1, batchEnd, batchStart2, openInstance, fullUpdate, proxyConnected, batchEnd,
+		batchStart3, haltInstance, batchEnd, batchStartLarge, proxyDisconnected, batchEnd)
+	for _, want := range []string{replyEnd1, setWeight, attachTable, replyEnd3, replyEndLarge} {
 		if !strings.Contains(reply, want) {
 			t.Errorf("got reply\n%swant one with %s", reply, want)
 		}
@@ -38,9 +54,9 @@
 }
 
 func TestHostSkipsLinesThatCannotBeUsed(t *testing.T) {
-	reply, diagnostics := serve(t, `["mark",1,1]`, `["left",4,"x"]`, `nonsense`, `["flush"]`, `["flush"]`)
-	if want := "[\"end\",1]\n"; reply != want {
-		t.Errorf("got reply %q, want %q", reply, want)
+	reply, diagnostics := serve(t, batchStart1, invalidProxy, `nonsense`, batchEnd, batchEnd)
+	if reply != replyEnd1 {
+		t.Errorf("got reply %q, want %q", reply, replyEnd1)
 	}
 	for _, want := range []string{`line 2 skipped: left: "field 1"`, "line 3 skipped", "line 5 skipped: batch end without batch start"} {
 		if !strings.Contains(diagnostics, want) {
@@ -58,9 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const want = `["fault",4,"`
-	if len(lines) != 1 || !strings.HasPrefix(string(lines[0]), want) {
-		t.Errorf("got lines %q, want one that begins with %s", lines, want)
+	if len(lines) != 1 || !strings.HasPrefix(string(lines[0]), faultStart) {
+		t.Errorf("got lines %q, want one that begins with %s", lines, faultStart)
 	}
 	if diagnostics.Len() == 0 {
 		t.Error("got no diagnostics, want the panic's stack")
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -13,7 +13,8 @@
 // ErrUnknownOrder reports an order of a type that the protocol has no message for.
 var ErrUnknownOrder = errors.New("unknown order type")
 
-// Encode encodes one order of an instance as a line of the reply, without the line end.
+// Encode encodes one order of an instance as a line of the reply, without the line end. The error is ErrUnknownOrder, or that
+// of a value that JSON cannot represent.
 func Encode(instance int, order assign.Order) ([]byte, error) {
 	values := orderFields(instance, order)
 	if values == nil {
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -1,6 +1,7 @@
 // Package simproto decodes and encodes the simulator's protocol: one JSON array per line. A Decoder converts lines into
 // events of package assign and a few messages of this package; Encode converts orders into lines. The package translates
-// names, units and identifiers, decides nothing and does no I/O.
+// names, units and identifiers, decides nothing and does no I/O. A Decoder belongs to one goroutine; all functions may be
+// called by any.
 //
 // names.go has the table of the protocol's names, with the fields and units of each message.
 package simproto
