--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -48,7 +48,7 @@
 	client         *client // holds the state: identified or not
 	lines          *lineReader
 	hasReports     bool // a valid report has arrived
-	malformedLines int  // in a row
+	malformedLines int  // in a row; a collector message or a report ends the row, a ping does not
 }
 
 func newSession(s *Server, c *client) *session {
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,6 +1,7 @@
 // Package simhost runs many assigners in one process for the operators' simulator. It reads batches of events from one
 // stream, in the protocol of package simproto, and writes one reply to each batch, with the orders of all instances. The
-// time is that of the batches; no clock is read.
+// time is that of the batches; no clock is read. Host.Serve blocks while it reads, decides and writes, all in the goroutine
+// that calls it.
 package simhost
 
 import (
@@ -50,7 +51,7 @@
 }
 
 // Serve replies to batches until the input ends, which is no error, or reading or writing fails. Lines that cannot be
-// decoded are skipped. It blocks while it reads and writes.
+// decoded are skipped.
 func (h *Host) Serve() error {
 	for h.line = 1; ; h.line++ {
 		line, err := h.in.ReadBytes('\n')
@@ -85,7 +86,7 @@
 	case simproto.BatchEnd:
 		return h.endBatch()
 	case simproto.OpenInstance:
-		if err := h.handleEvents(); err != nil { // the events so far belong to the instance's former incarnation
+		if err := h.handleEvents(); err != nil { // the events so far belong to the instance's previous incarnation
 			return err
 		}
 		h.instances[message.Instance] = assign.New(message.Seed, message.Config)
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -34,44 +34,61 @@
 // Next blocks until the next event or heartbeat and returns it. A heartbeat is a comment between events; its type is empty.
 // Errors of the reader are wrapped; at the end of the stream that is io.EOF.
 func (s *Stream) Next() (eventType, data string, err error) {
-	var lines []string
-	size := 0
+	event := pendingEvent{}
 	for {
 		line, err := s.line()
 		if err != nil {
 			return "", "", err
 		}
-		if line == "" {
-			if len(lines) > 0 {
-				return typeOrDefault(eventType), strings.Join(lines, "\n"), nil
+		isComment := strings.HasPrefix(line, ":")
+		switch {
+		case line == "" && len(event.data) > 0:
+			return event.typeOrDefault(), strings.Join(event.data, "\n"), nil
+		case line == "": // an event without data is not reported
+			event = pendingEvent{}
+		case isComment && !event.begun():
+			return "", "", nil
+		case isComment: // within an event it is skipped, because the event itself serves as a heartbeat
+		default:
+			if err := event.add(line); err != nil {
+				return "", "", err
 			}
-			eventType = ""
-			continue
-		}
-		field, value, _ := strings.Cut(line, ":")
-		value = strings.TrimPrefix(value, " ")
-		switch field {
-		case "": // a comment; within an event it is skipped, because the event itself serves as a heartbeat
-			if eventType == "" && len(lines) == 0 {
-				return "", "", nil
-			}
-		case "event":
-			eventType = value
-		case "data":
-			size += len(value)
-			lines = append(lines, value)
-		}
-		if size > maxEventSize {
-			return "", "", ErrEventTooLong
 		}
 	}
 }
 
-func typeOrDefault(eventType string) string {
-	if eventType == "" {
+// pendingEvent is an event whose end has not been read.
+type pendingEvent struct {
+	eventType string   // empty: not stated
+	data      []string // lines
+	size      int      // of the data, bytes
+}
+
+// begun reports whether a type or data has been read.
+func (e *pendingEvent) begun() bool { return e.eventType != "" || len(e.data) > 0 }
+
+func (e *pendingEvent) typeOrDefault() string {
+	if e.eventType == "" {
 		return defaultEventType
 	}
-	return eventType
+	return e.eventType
+}
+
+// add applies a line that is neither empty nor a comment. Fields other than the type and the data are ignored.
+func (e *pendingEvent) add(line string) error {
+	field, value, _ := strings.Cut(line, ":")
+	value = strings.TrimPrefix(value, " ")
+	switch field {
+	case "event":
+		e.eventType = value
+	case "data":
+		e.data = append(e.data, value)
+		e.size += len(value)
+	}
+	if e.size > maxEventSize {
+		return ErrEventTooLong
+	}
+	return nil
 }
 
 // line reads a line without its end, which may be LF, CR or CR LF.
