--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/base64"
+	"encoding/json"
 	"fmt"
 	"math"
 	"strconv"
@@ -46,6 +47,8 @@
 		return fieldcheck.Missing
 	case string:
 		return strconv.Quote(value)
+	case json.RawMessage: // an exactField
+		return string(value)
 	}
 	return fmt.Sprint(value)
 }
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -122,6 +122,20 @@
 	}
 }
 
+func TestFieldErrorQuotesValueAsReceived(t *testing.T) {
+	for line, want := range map[string]string{
+		`["left",3]`:                     `left: "field 1" is missing, want a number`,
+		`["left",3,"x"]`:                 `left: "field 1" is "x", want a number`,
+		`["mark",1,1.5]`:                 `mark: "field 1" is 1.5, want a whole number`,
+		`["mark",1]`:                     `mark: "field 1" is missing, want a whole number`,
+		`["update",3,1,"D",[["n","x"]]]`: `update: entry 0: "field 1" is "x", want a number`,
+	} {
+		if message, err := NewDecoder().Decode([]byte(line)); err == nil || err.Error() != want {
+			t.Errorf("%s: got %#v (%v), want error %s", line, message, err, want)
+		}
+	}
+}
+
 func TestDecodeRejectsLineThatIsNoMessage(t *testing.T) {
 	for line, want := range map[string]error{
 		`{"a":1}`: ErrNotArray,
