--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -38,7 +38,8 @@
 // LoadWithRetry is Load, repeated while the file is missing or invalid. It blocks until the file is valid, the timeout has
 // passed or the context ends, and returns the last attempt's error or the context's. ErrNoFile is not retried.
 func LoadWithRetry(ctx context.Context, env func(string) string, retry Retry) (*Config, error) {
-	for end := retry.Now().Add(retry.Timeout); ; retry.Sleep(ctx, retry.Interval) {
+	end := retry.Now().Add(retry.Timeout)
+	for {
 		config, err := Load(env)
 		if err == nil || errors.Is(err, ErrNoFile) || retry.Now().After(end) {
 			return config, err
@@ -46,6 +47,7 @@
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("configuration: %w", ctx.Err())
 		}
+		retry.Sleep(ctx, retry.Interval)
 	}
 }
 
