--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"testing"
 	"time"
@@ -14,12 +15,41 @@
 	"madderhollow/internal/wire"
 )
 
+// Lines of the protocol that the tests send.
+const (
+	pingLine          = `{"@type":"ping"}`
+	collectorFormat   = `{"@type":"collector","locality":%q}` // with its zone as argument
+	relayEventLine    = `{"@type":"joined","node":1}`
+	unknownTypeLine   = `{"@type":"odd"}`
+	missingFieldsLine = `{"@type":"usage"}`
+	lineStart         = `{"@type":`
+	// endpointReportOfB is a report of zone b.
+	endpointReportOfB = `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`
+	// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
+	proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
+	// longReportFormat begins such a report with its requests as argument. Its last field is a text that longReportEnd ends.
+	longReportFormat = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
+	longReportEnd    = `"}`
+)
+
+// refusedLine is the line that a client receives before the server closes its connection.
+const refusedLine = `{"@type":"refused"}`
+
+// collectorLine returns the line that identifies a collector of a zone.
+func collectorLine(zone string) string { return fmt.Sprintf(collectorFormat, zone) }
+
 // timeout bounds every wait, so that a busy machine does not fail a test.
 const timeout = 5 * time.Second
 
 // startServer starts a server that allows a number of connections. It ends with the test, which fails if a connection is
 // still open then.
 func startServer(t *testing.T, connections int) (address string, events chan assign.Event, server *Server) {
+	t.Helper()
+	return startServerWithLog(t, connections, zerolog.Nop())
+}
+
+// startServerWithLog is startServer with a logger.
+func startServerWithLog(t *testing.T, connections int, log zerolog.Logger) (address string, events chan assign.Event, server *Server) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,10 +58,10 @@
 	events = make(chan assign.Event, 10000)
 	codec := wire.NewCodec(testconfig.New([]string{"a", "b"}, 8, "read"), time.Now())
 	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, MemoryMB: 32, Log: zerolog.Nop()})
+	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, MemoryMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); server.Serve(ctx, listener) }()
+	go func() { defer close(ended); server.Serve(ctx, listener) }() // ends with the test
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -102,6 +132,3 @@
 		t.Fatal(err)
 	}
 }
-
-// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further members as arguments.
-const proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"madderhollow/assign"
-	"madderhollow/internal/member"
+	"madderhollow/internal/fieldcheck"
 )
 
 func decode(t *testing.T, line string) Message {
@@ -115,13 +115,27 @@
 		{`["mark",1,1.5]`, "mark", "field 1"},
 	} {
 		message, err := NewDecoder().Decode([]byte(test.line))
-		var memberError *member.Error
-		if !errors.As(err, &memberError) || memberError.Member != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
+		var fieldError *fieldcheck.Error
+		if !errors.As(err, &fieldError) || fieldError.Field != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
 			t.Errorf("%s: got error %v, want one of %s: %s (message %#v)", test.line, err, test.message, test.field, message)
 		}
 	}
 }
 
+func TestFieldErrorQuotesValueAsReceived(t *testing.T) {
+	for line, want := range map[string]string{
+		`["left",3]`:                     `left: "field 1" is missing, want a number`,
+		`["left",3,"x"]`:                 `left: "field 1" is "x", want a number`,
+		`["mark",1,1.5]`:                 `mark: "field 1" is 1.5, want a whole number`,
+		`["mark",1]`:                     `mark: "field 1" is missing, want a whole number`,
+		`["update",3,1,"D",[["n","x"]]]`: `update: entry 0: "field 1" is "x", want a number`,
+	} {
+		if message, err := NewDecoder().Decode([]byte(line)); err == nil || err.Error() != want {
+			t.Errorf("%s: got %#v (%v), want error %s", line, message, err, want)
+		}
+	}
+}
+
 func TestDecodeRejectsLineThatIsNoMessage(t *testing.T) {
 	for line, want := range map[string]error{
 		`{"a":1}`: ErrNotArray,
@@ -169,7 +183,7 @@
 		event, _ := message.(InstanceEvent)
 		report, ok := event.Event.(assign.EndpointLoadReport)
 		if err == nil && ok && (report.Attempts < 0 || report.Failed < 0 || report.Interval < 0) {
-			t.Errorf("%s: got %+v, which has a negative number", line, report)
+			t.Errorf("%s: got %+v, want numbers from 0", line, report)
 		}
 	})
 }
