--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -33,14 +33,19 @@
 	// maxLogBuffered bounds the lines that wait for a slow reader of the log. Further lines are dropped, because writing a
 	// line must not block.
 	maxLogBuffered = 1000
+	// logPollInterval 0 makes the log writer wait for the next line instead of polling for it.
+	logPollInterval = 0
 )
 
+// ignoreDroppedLines is called with the number of lines that a slow reader of the log has missed. They cannot be logged.
+func ignoreDroppedLines(int) {}
+
 // assigner holds the program's parts. Each part owns its connections and goroutines.
 type assigner struct {
 	config        *config.Config
 	log           zerolog.Logger // for the parts, which add their component
 	ownLog        zerolog.Logger // for the start and the end
-	random        *rand.Rand     // source of the parts' seeds, drawn in the order of their creation
+	random        *rand.Rand     // source of the seeds: of the listener, of the parts in the order of makeParts, of the status page
 	startedAt     time.Time
 	codec         *wire.Codec
 	discoveryAt   *handover.Address
@@ -51,8 +56,9 @@
 	client        *relay.OrderClient
 	reader        *relay.EventReader
 	server        *reportserver.Server
-	peers         *peer.Socket // nil if the settings allow no peer messages
+	peers         *peer.Socket // nil unless config.UsesPeers
 	loop          *eventloop.Loop
+	reloader      *configreload.Reloader
 	statusAddress string // empty: no status page
 }
 
@@ -67,10 +73,10 @@
 		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
 	writerOnly := struct{ io.Writer }{logs} // hides Close, which the diode would call
-	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, 0, func(int) {})
+	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, logPollInterval, ignoreDroppedLines)
 	defer func() { _ = logWriter.Close() }() // the log is the only place for an error, and it is closed
 	log := newLogger(logWriter, cfg.Name)
-	program := &assigner{
+	assigner := &assigner{
 		config:        cfg,
 		log:           log,
 		ownLog:        log.With().Str("component", "assigner").Logger(),
@@ -79,7 +85,7 @@
 		codec:         codec,
 		statusAddress: statusAddress,
 	}
-	listener, err := listen(ctx, cfg.Listen, program.random.Int63(), program.log)
+	listener, err := listen(ctx, cfg.Listen, assigner.random.Int63(), log)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -87,12 +93,12 @@
 		return err
 	}
 	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
-	if err := program.makeParts(initial.Version); err != nil {
+	if err := assigner.makeParts(initial.Version); err != nil {
 		return err
 	}
-	program.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
-	program.run(ctx, initial, listener, reload)
-	program.ownLog.Info().EmbedObject(program.counters()).Msg("ended")
+	assigner.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
+	assigner.run(ctx, initial, listener, reload)
+	assigner.ownLog.Info().EmbedObject(assigner.counters()).Msg("ended")
 	return nil
 }
 
@@ -122,6 +128,12 @@
 		return err
 	}
 	a.makeEventLoop()
+	a.reloader = configreload.New(configreload.Config{
+		Path:      a.config.Path,
+		Discovery: a.discoveryAt,
+		Relay:     a.relayAt,
+		Log:       a.log,
+	})
 	return nil
 }
 
@@ -129,13 +141,13 @@
 func (a *assigner) makeWatcher(listVersion int) (err error) {
 	a.discoveryAt = handover.NewAddress(a.config.Discovery)
 	a.watcher, err = discovery.New(discovery.Config{
-		Address:      a.discoveryAt,
-		KnownVersion: listVersion,
-		Codec:        a.codec,
-		Sink:         a.events.Post,
-		MemoryMB:     a.config.MemoryMB,
-		Seed:         a.random.Int63(),
-		Log:          a.log,
+		Address:        a.discoveryAt,
+		InitialVersion: listVersion,
+		Codec:          a.codec,
+		Sink:           a.events.Post,
+		MemoryMB:       a.config.MemoryMB,
+		Seed:           a.random.Int63(),
+		Log:            a.log,
 	})
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -161,7 +173,7 @@
 	})
 }
 
-// makePeerSocket opens the datagram socket, if the configuration has peers.
+// makePeerSocket opens the datagram socket if the configuration uses peers.
 func (a *assigner) makePeerSocket() (err error) {
 	if !a.config.UsesPeers() {
 		return nil
@@ -200,16 +212,16 @@
 	})
 }
 
-// sendPeerMessage sends a message to another assigner. It drops the message if the settings allow none.
+// sendPeerMessage sends a message to another assigner. It drops the message if there is no peer socket.
 func (a *assigner) sendPeerMessage(to int, data []byte) {
 	if a.peers != nil {
 		a.peers.Send(to, data)
 	}
 }
 
-// run runs the parts until the context ends and all of them have returned. The order client outlives the event loop, so
-// that it can send the last orders. The report server starts after the first batch, because its answer to a ping means that
-// the assigner is ready.
+// run runs the parts until the context ends and all of them have returned. The order client's context ends with the event
+// loop, so that it can send the last orders. The report server starts after the first batch, because its answer to a ping
+// means that the assigner is ready.
 func (a *assigner) run(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
 	loopEnded, endLoop := context.WithCancel(context.WithoutCancel(ctx))
 	defer endLoop()
@@ -218,10 +230,7 @@
 	parts.add("discovery", a.watcher.Run)
 	parts.add("relay events", a.reader.Run)
 	parts.add("relay calls", func(context.Context) { a.client.Run(loopEnded) })
-	parts.add("reload", func(ctx context.Context) {
-		reloader := configreload.New(configreload.Config{Path: a.config.Path, Discovery: a.discoveryAt, Relay: a.relayAt, Log: a.log})
-		reloader.Run(ctx, reload)
-	})
+	parts.add("reload", func(ctx context.Context) { a.reloader.Run(ctx, reload) })
 	if a.peers != nil {
 		parts.add("peers", a.peers.Run)
 	}
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -29,7 +29,7 @@
 	var calls, requests atomic.Int32
 	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(calls.Add(1)-1, 4)] })
-	p.relay.CutStreams("event: joined\ndata: node=")
+	p.relay.CutStreamsInEvent(25)
 	p.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		bad := requests.Add(1) < 3
 		if bad {
@@ -75,10 +75,10 @@
 // failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
 func TestAssignerThroughFaultsAndOverload(t *testing.T) {
 	site, daemon := startAttached(t)
-	site.agent.Change(endpoint("s-0", "x", discoverytest.Leaving))
+	site.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
 	site.mustAttach(t, daemon, "s-0", "a table still has a draining endpoint")
 	site.injectFaults()
-	site.agent.Change(endpoint("s-4", "y", discoverytest.Leaving))
+	site.agent.Change(endpoint("s-4", "y", discoverytest.Draining))
 	site.mustAttach(t, daemon, "s-4", "a table still has a draining endpoint after faults")
 	limited := eventually.True(2*soon, func() bool {
 		site.reportOverload(t)
@@ -123,7 +123,7 @@
 			reload()
 		}
 		reload()
-		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Leaving)
+		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Draining)
 		site.agent.Change(leaving)
 		site.mustAttach(t, daemon, leaving.Name, fmt.Sprint("a table still has a draining endpoint after move ", i))
 	}
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -196,8 +196,8 @@
 func zoneOf(i int) string { return zones()[i%3] }
 
 // endpoint returns an entry of the endpoint list.
-func endpoint(name, zone, status string) discoverytest.Endpoint {
-	return discoverytest.Endpoint{Name: name, Address: "10.0.0.1:1", Zone: zone, Type: "m", Status: status, Weight: 1}
+func endpoint(name, zone, state string) discoverytest.Endpoint {
+	return discoverytest.Endpoint{Name: name, Address: "10.0.0.1:1", Zone: zone, MachineType: "m", State: state, Weight: 1}
 }
 
 // newPlatform starts the fakes, writes a configuration file and closes the fakes at the end of the test.
@@ -207,7 +207,7 @@
 		path: filepath.Join(t.TempDir(), "config.json"), collectors: map[string]*collectortest.Collector{}}
 	var list []discoverytest.Endpoint
 	for i := range 12 {
-		list = append(list, endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Active))
+		list = append(list, endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Ready))
 	}
 	var err error
 	if site.relay, err = relaytest.New("", "read", "sign"); err != nil {
@@ -218,11 +218,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, site.agent) })
-	known := site.agent.List()
-	known.Index = 4
+	initial := site.agent.List()
+	initial.Version--
 	site.members = map[string]any{"name": "n1", "listen": site.listen, "discovery": site.agent.Address(), "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "relay": map[string]any{"address": site.relay.Address()},
-		"known": known, "peer_listen": site.peers, "peers": []string{site.peers}, "peers_all": site.peers, "settings": testconfig.Settings()}
+		"known": initial, "peer_listen": site.peers, "peers": []string{site.peers}, "peers_all": site.peers, "settings": testconfig.Settings()}
 	site.writeConfig(t, 1)
 	return site
 }
--- a/cmd/madderhollow/listen.go
+++ b/cmd/madderhollow/listen.go
@@ -24,8 +24,8 @@
 func listen(ctx context.Context, address string, seed int64, log zerolog.Logger) (net.Listener, error) {
 	condition := conditionlog.New(conditionlog.Config{
 		Log:       log.With().Str("component", "listener").Str("address", address).Logger(),
-		Failing:   "address in use; retrying",
-		Recovered: "address bound",
+		Failing:   "listen failed; retrying",
+		Recovered: "listening",
 	})
 	delays := backoff.New(minListenRetryDelay, maxListenRetryDelay, seed)
 	deadline := time.Now().Add(listenTimeout)
@@ -36,7 +36,7 @@
 			return listener, nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return nil, fmt.Errorf("bind listener: %w", err)
+			return nil, fmt.Errorf("listener: %w", err)
 		}
 		condition.Fail(err, nil)
 		delays.Wait(ctx)
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -51,7 +51,8 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// A part that blocks, for instance on a log that is not read, must not delay the exit.
+	// A part that blocks, for instance on a log that is not read, must not delay the exit. A forced exit has status 0, too,
+	// and logs nothing.
 	context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, func() { os.Exit(exitOK) }) })
 
 	flags := flag.NewFlagSet("madderhollow", flag.ContinueOnError)
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -53,10 +53,10 @@
 // report sends reports and a malformed line from each collector. The assigner closes collectors for their malformed lines;
 // they do not reconnect, so write errors are ignored.
 func (s *soak) report(step int) {
-	for zone, collector := range s.collectors {
+	for _, collector := range s.collectors {
 		_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.chance(10), 200, 0.5)
 		_ = collector.ReportProxy(step%6, "read", 20)
-		_ = collector.Send(`{"@type":"heard","locality":"` + zone)
+		_ = collector.SendTruncatedReport()
 	}
 }
 
@@ -80,16 +80,16 @@
 	proxy := step % 6
 	switch s.chance(40) {
 	case 0:
-		s.relay.CutStreams("event: le")
+		s.relay.CutStreamsInEvent(9)
 	case 1:
 		s.relay.Disconnect(proxy)
 		s.relay.Connect(proxy, zoneOf(proxy), 20, s.chance(2) == 0)
 	case 2:
-		status := []string{discoverytest.Active, discoverytest.Active, discoverytest.Leaving}[s.chance(3)]
-		s.agent.Change(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), status))
+		state := []string{discoverytest.Ready, discoverytest.Ready, discoverytest.Draining}[s.chance(3)]
+		s.agent.Change(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), state))
 	case 3:
-		replacement := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Active)
-		s.agent.Change(replacement, endpoint(s.replaceNext, "x", discoverytest.Left))
+		replacement := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Ready)
+		s.agent.Change(replacement, endpoint(s.replaceNext, "x", discoverytest.Removed))
 		s.replaceNext = replacement.Name
 	case 4:
 		s.move(t, 50*time.Millisecond)
@@ -165,7 +165,7 @@
 		}
 	}
 	site.relay.SetFault(nil)
-	site.agent.Change(endpoint("s-0", "x", discoverytest.Leaving))
+	site.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
 	for i := range 6 { // fresh proxies may keep their default table, so none of them may be fresh for the check
 		site.relay.Disconnect(i)
 		site.relay.Connect(i, zoneOf(i), 20, false)
--- a/cmd/madderhollow/supervisor.go
+++ b/cmd/madderhollow/supervisor.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// part is one of the program's long-running functions. It must return once its context ends.
+// part is one of the program's long-running functions.
 type part struct {
-	name string // label of its goroutines in profiles
-	run  func(context.Context)
+	name string                // label of its goroutines in profiles
+	run  func(context.Context) // must return after its context ends, or after another part has returned
 }
 
 // supervisor runs parts, each in a goroutine of its own.
@@ -20,7 +20,8 @@
 	s.parts = append(s.parts, part{name, run})
 }
 
-// run starts the parts in the order in which they were added, and returns once all have returned.
+// run starts the parts in the order in which they were added, and returns once all have returned. It sets no time limit:
+// main forces the exit if a part blocks.
 func (s *supervisor) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, p := range s.parts {
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -24,7 +24,7 @@
 	Listen    string // the assigner's address
 	Discovery string // address of the fake agent
 	Relay     struct{ Address string }
-	Known     discoverytest.List
+	Initial   discoverytest.List `json:"known"`
 }
 
 // readConfig reads a configuration file.
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start relay: %w", err)
 	}
-	agent, err := discoverytest.New(config.Discovery, config.Known.Index, config.Known.Endpoints...)
+	agent, err := discoverytest.New(config.Discovery, config.Initial.Version, config.Initial.Endpoints...)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start discovery: %w", err), relay.Close())
 	}
@@ -97,7 +97,7 @@
 func (d *demo) report(second load) error {
 	for zone, collector := range d.collectors {
 		for _, endpoint := range d.agent.List().Endpoints {
-			if endpoint.Status != discoverytest.Active {
+			if endpoint.State != discoverytest.Ready {
 				continue
 			}
 			if err := collector.ReportEndpoint(endpoint.Name, second.requests/2, second.failed, second.latency, second.busy); err != nil {
@@ -168,8 +168,8 @@
 	return proxies, lowest
 }
 
-// users returns the number of proxies that have an endpoint in a table.
-func (d *demo) users(endpoint string) (proxies int) {
+// proxiesWith returns the number of proxies that have an endpoint in a table.
+func (d *demo) proxiesWith(endpoint string) (proxies int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			for _, table := range proxy.Tables {
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -70,11 +70,11 @@
 
 // drain drains an endpoint and prints how long the assigner took to remove it from all tables.
 func (d *demo) drain(endpoint discoverytest.Endpoint) error {
-	endpoint.Status = discoverytest.Leaving
+	endpoint.State = discoverytest.Draining
 	began := time.Now()
 	d.agent.Change(endpoint)
-	d.printf("Endpoint %s drains; %d proxies have it in a table.", endpoint.Name, d.users(endpoint.Name))
-	if !eventually.True(orderTimeout, func() bool { return d.users(endpoint.Name) == 0 }) {
+	d.printf("Endpoint %s drains; %d proxies have it in a table.", endpoint.Name, d.proxiesWith(endpoint.Name))
+	if !eventually.True(orderTimeout, func() bool { return d.proxiesWith(endpoint.Name) == 0 }) {
 		return errNotDrained
 	}
 	d.printf("No table has it %d ms after the change of the endpoint list. Proxy 0: %s", time.Since(began).Milliseconds(), d.tableOfProxy0())
@@ -87,7 +87,7 @@
 	if err := d.drain(endpoint); err != nil {
 		return err
 	}
-	endpoint.Status, endpoint.Since = discoverytest.Active, time.Now().UnixMilli()
+	endpoint.State, endpoint.StartedAt = discoverytest.Ready, time.Now().UnixMilli()
 	d.agent.Change(endpoint)
 	d.printf("The endpoint restarts and warms up: it gets no requests in the first seconds, then its weight increases.")
 	for second := range 9 {
--- a/internal/collectortest/collectortest.go
+++ b/internal/collectortest/collectortest.go
@@ -3,16 +3,19 @@
 
 import (
 	"bufio"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
-	"strings"
 	"time"
 )
 
 // ErrNoPong is returned if the answer to a ping is not a pong.
 var ErrNoPong = errors.New("answer is not a pong")
 
+// reportInterval is the time that each report covers, in milliseconds.
+const reportInterval = 1000
+
 // Collector is one connection to an assigner. Only one goroutine at a time may use it.
 type Collector struct {
 	zone   string
@@ -20,14 +23,15 @@
 	reader *bufio.Reader
 }
 
-// Dial connects to an assigner and identifies itself as the collector of a zone. The caller closes the collector.
+// Dial connects to an assigner and identifies itself as the collector of a zone. It has no timeout of its own. The caller
+// closes the collector.
 func Dial(address, zone string) (*Collector, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("collector: %w", err)
 	}
 	c := &Collector{zone, conn, bufio.NewReader(conn)}
-	return c, c.Send(fmt.Sprintf(`{"@type":"collector","locality":%q}`, zone))
+	return c, c.sendMessage(identification{Type: collectorType, Zone: zone})
 }
 
 // Close closes the connection.
@@ -52,13 +56,46 @@
 // ReportEndpoint reports the attempts of one second at an endpoint, those that failed, the mean latency in milliseconds, and
 // the endpoint's busy fraction.
 func (c *Collector) ReportEndpoint(endpoint string, attempts, failed int, latency, busy float64) error {
-	return c.Send(fmt.Sprintf(`{"@type":"heard","locality":%q,"endpoint":%q,"total":%d,"errors":%d,"rtt":%g,`+
-		`"interval":1000,"metrics":{"util":%g}}`, c.zone, endpoint, attempts, failed, latency, busy))
+	report := endpointLoadReport{
+		Type:        endpointLoadReportType,
+		Zone:        c.zone,
+		Endpoint:    endpoint,
+		Attempts:    attempts,
+		Failed:      failed,
+		MeanLatency: latency,
+		Interval:    reportInterval,
+	}
+	report.Load.BusyFraction = busy
+	return c.sendMessage(report)
 }
 
 // ReportProxy reports the requests of a class that reached a proxy in one second.
 func (c *Collector) ReportProxy(proxy int, class string, requests int) error {
-	return c.Send(fmt.Sprintf(`{"@type":"usage","node":%d,"route":%q,"total":%d,"errors":0,"interval":1000}`, proxy, class, requests))
+	return c.sendMessage(proxyTrafficReport{
+		Type:         proxyTrafficReportType,
+		Proxy:        proxy,
+		RequestClass: class,
+		Requests:     requests,
+		Interval:     reportInterval,
+	})
+}
+
+// SendTruncatedReport sends the beginning of a report as a line, which is malformed.
+func (c *Collector) SendTruncatedReport() error {
+	text, err := json.Marshal(endpointLoadReport{Type: endpointLoadReportType, Zone: c.zone})
+	if err != nil {
+		return fmt.Errorf("collector: %w", err)
+	}
+	return c.Send(string(text[:len(text)/2]))
+}
+
+// sendMessage sends a message as a line.
+func (c *Collector) sendMessage(content any) error {
+	text, err := json.Marshal(content)
+	if err != nil {
+		return fmt.Errorf("collector: %w", err)
+	}
+	return c.Send(string(text))
 }
 
 // Ping sends a ping and waits for the pong until the timeout has passed.
@@ -66,14 +103,15 @@
 	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return fmt.Errorf("collector: %w", err)
 	}
-	if err := c.Send(`{"@type":"ping"}`); err != nil {
+	if err := c.sendMessage(message{Type: pingType}); err != nil {
 		return err
 	}
-	line, err := c.reader.ReadString('\n')
+	line, err := c.reader.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("collector: %w", err)
 	}
-	if !strings.Contains(line, `"pong"`) {
+	var answer message
+	if json.Unmarshal(line, &answer) != nil || answer.Type != pongType {
 		return fmt.Errorf("%w: %q", ErrNoPong, line)
 	}
 	return nil
--- a/internal/conditionlog/conditionlog.go
+++ b/internal/conditionlog/conditionlog.go
@@ -4,7 +4,7 @@
 //   - when it begins, a warning with the attempt's error;
 //   - while it lasts, the same warning at the first failed attempt after each RepeatInterval, with the last error and the
 //     number of attempts since the last line;
-//   - when it ends, an info line with the total of failed attempts and the duration.
+//   - when it ends, an info line with the number of all its failed attempts and the duration.
 //
 // Attempts that succeed and fail in turn are a new condition each time, with both lines.
 //
@@ -24,7 +24,7 @@
 type Config struct {
 	Log       zerolog.Logger // with the component of its owner
 	Failing   string         // message of the warnings; field attempts: failed attempts since the last line
-	Recovered string         // message of the info line; fields attempts: all failed attempts, lasted_ms: since the first
+	Recovered string         // message of the info line; fields attempts_total: all failed attempts, lasted_ms: since the first
 }
 
 // Condition is the state of one condition. New makes it.
@@ -68,7 +68,7 @@
 		return
 	}
 	lasted := c.now().Sub(c.startedAt)
-	c.config.Log.Info().Int("attempts", c.total).Dur("lasted_ms", lasted).Msg(c.config.Recovered)
+	c.config.Log.Info().Int("attempts_total", c.total).Dur("lasted_ms", lasted).Msg(c.config.Recovered)
 	c.startedAt = time.Time{}
 	c.attempts = 0
 	c.total = 0
--- a/internal/conditionlog/conditionlog_test.go
+++ b/internal/conditionlog/conditionlog_test.go
@@ -28,7 +28,7 @@
 		`{"level":"warn","error":"connection refused","attempts":1,"address":"a","message":"connect failed"}`,
 		`{"level":"warn","error":"connection refused","attempts":10,"address":"a","message":"connect failed"}`,
 		`{"level":"warn","error":"connection refused","attempts":10,"address":"a","message":"connect failed"}`,
-		`{"level":"info","attempts":21,"lasted_ms":21000,"message":"connected"}`,
+		`{"level":"info","attempts_total":21,"lasted_ms":21000,"message":"connected"}`,
 	}
 	if got, want := strings.TrimSpace(output.String()), strings.Join(want, "\n"); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -1,5 +1,8 @@
 // Package configreload applies a changed configuration file while the program runs: at a signal it reads the file again and
 // moves the addresses of discovery and the relay. Everything else in the file needs a restart.
+//
+// All work is done by the goroutine that calls Reloader.Run, the only method. It blocks while the file is read, for instance
+// on a named pipe without a writer, and does not return then before the read ends.
 package configreload
 
 import (
@@ -15,7 +18,7 @@
 
 const (
 	// retryInterval is the time between two attempts to read a file that is not usable yet, or that has the addresses in
-	// use: its writer may signal before the last byte is written. The former addresses close 1.5 s after the signal.
+	// use: its writer may signal before the last byte is written. The old addresses close 1.5 s after the signal.
 	retryInterval = 50 * time.Millisecond
 	// retryTimeout is the time after the signal at which the attempts end. Only the operator can mend a file that is not
 	// usable by then.
@@ -44,7 +47,7 @@
 	discovery *handover.Address
 	relay     *handover.Address
 	log       zerolog.Logger
-	initial   *config.Update // the file at the start of Run; nil: it could not be read
+	initial   *config.Update // the file at the start of Run; nil: it could not be read or parsed
 	deadline  time.Time      // of the reload in progress; zero: idle
 	lastError string         // the last one that was logged in this reload
 }
@@ -62,7 +65,9 @@
 // Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves the
 // addresses as they are.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	r.initial, _ = config.LoadUpdate(r.path) // without it, no members that need a restart are logged
+	// With an error the file is nil, or has an invalid address. If it is nil, no members that need a restart are logged; the
+	// addresses are not compared with those of the file.
+	r.initial, _ = config.LoadUpdate(r.path)
 	retry := time.NewTimer(0)
 	defer retry.Stop()
 	for {
--- a/internal/configreload/configreload_test.go
+++ b/internal/configreload/configreload_test.go
@@ -3,11 +3,9 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -16,68 +14,44 @@
 
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/logtest"
 )
 
-// testTimeout bounds any wait on a busy machine.
+// testTimeout bounds any wait. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
 // Addresses before and after a reload.
 const (
-	formerDiscovery = "127.0.0.1:1"
-	formerRelay     = "127.0.0.1:2"
-	newDiscovery    = "127.0.0.1:3"
+	oldDiscovery = "127.0.0.1:1"
+	oldRelay     = "127.0.0.1:2"
+	newDiscovery = "127.0.0.1:3"
 )
 
 // fileWith returns a configuration file with a discovery address.
 func fileWith(discovery string) string {
-	return fmt.Sprintf(`{"name":"n","discovery":%q,"relay":{"address":%q}}`, discovery, formerRelay)
+	return fmt.Sprintf(`{"name":"n","discovery":%q,"relay":{"address":%q}}`, discovery, oldRelay)
 }
 
-// harness is a reloader of a file in a folder of its own, with its log.
-type harness struct {
-	*Reloader
-	output bytes.Buffer
-}
-
-func newHarness(t *testing.T) *harness {
+// newReloader returns a reloader of a file, which does not exist yet, in a folder of its own.
+func newReloader(t *testing.T, log zerolog.Logger) *Reloader {
 	t.Helper()
-	setup := &harness{}
-	setup.Reloader = New(Config{
+	return New(Config{
 		Path:      filepath.Join(t.TempDir(), "config.json"),
-		Discovery: handover.NewAddress(formerDiscovery),
-		Relay:     handover.NewAddress(formerRelay),
-		Log:       zerolog.New(&setup.output),
+		Discovery: handover.NewAddress(oldDiscovery),
+		Relay:     handover.NewAddress(oldRelay),
+		Log:       log,
 	})
-	return setup
 }
 
-func (h *harness) write(t *testing.T, text string) {
+// writeFile replaces the content of a reloader's file.
+func writeFile(t *testing.T, reloader *Reloader, text string) {
 	t.Helper()
-	if err := os.WriteFile(h.path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(reloader.path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// checkLog compares the log with lines of level and message.
-func (h *harness) checkLog(t *testing.T, want ...string) {
-	t.Helper()
-	var got []string
-	for line := range strings.Lines(h.output.String()) {
-		var fields struct{ Level, Component, Message string }
-		if err := json.Unmarshal([]byte(line), &fields); err != nil {
-			t.Fatalf("log line %s: %v", line, err)
-		}
-		if fields.Component != "config_reload" {
-			t.Errorf("log line %s: got component %q, want config_reload", line, fields.Component)
-		}
-		got = append(got, fields.Level+": "+fields.Message)
-	}
-	if !slices.Equal(got, want) {
-		t.Errorf("got log lines\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
-	}
-}
-
-func TestAttemptsEndReloadByFileAndTime(t *testing.T) {
+func TestReloadEndsAtNewAddressOrTimeout(t *testing.T) {
 	const begun = "info: configuration reload started"
 	now := time.Now()
 	for name, test := range map[string]struct {
@@ -92,11 +66,11 @@
 			wantLog: []string{begun, "info: configuration reloaded"},
 		},
 		"same addresses": {
-			files: []string{fileWith(formerDiscovery)}, begun: now, wantReloading: true, wantDiscovery: formerDiscovery,
+			files: []string{fileWith(oldDiscovery)}, begun: now, wantReloading: true, wantDiscovery: oldDiscovery,
 			wantLog: []string{begun},
 		},
 		"same addresses at the deadline": {
-			files: []string{fileWith(formerDiscovery)}, begun: now.Add(-retryTimeout), wantDiscovery: formerDiscovery,
+			files: []string{fileWith(oldDiscovery)}, begun: now.Add(-retryTimeout), wantDiscovery: oldDiscovery,
 			wantLog: []string{begun, "info: configuration reload found no new address"},
 		},
 		"missing, then half written, then whole": {
@@ -106,46 +80,48 @@
 				"info: configuration reloaded"},
 		},
 		"wrong address at the deadline": {
-			files: []string{fileWith("nowhere")}, begun: now.Add(-retryTimeout), wantDiscovery: formerDiscovery,
+			files: []string{fileWith("nowhere")}, begun: now.Add(-retryTimeout), wantDiscovery: oldDiscovery,
 			wantLog: []string{begun, "warn: configuration file not usable; retrying",
 				"error: configuration reload failed; keeping current configuration"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			setup := newHarness(t)
-			setup.begin(test.begun)
+			log := logtest.New(t, "config_reload")
+			reloader := newReloader(t, log.Logger())
+			reloader.begin(test.begun)
 			for _, text := range test.files {
 				if text != "" {
-					setup.write(t, text)
+					writeFile(t, reloader, text)
 				}
-				setup.attempt()
+				reloader.attempt()
 			}
-			if got := !setup.deadline.IsZero(); got != test.wantReloading {
+			if got := !reloader.deadline.IsZero(); got != test.wantReloading {
 				t.Errorf("got reloading %t, want %t", got, test.wantReloading)
 			}
-			if got, _ := setup.discovery.Current(); got != test.wantDiscovery {
+			if got, _ := reloader.discovery.Current(); got != test.wantDiscovery {
 				t.Errorf("got discovery address %s, want %s", got, test.wantDiscovery)
 			}
-			setup.checkLog(t, test.wantLog...)
+			log.ExpectLines(t, test.wantLog...)
 		})
 	}
 }
 
 func TestReloadLogsMembersThatNeedRestart(t *testing.T) {
-	setup := newHarness(t)
-	setup.write(t, fileWith(formerDiscovery))
+	var output bytes.Buffer
+	reloader := newReloader(t, zerolog.New(&output))
+	writeFile(t, reloader, fileWith(oldDiscovery))
 	ctx, cancel := context.WithCancel(t.Context())
 	signals, ended := make(chan os.Signal), make(chan struct{})
-	go func() { defer close(ended); setup.Run(ctx, signals) }() // ends with ctx, below
-	signals <- os.Interrupt                                     // received only once Run has read the initial file
-	setup.write(t, strings.Replace(fileWith(newDiscovery), `"n"`, `"m"`, 1))
-	moved := func() bool { address, _ := setup.discovery.Current(); return address == newDiscovery }
-	if !eventually.True(testTimeout, moved) {
-		t.Errorf("the discovery address has not moved to %s", newDiscovery)
+	go func() { defer close(ended); reloader.Run(ctx, signals) }() // ends with ctx, below
+	signals <- os.Interrupt                                        // received only once Run has read the initial file
+	writeFile(t, reloader, strings.Replace(fileWith(newDiscovery), `"n"`, `"m"`, 1))
+	current := func() string { address, _ := reloader.discovery.Current(); return address }
+	if !eventually.True(testTimeout, func() bool { return current() == newDiscovery }) {
+		t.Errorf("got discovery address %s after %v, want %s", current(), testTimeout, newDiscovery)
 	}
 	cancel()
 	<-ended
-	if want := `"needs_restart":["name"]`; !strings.Contains(setup.output.String(), want) {
-		t.Errorf("got log\n%swant a line with %s", setup.output.String(), want)
+	if want := `"needs_restart":["name"]`; !strings.Contains(output.String(), want) {
+		t.Errorf("got log\n%swant a line with %s", output.String(), want)
 	}
 }
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -14,7 +14,7 @@
 	"madderhollow/internal/httpconn"
 )
 
-// The names in a request to the agent. Package wire has those in the answer.
+// The protocol's names in a request to the agent. Package wire has those in the answer.
 const (
 	listPath       = "/v1/servers"
 	afterParameter = "after"   // the version after which changes are requested; absent: the full list
@@ -73,17 +73,23 @@
 	}
 	defer func() { _ = conn.Close() }() // no request is in progress; the error changes nothing
 	defer conn.CloseWith(ctx)()
-	closing := false
-	for poll := (&pollState{address: address}); deliver(poll); poll.answered = true {
-		if poll.err != nil {
-			return poll.err
+	poll := &pollState{address: address}
+	received := deliver(poll) // before the first request
+	for received {
+		update, closing, err := w.requestList(conn, poll.next)
+		if err != nil {
+			return fmt.Errorf("agent %s: %w", address, err)
 		}
-		if closing {
+		poll.answered = true
+		poll.update = update
+		received = deliver(poll)
+		switch {
+		case !received: // the watcher may still use poll
+		case poll.err != nil:
+			return poll.err
+		case closing:
 			return ErrConnectionClosed
 		}
-		if poll.update, closing, err = w.requestList(conn, poll.next); err != nil {
-			return fmt.Errorf("agent %s: %w", address, err)
-		}
 	}
 	return fmt.Errorf("agent %s: %w", address, ctx.Err())
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -29,18 +29,18 @@
 	maxRetryDelay = 300 * time.Millisecond
 )
 
-// ErrMemory is returned by New for a Config without memory for an answer.
-var ErrMemory = errors.New("no memory for an answer")
+// ErrMemory is returned by New for a Config without memory for the answers of an agent.
+var ErrMemory = errors.New("memory limit below 1 MB")
 
-// Config describes a Watcher. Every field must be set, except KnownVersion and Seed.
+// Config describes a Watcher. Every field must be set, except InitialVersion and Seed.
 type Config struct {
-	Address      *handover.Address // of the agent; its owner may move it at any time
-	KnownVersion int               // of the list that the module starts with, from the configuration; 0: none
-	Codec        *wire.Codec
-	Sink         eventqueue.Sink // receives every assign.EndpointUpdate, from the goroutine that calls Run
-	MemoryMB     int             // of the process; bounds the size of an answer
-	Seed         int64           // of the delays between attempts
-	Log          zerolog.Logger  // New adds the component
+	Address        *handover.Address // of the agent; its owner may move it at any time
+	InitialVersion int               // of the list that the module starts with, from the configuration; 0: none
+	Codec          *wire.Codec
+	Sink           eventqueue.Sink // receives every assign.EndpointUpdate, from the goroutine that calls Run
+	MemoryMB       int             // of the process; bounds the size of an answer
+	Seed           int64           // of the delays between attempts
+	Log            zerolog.Logger  // New adds the component
 }
 
 // Watcher watches the list of one agent, over one connection, or two while the agent's address moves. Watch and Fetch may be
@@ -59,7 +59,7 @@
 	// The rest is used by the goroutine that calls Run.
 	version          listVersion
 	watchFailures    *conditionlog.Condition // of the watch that the module depends on
-	handoverFailures *conditionlog.Condition // of the watch at a new address, while the former one is watched
+	handoverFailures *conditionlog.Condition // of the watch at a new address, while the old one is watched
 }
 
 // New returns a watcher that does nothing until Run. It returns an error that wraps ErrMemory if config.MemoryMB is not
@@ -76,7 +76,7 @@
 		log:       log,
 		delays:    backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
 		maxAnswer: maxAnswerSize(config.MemoryMB),
-		version:   listVersion{held: config.KnownVersion},
+		version:   listVersion{held: config.InitialVersion},
 		watchFailures: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "endpoint watch failed; keeping current list",
@@ -84,7 +84,7 @@
 		}),
 		handoverFailures: conditionlog.New(conditionlog.Config{
 			Log:       log,
-			Failing:   "new discovery address failed; watching former address",
+			Failing:   "new discovery address failed; watching old address",
 			Recovered: "discovery address handover completed",
 		}),
 	}, nil
@@ -101,7 +101,7 @@
 }
 
 // Run watches the list until the context ends. It must be called once. When the address moves, it requests the full list
-// from the new agent while it still watches the former one.
+// from the new agent while it still watches the old one.
 func (w *Watcher) Run(ctx context.Context) {
 	handover.Follow(ctx, w.address, w.delays, handover.Source[*pollState]{
 		Open: w.pollAgent,
@@ -137,11 +137,10 @@
 }
 
 // receive applies an answer and sets the next request, or the error for which the answer is rejected. It reports whether an
-// answer was applied, with which a new agent is ready to replace the former one.
+// answer was applied, with which a new agent is ready to replace the old one.
 func (w *Watcher) receive(ctx context.Context, poll *pollState, duringHandover bool) (ready bool) {
 	if !poll.answered {
-		full := duringHandover || w.version.needsFullList() || w.fetchWanted.Swap(false)
-		poll.next = request{full: full, after: w.version.held}
+		poll.next = w.firstRequest(duringHandover)
 		return false
 	}
 	if poll.err = w.apply(ctx, poll.update); poll.err != nil {
@@ -156,13 +155,23 @@
 	return true
 }
 
+// firstRequest returns the first request of a connection. It clears fetchWanted only if that alone makes the request one for
+// the full list.
+func (w *Watcher) firstRequest(duringHandover bool) request {
+	full := duringHandover || w.version.needsFullList()
+	if !full {
+		full = w.fetchWanted.Swap(false)
+	}
+	return request{full: full, after: w.version.held}
+}
+
 // apply passes an update to the module, unless its version rules it out or it changes nothing.
 func (w *Watcher) apply(ctx context.Context, update assign.EndpointUpdate) error {
 	if err := w.version.check(update, time.Now()); err != nil {
 		return err
 	}
 	if update.Version < w.version.held {
-		w.log.Warn().Int("version", update.Version).Int("former_version", w.version.held).
+		w.log.Warn().Int("version", update.Version).Int("old_version", w.version.held).
 			Msg("list version restarted; lower version accepted")
 	}
 	if update.Full || len(update.Endpoints) > 0 {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -9,9 +8,7 @@
 	"io"
 	"net/http"
 	"reflect"
-	"slices"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -22,10 +19,11 @@
 	"madderhollow/internal/discoverytest"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/logtest"
 	"madderhollow/internal/wire"
 )
 
-// testTimeout bounds any wait on a busy machine.
+// testTimeout bounds any wait. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
 const (
@@ -33,8 +31,19 @@
 	memoryMB     = 64
 )
 
-func entry(name, status string) discoverytest.Endpoint {
-	return discoverytest.Endpoint{Name: name, Zone: "a", Status: status, Weight: 1}
+// entry returns an entry of the endpoint list.
+func entry(name, state string) discoverytest.Endpoint {
+	return discoverytest.Endpoint{Name: name, Zone: "a", State: state, Weight: 1}
+}
+
+// fullList returns an answer with the full list.
+func fullList(version int64, entries ...discoverytest.Endpoint) discoverytest.List {
+	return discoverytest.List{Version: version, Full: true, Endpoints: entries}
+}
+
+// changes returns an answer with changes.
+func changes(version int64, entries ...discoverytest.Endpoint) discoverytest.List {
+	return discoverytest.List{Version: version, Endpoints: entries}
 }
 
 // harness is a fake agent and a watcher of it, with the updates that the watcher passes to the module.
@@ -45,11 +54,11 @@
 	updates chan assign.EndpointUpdate
 }
 
-// newHarness starts a watcher whose list has a known version, and receives the first update, the full list. Both end with
-// the test.
-func newHarness(t *testing.T, known int) *harness {
+// newHarness starts a watcher that holds a list of an initial version, and receives the first update, the full list. Both
+// end with the test.
+func newHarness(t *testing.T, initialVersion int) *harness {
 	t.Helper()
-	agent, err := discoverytest.New("", firstVersion, entry("s", discoverytest.Active), entry("u", discoverytest.Active))
+	agent, err := discoverytest.New("", firstVersion, entry("s", discoverytest.Ready), entry("u", discoverytest.Ready))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,13 +72,13 @@
 		return nil
 	}
 	setup.watcher, err = New(Config{
-		Address:      setup.address,
-		KnownVersion: known,
-		Codec:        wire.NewCodec(assign.DefaultConfig(), time.Now()),
-		Sink:         sink,
-		MemoryMB:     memoryMB,
-		Seed:         1,
-		Log:          zerolog.Nop(),
+		Address:        setup.address,
+		InitialVersion: initialVersion,
+		Codec:          wire.NewCodec(assign.DefaultConfig(), time.Now()),
+		Sink:           sink,
+		MemoryMB:       memoryMB,
+		Seed:           1,
+		Log:            zerolog.Nop(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -90,7 +99,7 @@
 	return setup
 }
 
-// startHarness is newHarness with a known version lower than the agent's.
+// startHarness is newHarness with an initial version lower than the agent's.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
 	return newHarness(t, firstVersion-1)
@@ -103,12 +112,12 @@
 	case update := <-h.updates:
 		return update
 	case <-time.After(testTimeout):
-		t.Fatal("got no update")
+		t.Fatalf("got no update within %v, want one", testTimeout)
 		return assign.EndpointUpdate{}
 	}
 }
 
-// moveAgent moves the agent and the watcher's address. The agent's former address stays open for a time.
+// moveAgent moves the agent and the watcher's address. The agent's old address stays open for a time.
 func (h *harness) moveAgent(t *testing.T, oldOpen time.Duration) {
 	t.Helper()
 	if err := h.Move("", oldOpen); err != nil {
@@ -120,6 +129,22 @@
 // write writes a part of an answer. It ignores errors: the client may have closed the connection.
 func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
+// writeList answers with a list.
+func writeList(t *testing.T, w io.Writer, list discoverytest.List) {
+	t.Helper()
+	write(w, string(encode(t, list)))
+}
+
+// encode returns the JSON text of a value.
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Error(err) // not Fatal: handlers of the fake agent call it, too
+	}
+	return text
+}
+
 // wantsFull reports whether a request is for the full list.
 func wantsFull(r *http.Request) bool { return r.FormValue(afterParameter) == "" }
 
@@ -140,10 +165,10 @@
 	setup := startHarness(t)
 	setup.rejectFullRequests(t, func(http.ResponseWriter) {})
 	for i, change := range []struct {
-		status string
+		listed string
 		state  assign.EndpointState
-	}{{discoverytest.Leaving, assign.Draining}, {discoverytest.Left, assign.Removed}, {discoverytest.Active, assign.Ready}} {
-		setup.Change(entry("s", change.status))
+	}{{discoverytest.Draining, assign.Draining}, {discoverytest.Removed, assign.Removed}, {discoverytest.Ready, assign.Ready}} {
+		setup.Change(entry("s", change.listed))
 		want := assign.EndpointUpdate{Version: firstVersion + 1 + i,
 			Endpoints: []assign.Endpoint{{Zone: "a", Name: "s", Weight: 1, State: change.state}}}
 		if update := setup.next(t); !reflect.DeepEqual(update, want) {
@@ -153,28 +178,31 @@
 }
 
 // badAnswers are answers that must not be applied, by name.
-func badAnswers() map[string]http.HandlerFunc {
+func badAnswers(t *testing.T) map[string]http.HandlerFunc {
+	t.Helper()
 	answer := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { write(w, text) }
 	}
+	list := func(list discoverytest.List) http.HandlerFunc { return answer(string(encode(t, list))) }
 	return map[string]http.HandlerFunc{
 		"server error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"garbage":      answer("\x00\xff{"),
 		"truncated": func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", "100")
-			write(w, `{"index":99,"snapshot":true,`)
+			text := encode(t, fullList(99))
+			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
+			write(w, string(text[:len(text)/2]))
 		},
 		"connection reset":         func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"no answer":                func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"lower version, full list": answer(`{"index":7,"snapshot":true,"endpoints":[]}`),
-		"lower version, changes":   answer(`{"index":7,"snapshot":false,"endpoints":[]}`),
-		"unknown status":           answer(`{"index":99,"snapshot":false,"endpoints":[{"name":"s","status":"odd"}]}`),
+		"lower version, full list": list(fullList(7)),
+		"lower version, changes":   list(changes(7)),
+		"unknown state":            list(changes(99, entry("s", "odd"))),
 	}
 }
 
 // The failure is reported to the module, which has asked for that, and the next good answer is applied.
 func TestWatcherKeepsListAfterBadAnswer(t *testing.T) {
-	for name, answer := range badAnswers() {
+	for name, answer := range badAnswers(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			setup := startHarness(t)
@@ -189,9 +217,9 @@
 				return true
 			})
 			if !eventually.True(testTimeout, func() bool { return bad.Load() > 0 }) { // the poll in progress has ended
-				t.Fatal("got no request for the bad answer")
+				t.Fatalf("got no request within %v, want one to give the bad answer to", testTimeout)
 			}
-			setup.Change(entry("s", discoverytest.Leaving))
+			setup.Change(entry("s", discoverytest.Draining))
 			changed.Store(true)
 			if failures := setup.failuresUntil(t, firstVersion+1); failures < 1 {
 				t.Errorf("got %d failures reported, want at least 1", failures)
@@ -227,7 +255,7 @@
 	t.Parallel()
 	setup := startHarness(t)
 	setup.Restart(3)
-	setup.Change(entry("u", discoverytest.Leaving))
+	setup.Change(entry("u", discoverytest.Draining))
 	if update := setup.next(t); update.Version != 4 || !update.Full || len(update.Endpoints) != 2 {
 		t.Errorf("got %+v, want the full list of version 4 with 2 endpoints", update)
 	}
@@ -242,7 +270,7 @@
 	}
 }
 
-// Changes are reported at all times: by the former agent while no agent answers at the new address or the new one has not
+// Changes are reported at all times: by the old agent while no agent answers at the new address or the new one has not
 // sent the full list, by the new agent from then on.
 func TestWatcherReplacesAgentWhenAddressMoves(t *testing.T) {
 	t.Parallel()
@@ -251,9 +279,9 @@
 	for i := range 3 {
 		version := firstVersion + 1 + 2*i
 		setup.address.Move("127.0.0.1:1") // refuses connections
-		setup.Change(entry("s", discoverytest.Leaving))
+		setup.Change(entry("s", discoverytest.Draining))
 		if update := setup.next(t); update.Version != version || update.Failed {
-			t.Fatalf("from the former agent: got %+v, want version %d", update, version)
+			t.Fatalf("from the old agent: got %+v, want version %d", update, version)
 		}
 		var fullRequested atomic.Bool
 		setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
@@ -264,12 +292,12 @@
 		})
 		setup.moveAgent(t, 2*pollWait)
 		if !eventually.True(pollWait, fullRequested.Load) {
-			t.Errorf("got no request for the full list within %v", pollWait)
+			t.Errorf("got no request for the full list within %v, want one", pollWait)
 		}
 		if update := setup.next(t); update.Version != version || !update.Full {
 			t.Fatalf("first from the new agent: got %+v, want the full list of version %d", update, version)
 		}
-		setup.Change(entry("u", discoverytest.Leaving))
+		setup.Change(entry("u", discoverytest.Draining))
 		if update := setup.next(t); update.Version != version+1 || update.Failed || len(update.Endpoints) != 1 {
 			t.Fatalf("from the new agent: got %+v, want one change of version %d", update, version+1)
 		}
@@ -280,7 +308,7 @@
 func TestWatcherRejectsListOfAgentBehindForLessThanMinRegressionTime(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.Change(entry("s", discoverytest.Leaving))
+	setup.Change(entry("s", discoverytest.Draining))
 	if update := setup.next(t); update.Version != firstVersion+1 {
 		t.Fatalf("got %+v, want version %d", update, firstVersion+1)
 	}
@@ -289,13 +317,13 @@
 		if behind.Add(1) > minRegressions+3 {
 			return false
 		}
-		write(w, `{"index":40,"snapshot":true,"endpoints":[{"name":"s","status":"active","weight":1}]}`)
+		writeList(t, w, fullList(firstVersion-1, entry("s", discoverytest.Ready)))
 		return true
 	})
 	if !eventually.True(testTimeout, func() bool { return behind.Load() > minRegressions+3 }) {
 		t.Fatalf("got %d requests, want more than %d", behind.Load(), minRegressions+3)
 	}
-	setup.Change(entry("u", discoverytest.Leaving))
+	setup.Change(entry("u", discoverytest.Draining))
 	for update := setup.next(t); update.Version != firstVersion+2; update = setup.next(t) {
 		if update.Version < firstVersion+1 {
 			t.Fatalf("got %+v, want no version below %d", update, firstVersion+1)
@@ -303,24 +331,24 @@
 	}
 }
 
-// The former agent answers only after the new one's list was applied. No change is lost.
-func TestWatcherIgnoresFormerAgentAnswerAfterHandover(t *testing.T) {
+// The old agent answers only after the new one's list was applied. No change is lost.
+func TestWatcherIgnoresOldAgentAnswerAfterHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	held, release := make(chan struct{}, 10), make(chan struct{})
-	former := setup.Address()
+	old := setup.Address()
 	setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		if r.Host == former {
+		if r.Host == old {
 			held <- struct{}{}
 			<-release
 		}
 		return false
 	})
-	setup.Change(entry("s", discoverytest.Leaving)) // the poll in progress is answered, the next one is held
+	setup.Change(entry("s", discoverytest.Draining)) // the poll in progress is answered, the next one is held
 	select {
 	case <-held:
 	case <-time.After(testTimeout):
-		t.Fatal("got no poll to hold")
+		t.Fatalf("got no poll within %v, want one to hold", testTimeout)
 	}
 	setup.moveAgent(t, time.Hour)
 	update := setup.next(t)
@@ -331,7 +359,7 @@
 		t.Fatalf("from the new agent: got %+v, want the full list of version %d", update, firstVersion+1)
 	}
 	close(release) // the watcher has closed the connection
-	setup.Change(entry("u", discoverytest.Leaving))
+	setup.Change(entry("u", discoverytest.Draining))
 	if update := setup.next(t); update.Version != firstVersion+2 || len(update.Endpoints) != 1 {
 		t.Errorf("got %+v, want one change of version %d", update, firstVersion+2)
 	}
@@ -339,20 +367,21 @@
 
 func TestWatcherRejectsAnswerOverMemoryBound(t *testing.T) {
 	t.Parallel()
+	entrySize := len(encode(t, entry(fmt.Sprintf("%08d", 0), discoverytest.Ready)))
+	tooLarge := fullList(99)
+	for i := range memoryMB<<20/answerMemoryFraction/entrySize + 1 {
+		tooLarge.Endpoints = append(tooLarge.Endpoints, entry(fmt.Sprintf("%08d", i), discoverytest.Ready))
+	}
 	setup := startHarness(t)
 	var requests atomic.Int32
 	setup.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		if requests.Add(1) > 1 {
 			return false
 		}
-		write(w, `{"index":99,"snapshot":true,"endpoints":[`)
-		for i := range memoryMB << 20 / answerMemoryFraction / 20 {
-			write(w, fmt.Sprintf(`{"name":"%08d","status":"active","weight":1},`, i))
-		}
-		write(w, `{"name":"last","status":"active","weight":1}]}`)
+		writeList(t, w, tooLarge)
 		return true
 	})
-	setup.Change(entry("s", discoverytest.Leaving))
+	setup.Change(entry("s", discoverytest.Draining))
 	for update := setup.next(t); update.Version != firstVersion+1; update = setup.next(t) {
 		t.Errorf("got version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), firstVersion+1)
 	}
@@ -367,19 +396,19 @@
 	setup := startHarness(t)
 	var requestedAfter atomic.Int64
 	setup.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
-		after, err := strconv.ParseInt(r.FormValue("after"), 10, 64)
+		after, err := strconv.ParseInt(r.FormValue(afterParameter), 10, 64)
 		if err != nil || after < 60 {
-			write(w, `{"index":60,"snapshot":true,"endpoints":[{"name":"v","zone":"a","status":"active","weight":1}]}`)
+			writeList(t, w, fullList(60, entry("v", discoverytest.Ready)))
 			return true
 		}
 		requestedAfter.Store(after)
 		if after > 60 {
 			return false
 		}
-		write(w, `{"index":61,"snapshot":false,"endpoints":[{"name":"v","zone":"a","status":"leaving","weight":1}]}`)
+		writeList(t, w, changes(61, entry("v", discoverytest.Draining)))
 		return true
 	})
-	setup.Change(entry("s", discoverytest.Leaving)) // ends the poll in progress
+	setup.Change(entry("s", discoverytest.Draining)) // ends the poll in progress
 	update := setup.next(t)
 	if update.Version == firstVersion+1 {
 		update = setup.next(t)
@@ -400,7 +429,7 @@
 	setup := startHarness(t)
 	setup.rejectFullRequests(t, func(w http.ResponseWriter) { w.Header().Set("Connection", "close") })
 	for i := range 5 {
-		setup.Change(entry("s", []string{discoverytest.Leaving, discoverytest.Active}[i%2]))
+		setup.Change(entry("s", []string{discoverytest.Draining, discoverytest.Ready}[i%2]))
 		want := firstVersion + 1 + i
 		if update := setup.next(t); update.Version != want || update.Full || len(update.Endpoints) != 1 {
 			t.Errorf("got %+v, want one change of version %d", update, want)
@@ -420,11 +449,15 @@
 // Failures of the watch and of a handover are conditions of their own: one lasts while the other attempts succeed.
 func TestWatcherLogsFailuresAsConditions(t *testing.T) {
 	t.Parallel()
-	var output bytes.Buffer
-	address := handover.NewAddress("former")
-	sink := func(context.Context, assign.Event) error { return nil }
-	log := zerolog.New(&output)
-	watcher, err := New(Config{Address: address, KnownVersion: firstVersion, Sink: sink, MemoryMB: memoryMB, Log: log})
+	log := logtest.New(t, "discovery")
+	address := handover.NewAddress("old")
+	watcher, err := New(Config{
+		Address:        address,
+		InitialVersion: firstVersion,
+		Sink:           func(context.Context, assign.Event) error { return nil },
+		MemoryMB:       memoryMB,
+		Log:            log.Logger(),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -436,39 +469,19 @@
 	for range 3 {
 		fail(ErrStatus, false)
 	}
-	succeed("former")
+	succeed("old")
 	fail(ErrConnectionClosed, false)
 	address.Move("new")
 	for range 3 {
 		fail(ErrStatus, true)
-		succeed("former")
+		succeed("old")
 	}
 	succeed("new")
-	var got []string
-	for line := range strings.Lines(output.String()) {
-		got = append(got, logLevelAndMessage(t, line))
-	}
-	want := []string{
+	log.ExpectLines(t,
 		"warn: endpoint watch failed; keeping current list",
 		"info: endpoint watch recovered",
 		"debug: agent closed connection; reconnecting",
-		"warn: new discovery address failed; watching former address",
+		"warn: new discovery address failed; watching old address",
 		"info: discovery address handover completed",
-	}
-	if !slices.Equal(got, want) {
-		t.Errorf("got log lines\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
-	}
-}
-
-// logLevelAndMessage returns what a log line is, and checks its component.
-func logLevelAndMessage(t *testing.T, line string) string {
-	t.Helper()
-	var fields struct{ Level, Component, Message string }
-	if err := json.Unmarshal([]byte(line), &fields); err != nil {
-		t.Fatalf("log line %s: %v", line, err)
-	}
-	if fields.Component != "discovery" {
-		t.Errorf("log line %s: got component %q, want discovery", line, fields.Component)
-	}
-	return fields.Level + ": " + fields.Message
+	)
 }
--- a/internal/discoverytest/discovery.go
+++ b/internal/discoverytest/discovery.go
@@ -14,29 +14,36 @@
 	"madderhollow/internal/testserver"
 )
 
-// Status values of an endpoint, as discovery writes them.
+// The protocol's names in a request.
 const (
-	Active  = "active"
-	Leaving = "leaving"
-	Left    = "left"
+	listPath       = "/v1/servers"
+	afterParameter = "after"   // version after which changes are requested; absent: the full list
+	waitParameter  = "wait_ms" // longest wait for a change, ms
+)
+
+// States of an endpoint.
+const (
+	Ready    = "active"
+	Draining = "leaving"
+	Removed  = "left"
 )
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	Weight  float64 `json:"weight"`
-	Since   int64   `json:"since_ms"` // Unix time of its start, milliseconds
+	Name        string  `json:"name"`
+	Address     string  `json:"address"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"type"`
+	Group       int     `json:"group"`    // of machines
+	State       string  `json:"status"`   // Ready, Draining or Removed
+	Weight      float64 `json:"weight"`   // capacity relative to other endpoints
+	StartedAt   int64   `json:"since_ms"` // Unix time, ms
 }
 
 // List is an answer of discovery: the full list, or the changes since a version.
 type List struct {
-	Index     int64      `json:"index"`    // version
-	Snapshot  bool       `json:"snapshot"` // full list
+	Version   int64      `json:"index"`
+	Full      bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
@@ -46,19 +53,19 @@
 
 	mu        sync.Mutex
 	intercept func(http.ResponseWriter, *http.Request) bool
-	index     int64 // version of the list
+	version   int64
 	list      []Endpoint
 	changedIn map[string]int64 // version of the last change, by endpoint
 	changed   chan struct{}    // closed and replaced at each change
 	lastHost  string
 }
 
-// New starts an agent at an address; an empty address stands for a free port on the loopback address. Its list has the
-// version index. The caller closes the agent.
-func New(address string, index int64, list ...Endpoint) (*Agent, error) {
-	a := &Agent{index: index, list: list, changedIn: map[string]int64{}, changed: make(chan struct{})}
+// New starts an agent at an address; an empty address stands for a free port on the loopback address. The caller closes the
+// agent.
+func New(address string, version int64, list ...Endpoint) (*Agent, error) {
+	a := &Agent{version: version, list: list, changedIn: map[string]int64{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", a.serveList)
+	mux.HandleFunc("GET "+listPath, a.serveList)
 	server, err := testserver.New(address, mux)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -81,32 +88,32 @@
 	return a.lastHost
 }
 
-// List returns the full list, including endpoints that have left.
+// List returns the full list, including removed endpoints.
 func (a *Agent) List() List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return List{a.index, true, slices.Clone(a.list)}
+	return List{a.version, true, slices.Clone(a.list)}
 }
 
-// Change adds or replaces entries under a new version. An entry with status Left appears in changes, but not in answers
-// with the full list.
+// Change adds or replaces entries under a new version. A removed entry appears in changes, but not in answers with the
+// full list.
 func (a *Agent) Change(entries ...Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.index++
+	a.version++
 	for _, entry := range entries {
 		a.list = slices.DeleteFunc(a.list, func(other Endpoint) bool { return other.Name == entry.Name })
 		a.list = append(a.list, entry)
-		a.changedIn[entry.Name] = a.index
+		a.changedIn[entry.Name] = a.version
 	}
 	a.wake()
 }
 
 // Restart sets the version, as a restarted agent does that counts from the beginning.
-func (a *Agent) Restart(index int64) {
+func (a *Agent) Restart(version int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.index = index
+	a.version = version
 	a.changedIn = map[string]int64{}
 	a.wake()
 }
@@ -133,12 +140,12 @@
 // listFor returns the answer to a request. It blocks while a long poll waits for a change.
 func (a *Agent) listFor(request *http.Request) List {
 	full := a.List()
-	after, err := strconv.ParseInt(request.FormValue("after"), 10, 64)
-	if err != nil || after > full.Index {
-		full.Endpoints = slices.DeleteFunc(full.Endpoints, func(e Endpoint) bool { return e.Status == Left })
+	after, err := strconv.ParseInt(request.FormValue(afterParameter), 10, 64)
+	if err != nil || after > full.Version {
+		full.Endpoints = slices.DeleteFunc(full.Endpoints, func(e Endpoint) bool { return e.State == Removed })
 		return full
 	}
-	wait, err := strconv.Atoi(request.FormValue("wait_ms"))
+	wait, err := strconv.Atoi(request.FormValue(waitParameter))
 	if err != nil {
 		wait = 0
 	}
@@ -149,9 +156,9 @@
 // waitForChange waits until the list is newer than a version, the timeout has passed, or the client has disconnected.
 func (a *Agent) waitForChange(after int64, timeout time.Duration, disconnected <-chan struct{}) {
 	a.mu.Lock()
-	changed, index := a.changed, a.index
+	changed, version := a.changed, a.version
 	a.mu.Unlock()
-	if index != after {
+	if version != after {
 		return
 	}
 	timer := time.NewTimer(timeout)
@@ -167,7 +174,7 @@
 func (a *Agent) changesSince(after int64) List {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changes := List{Index: a.index}
+	changes := List{Version: a.version}
 	for _, entry := range a.list {
 		if a.changedIn[entry.Name] > after {
 			changes.Endpoints = append(changes.Endpoints, entry)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -113,7 +113,8 @@
 			reports = append(reports, report)
 		case <-alarm.C:
 		}
-		// Wait until the next batch may start, and collect all that is queued by then.
+		// Wait until the next batch may start, and collect all that is queued by then. The sleep does not end with the
+		// context; it lasts no longer than minInterval, and the batch is handled before Run returns.
 		if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
 			time.Sleep(roundUp(rest))
 		}
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -15,13 +15,13 @@
 	"madderhollow/internal/testconfig"
 )
 
-// testTimeout bounds any wait on a busy machine.
+// testTimeout bounds any wait. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
 func observeNothing(events []assign.Event) []assign.Event { return events }
 
 // The module sets a timer for each tick, and answers each failed endpoint update with one WatchEndpoints.
-func TestLoopLimitsBatchRateAndLosesNoEvent(t *testing.T) {
+func TestLoopLimitsBatchRateAndLosesNoEventUnderSteadyLoad(t *testing.T) {
 	const minInterval, ticks = 0.02, 2
 	settings := testconfig.New([]string{"x"}, 1, "read")
 	settings.MinBatchInterval, settings.ListMode = minInterval, assign.ListOnRequest
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLocalOrdersAreExecutedAndProxyOrdersAreNot(t *testing.T) {
+func TestExecuteLocalDispatchesAllOrdersButThoseToProxies(t *testing.T) {
 	var output bytes.Buffer
 	var called []string
 	loop := New(Config{
--- a/internal/eventloop/timers_test.go
+++ b/internal/eventloop/timers_test.go
@@ -29,7 +29,7 @@
 func TestTimerQueueRejectsTimerWhenFull(t *testing.T) {
 	queue := timerQueue{timers: make([]timer, maxTimers)}
 	if queue.set(timer{due: 1, id: 1}) || len(queue.timers) != maxTimers {
-		t.Errorf("a full queue accepted a timer: got %d timers, want %d", len(queue.timers), maxTimers)
+		t.Errorf("full queue: got the timer accepted or %d timers, want it rejected and %d", len(queue.timers), maxTimers)
 	}
 }
 
--- a/internal/handover/address_test.go
+++ b/internal/handover/address_test.go
@@ -10,7 +10,7 @@
 	}
 	select {
 	case <-moved:
-		t.Error("Move to the same address closed the channel")
+		t.Error("after a move to the same address: got the channel closed, want it open")
 	default:
 	}
 	if !address.Move("b") {
@@ -19,7 +19,7 @@
 	select {
 	case <-moved:
 	default:
-		t.Error("Move to another address did not close the channel")
+		t.Error("after a move to another address: got the channel open, want it closed")
 	}
 	if got, _ := address.Current(); got != "b" {
 		t.Errorf("got address %q, want %q", got, "b")
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -15,8 +15,8 @@
 	// returns.
 	//
 	// Open passes each item to deliver, which blocks until Receive has returned for the item and then returns true. It
-	// returns false if the context has ended; Open must return then. Receive owns the item while deliver blocks, Open before
-	// and after.
+	// returns false if the context has ended. Open owns an item before deliver is called, and again if deliver returns true;
+	// if it returns false, Open must return without reading or writing the item, since Receive may still use it.
 	Open func(ctx context.Context, address string, deliver func(item T) bool) error
 	// Receive handles an item. During a handover the items of both streams interleave: duringHandover is true for the
 	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
@@ -60,7 +60,7 @@
 			return false
 		}
 	}
-	go func() { opened.ended <- source.Open(ctx, address, deliver) }()
+	go func() { opened.ended <- source.Open(ctx, address, deliver) }() // ends when Open returns, as stated above
 	return opened
 }
 
@@ -76,8 +76,8 @@
 //
 //	idle      none: waiting for the end of the backoff
 //	opening   next: it becomes current with the next item that it delivers, ready or not
-//	active    current: at the address, or at a former address during the backoff after a failed handover
-//	handover  current and next: current at a former address, next at the address
+//	active    current: at the address, or at an old address during the backoff after a failed handover
+//	handover  current and next: current at an old address, next at the address
 //
 // Its transitions. A backoff delays the opening of a stream; a change of the address ends it.
 //
@@ -169,6 +169,7 @@
 	}
 }
 
+// currentEnded reports the end of the current stream. The next stream is opened after the shortest delay, if there is none.
 func (f *follower[T]) currentEnded(err error) {
 	f.current.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, false)
@@ -178,6 +179,7 @@
 	f.delay.Reset(f.delays.Next())
 }
 
+// nextEnded reports the end of the next stream, which is opened again after a delay.
 func (f *follower[T]) nextEnded(err error) {
 	f.next.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, f.current != nil)
--- a/internal/handover/follow_test.go
+++ b/internal/handover/follow_test.go
@@ -9,7 +9,7 @@
 	"madderhollow/internal/backoff"
 )
 
-// testTimeout bounds any wait on a busy machine.
+// testTimeout bounds any wait. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
 // readyItem is an item with which a new stream is ready.
@@ -117,7 +117,7 @@
 	select {
 	case to <- value:
 	case <-time.After(testTimeout):
-		t.Fatalf("%v is not received", value)
+		t.Fatalf("got no receiver for %v within %v, want one", value, testTimeout)
 	}
 }
 
@@ -276,7 +276,7 @@
 			continue
 		case <-ended:
 		case <-time.After(testTimeout):
-			t.Error("Follow has not returned after the end of its context")
+			t.Errorf("got Follow still running %v after the end of its context, want it to return", testTimeout)
 		}
 		break
 	}
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -10,19 +10,6 @@
 	"time"
 )
 
-// Names of the orders in a call. The fields of an order are separated by commas, the orders of a call by semicolons.
-const (
-	setWeight       = "put"     // table, endpoint, weight
-	clearTable      = "wipe"    // table
-	attachTable     = "attach"  // proxy, table, request classes joined with "+" or "*" for all
-	setRateLimit    = "gate"    // table, request class, limit, retries allowed
-	ejectEndpoint   = "eject"   // endpoint
-	unejectEndpoint = "uneject" // endpoint
-	acknowledgment  = "fence"   // sequence number, 1 for an acknowledgment of all proxies
-	allClasses      = "*"
-	allProxiesField = "1"
-)
-
 // errRejected is returned for an order that the relay does not apply.
 var errRejected = errors.New("order rejected")
 
@@ -43,7 +30,7 @@
 	r.state.Calls = append(r.state.Calls, orders)
 	call := &call{state: &r.state, classes: r.classes, reached: map[int]bool{}}
 	for _, order := range orders {
-		if call.apply(strings.Split(order, ",")) != nil {
+		if call.apply(strings.Split(order, argumentSeparator)) != nil {
 			break
 		}
 		applied++
@@ -64,13 +51,13 @@
 // fieldCount returns the number of fields of an order, including its name; 0 for an unknown order.
 func fieldCount(name string) int {
 	switch name {
-	case setWeight, attachTable:
+	case setWeightOrder, attachTableOrder:
 		return 4
-	case setRateLimit:
+	case setRateLimitOrder:
 		return 5
-	case acknowledgment:
+	case acknowledgmentRequestOrder:
 		return 3
-	case clearTable, ejectEndpoint, unejectEndpoint:
+	case clearTableOrder, ejectEndpointOrder, restoreEndpointOrder:
 		return 2
 	}
 	return 0
@@ -83,20 +70,20 @@
 		return errRejected
 	}
 	switch name {
-	case setWeight:
+	case setWeightOrder:
 		return c.setWeight(number(fields[1]), fields[2], fields[3])
-	case clearTable:
+	case clearTableOrder:
 		c.clearTable(number(fields[1]))
-	case attachTable:
+	case attachTableOrder:
 		return c.attach(number(fields[1]), number(fields[2]), fields[3])
-	case setRateLimit:
-		c.state.Limits[fields[1]+","+fields[2]] = fields[3]
-		c.reachUsers(number(fields[1]))
-	case ejectEndpoint, unejectEndpoint:
-		c.state.Ejected[fields[1]] = name == ejectEndpoint
-	case acknowledgment:
+	case setRateLimitOrder:
+		c.state.Limits[fields[1]+argumentSeparator+fields[2]] = fields[3]
+		c.reachProxiesWith(number(fields[1]))
+	case ejectEndpointOrder, restoreEndpointOrder:
+		c.state.Ejected[fields[1]] = name == ejectEndpointOrder
+	case acknowledgmentRequestOrder:
 		c.sequence = fields[1]
-		c.allProxies = fields[2] == allProxiesField
+		c.allProxies = fields[2] == fromAllProxies
 	}
 	return nil
 }
@@ -123,16 +110,16 @@
 	if weight == 0 {
 		delete(c.state.Tables[table], endpoint)
 	}
-	c.reachUsers(table)
+	c.reachProxiesWith(table)
 	return nil
 }
 
 // clearTable removes a table's entries and rate limits.
 func (c *call) clearTable(table int) {
 	delete(c.state.Tables, table)
-	prefix := strconv.Itoa(table) + ","
+	prefix := strconv.Itoa(table) + argumentSeparator
 	maps.DeleteFunc(c.state.Limits, func(key, _ string) bool { return strings.HasPrefix(key, prefix) })
-	c.reachUsers(table)
+	c.reachProxiesWith(table)
 }
 
 // attach makes a proxy use a table for request classes. It rejects a proxy that is not connected.
@@ -141,7 +128,7 @@
 	if p == nil {
 		return errRejected
 	}
-	names := strings.Split(classes, "+")
+	names := strings.Split(classes, requestClassSeparator)
 	if classes == allClasses {
 		names = c.classes
 	}
@@ -152,8 +139,8 @@
 	return nil
 }
 
-// reachUsers marks the proxies that use a table as reached.
-func (c *call) reachUsers(table int) {
+// reachProxiesWith marks the proxies with an attached table as reached.
+func (c *call) reachProxiesWith(table int) {
 	for id, p := range c.state.Proxies {
 		for _, used := range p.Tables {
 			c.reached[id] = c.reached[id] || used == table
@@ -163,5 +150,5 @@
 
 // acknowledgedEvent returns the event of a proxy that has applied a call.
 func acknowledgedEvent(proxy int, sequence string) string {
-	return fmt.Sprintf("event: applied\ndata: node=%d&nonce=%s&latency=1.5\n\n", proxy, sequence)
+	return fmt.Sprintf(acknowledgedFormat, proxy, sequence)
 }
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -83,8 +83,8 @@
 		},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /{$}", relay.serveCall)
-	mux.HandleFunc("GET /stream", relay.serveStream)
+	mux.HandleFunc("POST "+callPath+"{$}", relay.serveCall)
+	mux.HandleFunc("GET "+streamPath, relay.serveStream)
 	server, err := testserver.New(address, mux)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -136,11 +136,11 @@
 
 // serveCall applies the orders of a call and answers with the number of applied orders.
 func (r *Relay) serveCall(response http.ResponseWriter, request *http.Request) {
-	if request.PostFormValue("Action") != "CommitChanges" || request.PostFormValue("orders") == "" {
-		answerError(response, "SYNTAX")
+	if request.PostFormValue(actionField) != commitAction || request.PostFormValue(ordersField) == "" {
+		answerError(response, syntaxCode)
 		return
 	}
-	orders := strings.Split(request.PostFormValue("orders"), ";")
+	orders := strings.Split(request.PostFormValue(ordersField), orderSeparator)
 	fault := r.chooseFault(orders)
 	if fault == HalfApplied {
 		orders = orders[:len(orders)/2]
@@ -159,14 +159,14 @@
 		}
 		panic(http.ErrAbortHandler)
 	case GarbledAnswer:
-		answer(response, "<Response><results><item><taken>4")
+		answer(response, truncatedAnswerText)
 	case BusyAnswer:
-		answerError(response, "BUSY")
+		answerError(response, busyCode)
 	case SyntaxAnswer:
-		answerError(response, "SYNTAX")
+		answerError(response, syntaxCode)
 	default:
 		response.Header().Set("Content-Type", "text/xml")
-		answer(response, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><results><item><taken>%d</taken></item></results></Response>\n", applied))
+		answer(response, fmt.Sprintf(appliedFormat, applied))
 	}
 }
 
@@ -189,5 +189,5 @@
 // answerError answers with an error code of the protocol.
 func answerError(w http.ResponseWriter, code string) {
 	w.WriteHeader(http.StatusBadRequest)
-	answer(w, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>\n", code))
+	answer(w, fmt.Sprintf(errorFormat, code))
 }
--- a/internal/relaytest/stream.go
+++ b/internal/relaytest/stream.go
@@ -13,7 +13,6 @@
 	defaultHeartbeat = time.Second
 	// maxBuffered is the number of events that wait for a reader. A slower reader's stream is broken.
 	maxBuffered = 1000
-	heartbeat   = ":\n\n"
 )
 
 // broadcaster sends events to the readers of all streams. The relay's lock guards it.
@@ -83,6 +82,11 @@
 	}
 }
 
+// CutStreamsInEvent breaks all streams after sending the first bytes of an event.
+func (r *Relay) CutStreamsInEvent(bytes int) {
+	r.CutStreams(connectedFormat[:bytes])
+}
+
 // CutOldestStream breaks the stream that was opened first, if any.
 func (r *Relay) CutOldestStream() {
 	r.mu.Lock()
@@ -98,12 +102,12 @@
 	if p.Fresh && len(p.Tables) == 0 {
 		fresh = 1
 	}
-	return fmt.Sprintf("event: joined\ndata: node=%d&locality=%s&w=%g&cold=%d\n\n", id, p.Zone, p.Rate, fresh)
+	return fmt.Sprintf(connectedFormat, id, p.Zone, p.Rate, fresh)
 }
 
 // disconnectedEvent returns the event of a proxy that has disconnected.
 func disconnectedEvent(id int) string {
-	return fmt.Sprintf("event: left\ndata: node=%d\n\n", id)
+	return fmt.Sprintf(disconnectedFormat, id)
 }
 
 // openStream registers a new stream and returns the channel of its events, the snapshot that precedes them, and the time
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,4 +1,7 @@
 // Package status serves the status page: counters at /healthz and profiles at /debug/pprof/.
+//
+// Serve handles each connection in a goroutine of its own and does not wait for these when it returns: it closes their
+// connections, and a handler ends when it next writes, a profile of some seconds at its end.
 package status
 
 import (
@@ -30,7 +33,12 @@
 	})
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-	server := &http.Server{Handler: mux, ReadTimeout: timeout, IdleTimeout: timeout, MaxHeaderBytes: maxHeaderSize}
+	server := &http.Server{
+		Handler:        mux,
+		ReadTimeout:    timeout,
+		IdleTimeout:    timeout,
+		MaxHeaderBytes: maxHeaderSize,
+	}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // fails only if the listener is closed already
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
