--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -73,25 +73,25 @@
 
 // The life of one process: it answers pings, attaches proxies, removes a draining endpoint from the tables also after
 // failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
-func TestAssignerThroughFaultsAndOverload(t *testing.T) {
-	site, daemon := startAttached(t)
-	site.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
-	site.mustAttach(t, daemon, "s-0", "a table still has a draining endpoint")
-	site.injectFaults()
-	site.agent.Change(endpoint("s-4", "y", discoverytest.Draining))
-	site.mustAttach(t, daemon, "s-4", "a table still has a draining endpoint after faults")
-	limited := eventually.True(2*soon, func() bool {
-		site.reportOverload(t)
-		return site.limited()
+func TestAssignerOrdersThroughFaultsAndOverload(t *testing.T) {
+	platform, process := startAttached(t)
+	platform.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
+	platform.mustAttach(t, process, "s-0", "after a drain")
+	platform.injectFaults()
+	platform.agent.Change(endpoint("s-4", "y", discoverytest.Draining))
+	platform.mustAttach(t, process, "s-4", "after a drain during faults")
+	limited := eventually.True(2*testTimeout, func() bool {
+		platform.reportOverload(t)
+		return platform.limited()
 	})
 	if !limited {
-		t.Errorf("got no rate limit under overload, want one\n%s", daemon.text())
+		t.Errorf("got no rate limit under overload, want one\n%s", process.text())
 	}
-	if health, err := site.health(); err != nil || health["proxies"] != 6 || health["batches"] < 5 {
+	if health, err := platform.health(); err != nil || health["proxies"] != 6 || health["batches"] < 5 {
 		t.Errorf("got counters %v (%v), want 6 proxies and at least 5 batches", health, err)
 	}
-	daemon.mustTerminate(t)
-	for lines := bufio.NewScanner(strings.NewReader(daemon.log.String())); lines.Scan(); {
+	process.mustTerminate(t)
+	for lines := bufio.NewScanner(strings.NewReader(process.log.String())); lines.Scan(); {
 		if !json.Valid(lines.Bytes()) {
 			t.Errorf("got log line %q, want JSON", lines.Text())
 		}
@@ -100,34 +100,34 @@
 
 // SIGHUP never ends the process, even if the file is missing or incomplete. Once the file is complete, calls and watches use
 // the new addresses, while the old ones close.
-func TestReloadMovesAddresses(t *testing.T) {
-	site, daemon := startAttached(t)
-	site.relay.Inspect(func(state *relaytest.State) {
+func TestReloadMovesAddressesAfterUnusableFiles(t *testing.T) {
+	platform, process := startAttached(t)
+	platform.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			proxy.Messages = nil
 		}
 	})
-	reload := func() { daemon.signal(t, syscall.SIGHUP) }
+	reload := func() { process.signal(t, syscall.SIGHUP) }
 	reload() // of an unchanged file
 	for i := range 3 {
-		site.move(t, 200*time.Millisecond)
+		platform.move(t, 200*time.Millisecond)
 		if i > 0 {
-			if err := os.Remove(site.path); err != nil {
+			if err := os.Remove(platform.path); err != nil {
 				t.Fatal(err)
 			}
 			reload()
-			site.writeConfig(t, 0.5)
+			platform.writeConfig(t, 0.5)
 			reload()
-			site.writeConfig(t, 1)
+			platform.writeConfig(t, 1)
 		} else {
 			reload()
 		}
 		reload()
 		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Draining)
-		site.agent.Change(leaving)
-		site.mustAttach(t, daemon, leaving.Name, fmt.Sprint("a table still has a draining endpoint after move ", i))
+		platform.agent.Change(leaving)
+		platform.mustAttach(t, process, leaving.Name, fmt.Sprint("after a drain and move ", i))
 	}
-	site.relay.Inspect(func(state *relaytest.State) {
+	platform.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
 			if n := len(proxy.Messages); n > 8 { // three drains, and the changes of weights that follow them
 				t.Errorf("proxy %d got %d messages, want at most 8", id, n)
@@ -135,7 +135,7 @@
 		}
 	})
 	reload()
-	daemon.mustTerminate(t)
+	process.mustTerminate(t)
 }
 
 // openFiles returns the number of file descriptors of this process. It skips the test on systems without /proc.
@@ -150,8 +150,8 @@
 
 // An assigner that has ended leaves no goroutine and no descriptor, and its addresses can be bound again at once.
 func TestShutdownReleasesResources(t *testing.T) {
-	site := newPlatform(t)
-	t.Setenv("EDGE_CONFIG", site.path)
+	platform := newPlatform(t)
+	t.Setenv("EDGE_CONFIG", platform.path)
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		t.Fatal(err)
@@ -159,23 +159,23 @@
 	startAndStop := func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error)
-		go func() { ended <- serve(ctx, cfg, nil, site.status, io.Discard) }()
-		site.connectCollectors(t)
-		site.relay.Connect(1, "x", 20, false)
-		if !eventually.True(soon, func() bool { return site.attached("") }) {
-			t.Error("got no attached proxy, want one")
+		go func() { ended <- serve(ctx, cfg, nil, platform.status, io.Discard) }() // ends with ctx, below
+		platform.connectCollectors(t)
+		platform.relay.Connect(1, "x", 20, false)
+		if !eventually.True(testTimeout, func() bool { return platform.relay.AllAttached("") }) {
+			t.Errorf("got no attached proxy within %v, want one", testTimeout)
 		}
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
-		for _, collector := range site.collectors {
+		for _, collector := range platform.collectors {
 			mustClose(t, collector)
 		}
 	}
 	startAndStop()
 	goroutines, files := 0, 0
-	eventually.True(soon, func() bool { // the fakes close their connections in the background
+	eventually.True(testTimeout, func() bool { // the fakes close their connections in the background
 		nowGoroutines, nowFiles := runtime.NumGoroutine(), openFiles(t)
 		same := nowGoroutines == goroutines && nowFiles == files
 		goroutines, files = nowGoroutines, nowFiles
@@ -184,15 +184,15 @@
 	for range 3 {
 		startAndStop()
 	}
-	if !eventually.True(soon, func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= files }) {
+	if !eventually.True(testTimeout, func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= files }) {
 		t.Errorf("got %d goroutines and %d descriptors, want at most %d and %d", runtime.NumGoroutine(), openFiles(t), goroutines, files)
 	}
 }
 
 // An unusable configuration makes the program end with one line of text before it listens.
 func TestUnusableConfigurationIsRefused(t *testing.T) {
-	site := newPlatform(t)
-	good, err := os.ReadFile(site.path)
+	platform := newPlatform(t)
+	good, err := os.ReadFile(platform.path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 		"no object":              "{",
 		"no relay":               replaced(`"relay"`, `"x"`),
 		"no settings":            replaced(`"settings"`, `"x"`),
-		"no known list":          replaced(`"known"`, `"x"`),
+		"no initial list":        replaced(`"known"`, `"x"`),
 		"seed not hexadecimal":   replaced(`8c1f30d27a5be964`, `seed`),
 		"unknown status":         replaced(`"status":"active"`, `"status":"odd"`),
 		"listen no address":      replaced(`"listen":"127`, `"listen":"nowhere`),
@@ -226,11 +226,11 @@
 // mustRefuse fails the test unless the program ends with one line and exitConfiguration.
 func mustRefuse(t *testing.T, path string) {
 	t.Helper()
-	daemon := start(t, path)
-	_ = daemon.wait(t) // the exit code is checked below
-	log := daemon.log.String()
+	process := start(t, path)
+	_ = process.wait(t) // the exit code is checked below
+	log := process.log.String()
 	oneLine := strings.Count(log, "\n") == 1 && strings.HasPrefix(log, "madderhollow: ")
-	if code := daemon.ProcessState.ExitCode(); code != exitConfiguration || !oneLine {
+	if code := process.ProcessState.ExitCode(); code != exitConfiguration || !oneLine {
 		t.Errorf("got exit code %d, want %d, and log\n%s", code, exitConfiguration, log)
 	}
 }
--- a/cmd/madderhollow/counters_test.go
+++ b/cmd/madderhollow/counters_test.go
@@ -27,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("log line has %v, status page has %v", got, want)
+		t.Errorf("got log line %v, want the values of the status page, %v", got, want)
 	}
 }
--- a/cmd/madderhollow/documents_test.go
+++ b/cmd/madderhollow/documents_test.go
@@ -46,7 +46,7 @@
 func TestDocumentsNameExistingTests(t *testing.T) {
 	mention := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
 	existing := testNames(t)
-	for _, page := range []string{"docs/architecture.md", "docs/failures.md", "docs/on-call.md", "README.md"} {
+	for _, page := range []string{"docs/architecture.md", "docs/failures.md", "docs/on-call.md", "README.md", "CONTRIBUTING.md"} {
 		for _, name := range mention.FindAllString(readFile(t, filepath.Join(repository, page)), -1) {
 			if !existing[name] {
 				t.Errorf("%s names %s, which does not exist", page, name)
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -23,8 +23,8 @@
 	"madderhollow/internal/testconfig"
 )
 
-// soon bounds every wait. It is long enough for a busy machine.
-const soon = 10 * time.Second
+// testTimeout bounds any wait. It is long enough for a busy machine.
+const testTimeout = 10 * time.Second
 
 // Environment variables of this test binary. The first makes it run the program instead of the tests; the second sets how
 // long the program retries an unusable configuration file.
@@ -45,8 +45,8 @@
 	os.Exit(run(os.Args[1:], os.Getenv, retry))
 }
 
-// program is an assigner in a process of its own.
-type program struct {
+// assignerProcess is an assigner in a process of its own.
+type assignerProcess struct {
 	*exec.Cmd
 	log     *logBuffer
 	ended   chan struct{} // closed when the process has ended
@@ -72,21 +72,21 @@
 }
 
 // start starts the program with a configuration file.
-func start(t *testing.T, configPath string, args ...string) *program {
+func start(t *testing.T, configPath string, args ...string) *assignerProcess {
 	t.Helper()
-	return launch(t, newProgram(configPath, args...))
+	return launch(t, newProcess(configPath, args...))
 }
 
 // newProgram returns the program, not yet started, so that a test can change its environment and output.
-func newProgram(configPath string, args ...string) *program {
-	p := &program{Cmd: exec.Command(os.Args[0], args...), log: &logBuffer{}, ended: make(chan struct{})}
+func newProcess(configPath string, args ...string) *assignerProcess {
+	p := &assignerProcess{Cmd: exec.Command(os.Args[0], args...), log: &logBuffer{}, ended: make(chan struct{})}
 	p.Env = []string{programVariable + "=1", "EDGE_CONFIG=" + configPath}
 	p.Stderr, p.Stdout = p.log, p.log
 	return p
 }
 
 // launch starts the program and kills it at the end of the test.
-func launch(t *testing.T, p *program) *program {
+func launch(t *testing.T, p *assignerProcess) *assignerProcess {
 	t.Helper()
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
@@ -100,7 +100,7 @@
 }
 
 // signal sends a signal to the running program.
-func (p *program) signal(t *testing.T, s os.Signal) {
+func (p *assignerProcess) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.Process.Signal(s); err != nil {
 		t.Error(err)
@@ -108,33 +108,33 @@
 }
 
 // text kills the program if it still runs, and returns its log and how it ended.
-func (p *program) text() string {
+func (p *assignerProcess) text() string {
 	_ = p.Process.Kill() // fails if it has ended
 	<-p.ended
 	return fmt.Sprintf("%sended: %v", p.log, p.waitErr)
 }
 
 // wait waits until the program has ended.
-func (p *program) wait(t *testing.T) error {
+func (p *assignerProcess) wait(t *testing.T) error {
 	t.Helper()
 	select {
 	case <-p.ended:
 		return p.waitErr
-	case <-time.After(soon):
-		t.Fatalf("the program still runs after %v", soon)
+	case <-time.After(testTimeout):
+		t.Fatalf("got the program still running after %v, want its end", testTimeout)
 		return nil
 	}
 }
 
 // mustTerminate sends SIGTERM, and fails the test unless the program ends with status 0.
-func (p *program) mustTerminate(t *testing.T) {
+func (p *assignerProcess) mustTerminate(t *testing.T) {
 	t.Helper()
 	p.signal(t, terminate)
 	p.mustEnd(t)
 }
 
 // mustEnd fails the test unless the program ends with status 0.
-func (p *program) mustEnd(t *testing.T) {
+func (p *assignerProcess) mustEnd(t *testing.T) {
 	t.Helper()
 	if err := p.wait(t); err != nil {
 		t.Errorf("got %v, want exit status 0\n%s", err, p.text())
@@ -145,14 +145,15 @@
 // test cannot get it before the program binds it.
 func freeAddress(t *testing.T, network string) string {
 	t.Helper()
-	for range 1000 {
+	const attempts = 1000
+	for range attempts {
 		address := fmt.Sprint("127.0.0.1:", 10000+rand.Intn(20000))
 		if socket, err := bind(network, address); err == nil {
 			mustClose(t, socket)
 			return address
 		}
 	}
-	t.Fatal("found no free port in 1000 attempts")
+	t.Fatalf("got no free port in %d attempts, want one", attempts)
 	return ""
 }
 
@@ -186,7 +187,7 @@
 	peers      string
 	path       string                              // of the configuration file
 	members    map[string]any                      // of the configuration file
-	collectors map[string]*collectortest.Collector // by zone
+	collectors map[string]*collectortest.Collector // by zone; set by connectCollectors
 }
 
 // zones returns the zones of testconfig.Settings.
@@ -203,39 +204,39 @@
 // newPlatform starts the fakes, writes a configuration file and closes the fakes at the end of the test.
 func newPlatform(t *testing.T) *platform {
 	t.Helper()
-	site := &platform{listen: freeAddress(t, "tcp"), status: freeAddress(t, "tcp"), peers: freeAddress(t, "udp"),
-		path: filepath.Join(t.TempDir(), "config.json"), collectors: map[string]*collectortest.Collector{}}
+	platform := &platform{listen: freeAddress(t, "tcp"), status: freeAddress(t, "tcp"), peers: freeAddress(t, "udp"),
+		path: filepath.Join(t.TempDir(), "config.json")}
 	var list []discoverytest.Endpoint
 	for i := range 12 {
 		list = append(list, endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Ready))
 	}
 	var err error
-	if site.relay, err = relaytest.New("", "read", "sign"); err != nil {
+	if platform.relay, err = relaytest.New("", "read", "sign"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { mustClose(t, site.relay) })
-	if site.agent, err = discoverytest.New("", 5, list...); err != nil {
+	t.Cleanup(func() { mustClose(t, platform.relay) })
+	if platform.agent, err = discoverytest.New("", 5, list...); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { mustClose(t, site.agent) })
-	initial := site.agent.List()
+	t.Cleanup(func() { mustClose(t, platform.agent) })
+	initial := platform.agent.List()
 	initial.Version--
-	site.members = map[string]any{"name": "n1", "listen": site.listen, "discovery": site.agent.Address(), "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "relay": map[string]any{"address": site.relay.Address()},
-		"known": initial, "peer_listen": site.peers, "peers": []string{site.peers}, "peers_all": site.peers, "settings": testconfig.Settings()}
-	site.writeConfig(t, 1)
-	return site
+	platform.members = map[string]any{"name": "n1", "listen": platform.listen, "discovery": platform.agent.Address(), "seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "relay": map[string]any{"address": platform.relay.Address()},
+		"known": initial, "peer_listen": platform.peers, "peers": []string{platform.peers}, "peers_all": platform.peers, "settings": testconfig.Settings()}
+	platform.writeConfig(t, 1)
+	return platform
 }
 
 // startAttached starts an assigner with a status page on a new platform, and returns once its proxies are attached.
-func startAttached(t *testing.T) (*platform, *program) {
+func startAttached(t *testing.T) (*platform, *assignerProcess) {
 	t.Helper()
-	site := newPlatform(t)
-	daemon := start(t, site.path, "-status", site.status)
-	site.connectCollectors(t)
-	site.connectProxies()
-	site.mustAttach(t, daemon, "", "the proxies are not attached")
-	return site, daemon
+	platform := newPlatform(t)
+	process := start(t, platform.path, "-status", platform.status)
+	platform.connectCollectors(t)
+	platform.connectProxies()
+	platform.mustAttach(t, process, "", "at the start")
+	return platform, process
 }
 
 // writeConfig writes the first part of the configuration to the file, as a fraction of its length; 1 writes all of it.
@@ -268,21 +269,12 @@
 // connectCollectors connects a collector for each zone. It waits until the assigner listens and answers a ping.
 func (p *platform) connectCollectors(t *testing.T) {
 	t.Helper()
-	for _, zone := range zones() {
-		var collector *collectortest.Collector
-		connected := eventually.True(soon, func() bool {
-			var err error
-			collector, err = collectortest.Dial(p.listen, zone)
-			return err == nil
-		})
-		if !connected {
-			t.Fatalf("no listener at %s after %v", p.listen, soon)
-		}
+	var err error
+	if p.collectors, err = collectortest.DialAll(p.listen, testTimeout, zones()...); err != nil {
+		t.Fatal(err)
+	}
+	for _, collector := range p.collectors {
 		t.Cleanup(func() { _ = collector.Close() }) // fails if the test has closed it
-		if err := collector.Ping(soon); err != nil {
-			t.Fatal(err)
-		}
-		p.collectors[zone] = collector
 	}
 }
 
@@ -294,27 +286,12 @@
 	}
 }
 
-// attached reports whether every connected proxy has, for every class, a table with entries, and none of them is for the
-// endpoint that is given.
-func (p *platform) attached(without string) (all bool) {
-	p.relay.Inspect(func(state *relaytest.State) {
-		all = len(state.Proxies) > 0
-		for _, proxy := range state.Proxies {
-			all = all && len(proxy.Tables) == 2
-			for _, table := range proxy.Tables {
-				entries := state.Tables[table]
-				all = all && len(entries) > 0 && entries[without] == 0
-			}
-		}
-	})
-	return all
-}
-
-// mustAttach fails the test with a message unless attached becomes true.
-func (p *platform) mustAttach(t *testing.T, daemon *program, without, message string) {
+// mustAttach fails the test unless every proxy gets tables without an endpoint; with "" any tables do. The text when says
+// at which point of the test.
+func (p *platform) mustAttach(t *testing.T, process *assignerProcess, without, when string) {
 	t.Helper()
-	if !eventually.True(soon, func() bool { return p.attached(without) }) {
-		t.Fatalf("%s\n%s", message, daemon.text())
+	if !eventually.True(testTimeout, func() bool { return p.relay.AllAttached(without) }) {
+		t.Fatalf("%s: got proxies without tables, or with endpoint %q in them, after %v; want none\n%s", when, without, testTimeout, process.text())
 	}
 }
 
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -19,12 +19,12 @@
 )
 
 //nolint:gochecknoglobals // a flag of the test binary has to be registered before any test runs
-var soakTime = flag.Duration("soak", 3*time.Second, "how long TestSoak lasts")
+var soakTime = flag.Duration("soak", 3*time.Second, "how long TestSoakKeepsResourcesBounded lasts")
 
-// soak is a program whose relay, discovery, collectors and clients fail at random.
+// soak is an assigner whose relay, discovery, collectors and clients fail at random.
 type soak struct {
 	*platform
-	program     *program
+	process     *assignerProcess
 	mu          sync.Mutex
 	random      *rand.Rand
 	connections [400]net.Conn // never identify themselves; more than the descriptor limit allows
@@ -93,7 +93,7 @@
 		s.replaceNext = replacement.Name
 	case 4:
 		s.move(t, 50*time.Millisecond)
-		s.program.signal(t, syscall.SIGHUP)
+		s.process.signal(t, syscall.SIGHUP)
 	}
 }
 
@@ -110,9 +110,9 @@
 	t.Helper()
 	health, err := s.health()
 	if err != nil {
-		t.Fatalf("%v\n%s", err, s.program.text())
+		t.Fatalf("%v\n%s", err, s.process.text())
 	}
-	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.program.Process.Pid))
+	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.process.Process.Pid))
 	if err != nil {
 		t.Skip("descriptors cannot be counted here")
 	}
@@ -142,11 +142,11 @@
 
 // Faults, connections, replaced endpoints and reloads must not increase the program's use of resources over time, and its
 // tables are correct once they stop.
-func TestSoak(t *testing.T) {
-	site := newPlatform(t)
-	soaked := &soak{platform: site, program: start(t, site.path, "-status", site.status), random: rand.New(rand.NewSource(1)), replaceNext: "s-11"}
-	site.connectCollectors(t)
-	site.connectProxies()
+func TestSoakKeepsResourcesBounded(t *testing.T) {
+	platform := newPlatform(t)
+	soaked := &soak{platform: platform, process: start(t, platform.path, "-status", platform.status), random: rand.New(rand.NewSource(1)), replaceNext: "s-11"}
+	platform.connectCollectors(t)
+	platform.connectProxies()
 	soaked.injectFaults()
 	first, second := soaked.run(t, *soakTime)
 	t.Logf("highest values in the first half %+v, in the second %+v", first, second)
@@ -164,11 +164,11 @@
 			_ = conn.Close() // fails if the server has closed it
 		}
 	}
-	site.relay.SetFault(nil)
-	site.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
+	platform.relay.SetFault(nil)
+	platform.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
 	for i := range 6 { // fresh proxies may keep their default table, so none of them may be fresh for the check
-		site.relay.Disconnect(i)
-		site.relay.Connect(i, zoneOf(i), 20, false)
+		platform.relay.Disconnect(i)
+		platform.relay.Connect(i, zoneOf(i), 20, false)
 	}
-	site.mustAttach(t, soaked.program, "s-0", "a table still has a draining endpoint after the faults")
+	platform.mustAttach(t, soaked.process, "s-0", "after a drain and all faults")
 }
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -40,50 +40,50 @@
 	return pipe, nil
 }
 
-// While the previous process still holds the addresses, the new one retries. It serves as soon as its listener is bound, and
+// While the previous process still holds the addresses, the new one retries. It serves as testTimeout as its listener is bound, and
 // does not wait for the status page and the peer socket.
 func TestStartWhileAddressesInUse(t *testing.T) {
-	site := newPlatform(t)
+	platform := newPlatform(t)
 	held := map[string]io.Closer{}
-	for address, network := range map[string]string{site.listen: "tcp", site.status: "tcp", site.peers: "udp"} {
+	for address, network := range map[string]string{platform.listen: "tcp", platform.status: "tcp", platform.peers: "udp"} {
 		socket, err := bind(network, address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		held[address] = socket
 	}
-	daemon := start(t, site.path, "-status", site.status)
-	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), site.listen) }) {
-		t.Fatalf("got no log line about %s\n%s", site.listen, daemon.text())
-	}
-	mustClose(t, held[site.listen])
-	site.connectCollectors(t)
-	site.relay.Connect(1, "x", 20, false)
-	site.mustAttach(t, daemon, "", "the proxy is not attached before status page and peer socket are bound")
-	mustClose(t, held[site.peers])
-	mustClose(t, held[site.status])
-	up := eventually.True(soon, func() bool {
-		_, err := site.health()
-		return err == nil && strings.Contains(daemon.log.String(), "peer socket bound")
+	process := start(t, platform.path, "-status", platform.status)
+	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), platform.listen) }) {
+		t.Fatalf("got no log line about %s within %v, want one\n%s", platform.listen, testTimeout, process.text())
+	}
+	mustClose(t, held[platform.listen])
+	platform.connectCollectors(t)
+	platform.relay.Connect(1, "x", 20, false)
+	platform.mustAttach(t, process, "", "before status page and peer socket are bound")
+	mustClose(t, held[platform.peers])
+	mustClose(t, held[platform.status])
+	up := eventually.True(testTimeout, func() bool {
+		_, err := platform.health()
+		return err == nil && strings.Contains(process.log.String(), "peer socket bound")
 	})
 	if !up {
-		t.Errorf("status page or peer socket is not bound\n%s", daemon.text())
+		t.Errorf("got status page or peer socket not bound within %v, want both\n%s", testTimeout, process.text())
 	}
-	daemon.mustTerminate(t)
+	process.mustTerminate(t)
 }
 
 // An incomplete configuration file is read again. Package config tests for how long, on a fake clock; here the program
 // retries for as long as a busy machine may need.
 func TestStartWhileConfigurationIncomplete(t *testing.T) {
-	site := newPlatform(t)
-	whole, err := os.ReadFile(site.path)
+	platform := newPlatform(t)
+	whole, err := os.ReadFile(platform.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := newPipe(t)
-	daemon := newProgram(path)
-	daemon.Env = append(daemon.Env, retryTimeoutVariable+"="+soon.String())
-	launch(t, daemon)
+	process := newProcess(path)
+	process.Env = append(process.Env, retryTimeoutVariable+"="+testTimeout.String())
+	launch(t, process)
 	half, err := fillPipe(path, whole[:len(whole)/2])
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 	var over atomic.Bool
 	// The program may read the rest as a continuation of the first half. That is no valid text either, so it retries, and
 	// the goroutine writes the text again until the test sets over.
-	go func() {
+	go func() { // ends with over, below
 		var err error
 		for !over.Load() && err == nil {
 			var pipe *os.File
@@ -103,8 +103,8 @@
 		}
 		done <- err
 	}()
-	site.connectCollectors(t)
-	daemon.mustTerminate(t)
+	platform.connectCollectors(t)
+	process.mustTerminate(t)
 	over.Store(true)
 	reader, err := os.OpenFile(path, os.O_RDWR|syscall.O_NONBLOCK, 0) // unblocks a writer that waits for a reader
 	if err != nil {
@@ -126,24 +126,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := newPipe(t)
-			daemon := start(t, path)
+			process := start(t, path)
 			pipe, err := fillPipe(path, []byte("{")) // the program now reads it
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range signals {
-				if err := daemon.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
+				if err := process.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 					t.Error(err)
 				}
 			}
-			daemon.mustEnd(t)
+			process.mustEnd(t)
 			mustClose(t, pipe)
 		})
 	}
 }
 
 // SIGTERM ends the program with status 0 during any operation that may block.
-func TestTerminateDuring(t *testing.T) {
+func TestTerminateDuringBlockingOperation(t *testing.T) {
 	for name, test := range map[string]struct {
 		// prepare makes the operation block. It is called before the start, and returns a function that reports whether
 		// the operation has begun; nil stands for the end of the start.
@@ -157,24 +157,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			site := newPlatform(t)
+			platform := newPlatform(t)
 			var reached func() bool
 			if test.prepare != nil {
-				reached = test.prepare(t, site)
+				reached = test.prepare(t, platform)
 			}
-			daemon := start(t, site.path)
+			process := start(t, platform.path)
 			if reached == nil {
 				reached = func() bool {
-					return strings.Contains(daemon.log.String(), "started") || strings.Contains(daemon.log.String(), site.listen)
+					return strings.Contains(process.log.String(), "started") || strings.Contains(process.log.String(), platform.listen)
 				}
 			}
-			if !eventually.True(soon, reached) {
-				t.Fatalf("the operation has not begun\n%s", daemon.text())
+			if !eventually.True(testTimeout, reached) {
+				t.Fatalf("got the operation not begun within %v, want it to block\n%s", testTimeout, process.text())
 			}
 			if test.reload {
-				beginReload(t, site, daemon)
+				beginReload(t, platform, process)
 			}
-			daemon.mustTerminate(t)
+			process.mustTerminate(t)
 		})
 	}
 }
@@ -210,18 +210,18 @@
 }
 
 // beginReload makes the program read an incomplete configuration, which it then retries.
-func beginReload(t *testing.T, p *platform, daemon *program) {
+func beginReload(t *testing.T, p *platform, process *assignerProcess) {
 	t.Helper()
 	p.writeConfig(t, 0.5)
-	daemon.signal(t, syscall.SIGHUP)
-	if !eventually.True(soon, func() bool { return strings.Contains(daemon.log.String(), "configuration file not usable") }) {
-		t.Errorf("got no log line about an unusable file\n%s", daemon.log)
+	process.signal(t, syscall.SIGHUP)
+	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), "configuration file not usable") }) {
+		t.Errorf("got no log line about an unusable file within %v, want one\n%s", testTimeout, process.log)
 	}
 }
 
 func TestTerminateWhileLogIsNotRead(t *testing.T) {
 	const setPipeSize, pageSize = 1031, 4096
-	site := newPlatform(t)
+	platform := newPlatform(t)
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -234,9 +234,9 @@
 	if _, err := writer.Write(make([]byte, pageSize)); err != nil { // fills the pipe
 		t.Fatal(err)
 	}
-	daemon := newProgram(site.path)
-	daemon.Stderr, daemon.Stdout = writer, writer
-	launch(t, daemon)
-	site.connectCollectors(t)
-	daemon.mustTerminate(t)
+	process := newProcess(platform.path)
+	process.Stderr, process.Stdout = writer, writer
+	launch(t, process)
+	platform.connectCollectors(t)
+	process.mustTerminate(t)
 }
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -44,7 +44,7 @@
 	config      platformConfig
 	relay       *relaytest.Relay
 	agent       *discoverytest.Agent
-	collectors  map[string]*collectortest.Collector // by zone
+	collectors  map[string]*collectortest.Collector // by zone; set by awaitAssigner
 	connectedAt time.Time                           // when the assigner answered the last collector's ping
 }
 
@@ -66,7 +66,6 @@
 		config:      config,
 		relay:       relay,
 		agent:       agent,
-		collectors:  map[string]*collectortest.Collector{},
 		connectedAt: time.Now(),
 	}, nil
 }
@@ -127,17 +126,6 @@
 	return proxies
 }
 
-// attached reports whether every proxy has tables for both classes.
-func (d *demo) attached() (all bool) {
-	d.relay.Inspect(func(state *relaytest.State) {
-		all = true
-		for _, proxy := range state.Proxies {
-			all = all && len(proxy.Tables) == 2
-		}
-	})
-	return all
-}
-
 // tableOfProxy0 formats the entries of the table of proxy 0.
 func (d *demo) tableOfProxy0() (text string) {
 	d.relay.Inspect(func(state *relaytest.State) {
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -21,28 +21,16 @@
 
 // Errors that end the demo.
 var (
-	errNotListening = errors.New("no assigner listens")
-	errNotAttached  = errors.New("tables were not attached to all proxies")
-	errNotDrained   = errors.New("tables still have the draining endpoint")
-	errNotMoved     = errors.New("the assigner does not use the new address")
+	errNotAttached = errors.New("tables were not attached to all proxies")
+	errNotDrained  = errors.New("tables still have the draining endpoint")
+	errNotMoved    = errors.New("the assigner does not use the new address")
 )
 
 // awaitAssigner waits for the assigner and connects the collectors.
 func (d *demo) awaitAssigner() error {
-	for _, zone := range []string{"x", "y", "z"} {
-		var collector *collectortest.Collector
-		connected := eventually.True(startTimeout, func() bool {
-			var err error
-			collector, err = collectortest.Dial(d.config.Listen, zone)
-			return err == nil
-		})
-		if !connected {
-			return fmt.Errorf("%w at %s", errNotListening, d.config.Listen)
-		}
-		if err := collector.Ping(orderTimeout); err != nil {
-			return fmt.Errorf("ping: %w", err)
-		}
-		d.collectors[zone] = collector
+	var err error
+	if d.collectors, err = collectortest.DialAll(d.config.Listen, startTimeout, "x", "y", "z"); err != nil {
+		return fmt.Errorf("connect collectors: %w", err)
 	}
 	d.connectedAt = time.Now()
 	d.printf("The assigner answers pings. A collector of each zone is connected.")
@@ -55,7 +43,7 @@
 		d.relay.Connect(id, string("xyz"[id%3]), float64(normal().requests), false)
 	}
 	d.printf("Six proxies connect. They hold tables of a previous assigner, which this one does not know.")
-	if !eventually.True(orderTimeout, d.attached) {
+	if !eventually.True(orderTimeout, func() bool { return d.relay.AllAttached("") }) {
 		return errNotAttached
 	}
 	d.printf("Each proxy has a table of its own, which prefers endpoints of its zone. Proxy 0, zone x: %s", d.tableOfProxy0())
--- a/internal/collectortest/collectortest.go
+++ b/internal/collectortest/collectortest.go
@@ -8,10 +8,18 @@
 	"fmt"
 	"net"
 	"time"
+
+	"madderhollow/internal/eventually"
+)
+
+// Errors of an assigner that does not answer as expected.
+var (
+	ErrNoPong       = errors.New("answer is not a pong")
+	ErrNotListening = errors.New("no assigner listens")
 )
 
-// ErrNoPong is returned if the answer to a ping is not a pong.
-var ErrNoPong = errors.New("answer is not a pong")
+// pingTimeout bounds the time of a pong to a collector of DialAll.
+const pingTimeout = 10 * time.Second
 
 // reportInterval is the time that each report covers, in milliseconds.
 const reportInterval = 1000
@@ -31,7 +39,33 @@
 		return nil, fmt.Errorf("collector: %w", err)
 	}
 	c := &Collector{zone, conn, bufio.NewReader(conn)}
-	return c, c.sendMessage(identification{Type: collectorType, Zone: zone})
+	if err := c.sendMessage(identification{Type: collectorType, Zone: zone}); err != nil {
+		return nil, errors.Join(err, c.Close())
+	}
+	return c, nil
+}
+
+// DialAll returns a collector for each zone, by zone, once the assigner has answered a ping of each. Each connection is retried
+// until the timeout has passed. The caller closes the collectors, also those that are returned with an error.
+func DialAll(address string, timeout time.Duration, zones ...string) (map[string]*Collector, error) {
+	collectors := map[string]*Collector{}
+	for _, zone := range zones {
+		connected := eventually.True(timeout, func() bool {
+			collector, err := Dial(address, zone)
+			if err != nil {
+				return false
+			}
+			collectors[zone] = collector
+			return true
+		})
+		if !connected {
+			return collectors, fmt.Errorf("%w at %s within %v", ErrNotListening, address, timeout)
+		}
+		if err := collectors[zone].Ping(pingTimeout); err != nil {
+			return collectors, fmt.Errorf("ping: %w", err)
+		}
+	}
+	return collectors, nil
 }
 
 // Close closes the connection.
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -117,6 +117,25 @@
 	f(&r.state)
 }
 
+// AllAttached reports whether a proxy is connected, and every connected proxy has a table with entries for each request class,
+// in which the endpoint without has no weight. An empty name excludes no endpoint.
+func (r *Relay) AllAttached(without string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, proxy := range r.state.Proxies {
+		if len(proxy.Tables) != len(r.classes) {
+			return false
+		}
+		for _, table := range proxy.Tables {
+			entries := r.state.Tables[table]
+			if len(entries) == 0 || entries[without] > 0 {
+				return false
+			}
+		}
+	}
+	return len(r.state.Proxies) > 0
+}
+
 // Connect connects a proxy and sends the event. A fresh proxy holds no assigned table yet.
 func (r *Relay) Connect(id int, zone string, rate float64, fresh bool) {
 	r.mu.Lock()
