--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,7 +1,7 @@
 // Package status serves the status page: counters at /healthz and profiles at /debug/pprof/.
 //
-// Serve handles each connection in a goroutine of its own and does not wait for these when it returns: it closes their
-// connections, and a handler ends when it next writes, a profile of some seconds at its end.
+// Serve handles each connection in a goroutine of its own. When it returns, it has closed all connections, but it does not wait
+// for their handlers. These end soon after, because the context of a request ends with its connection.
 package status
 
 import (
