--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -66,8 +66,7 @@
 // returns an error only if the assigner could not start.
 func serve(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, statusAddress string, logs io.Writer) error {
 	startedAt := time.Now()
-	clockZero := startedAt.Add(-time.Duration(eventloop.ClockStart * float64(time.Second)))
-	codec := wire.NewCodec(cfg.Settings, clockZero)
+	codec := wire.NewCodec(cfg.Settings, eventloop.ClockZero(startedAt))
 	initial, err := codec.EndpointUpdate(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: initial endpoints: %w", err)
--- a/internal/conditionlog/conditionlog.go
+++ b/internal/conditionlog/conditionlog.go
@@ -22,9 +22,9 @@
 
 // Config describes a condition. The messages are constants in lower case, without values.
 type Config struct {
-	Log       zerolog.Logger // with the component of its owner
-	Failing   string         // message of the warnings; field attempts: failed attempts since the last line
-	Recovered string         // message of the info line; fields attempts_total: all failed attempts, lasted_ms: since the first
+	Log       zerolog.Logger // with the component of its owner; default: no log
+	Failing   string         // message of the warnings; field attempts: failed attempts since the last line; required
+	Recovered string         // message of the info line; fields attempts_total: all failed attempts, lasted_ms: since the first; required
 }
 
 // Condition is the state of one condition. New makes it.
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -25,12 +25,12 @@
 	retryTimeout = 5 * time.Second
 )
 
-// Config describes a Reloader. Every field must be set.
+// Config describes a Reloader.
 type Config struct {
-	Path      string            // of the configuration file that the program started with
-	Discovery *handover.Address // moved by the Reloader alone
-	Relay     *handover.Address // moved by the Reloader alone
-	Log       zerolog.Logger    // New adds the component
+	Path      string            // of the configuration file that the program started with; required
+	Discovery *handover.Address // moved by the Reloader alone; required
+	Relay     *handover.Address // moved by the Reloader alone; required
+	Log       zerolog.Logger    // New adds the component; default: no log
 }
 
 // Reloader reads the file and moves the addresses. Its states are idle and reloading; its transitions:
@@ -68,7 +68,7 @@
 	// With an error the file is nil, or has an invalid address. If it is nil, no members that need a restart are logged; the
 	// addresses are not compared with those of the file.
 	r.initial, _ = config.LoadUpdate(r.path)
-	retry := time.NewTimer(0)
+	retry := time.NewTimer(0) // fires once while idle, without effect
 	defer retry.Stop()
 	for {
 		select {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -32,15 +32,15 @@
 // ErrMemory is returned by New for a Config without memory for the answers of an agent.
 var ErrMemory = errors.New("memory limit below 1 MB")
 
-// Config describes a Watcher. Every field must be set, except InitialVersion and Seed.
+// Config describes a Watcher.
 type Config struct {
-	Address        *handover.Address // of the agent; its owner may move it at any time
-	InitialVersion int               // of the list that the module starts with, from the configuration; 0: none
-	Codec          *wire.Codec
-	Sink           eventqueue.Sink // receives every assign.EndpointUpdate, from the goroutine that calls Run
-	MemoryMB       int             // of the process; bounds the size of an answer
-	Seed           int64           // of the delays between attempts
-	Log            zerolog.Logger  // New adds the component
+	Address        *handover.Address // of the agent; its owner may move it at any time; required
+	InitialVersion int               // of the list that the module starts with, from the configuration; default 0: none
+	Codec          *wire.Codec       // decodes answers; required
+	Sink           eventqueue.Sink   // receives every assign.EndpointUpdate, from the goroutine that calls Run; required
+	MemoryMB       int               // the process's memory limit; bounds the size of an answer; at least 1
+	Seed           int64             // of the delays between attempts; any value
+	Log            zerolog.Logger    // New adds the component; default: no log
 }
 
 // Watcher watches the list of one agent, over one connection, or two while the agent's address moves. Watch and Fetch may be
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -16,6 +16,9 @@
 // times must stay above 0, and is small enough for a float64 to resolve microseconds.
 const ClockStart = 1e6
 
+// ClockZero returns the time at which the module's clock shows 0 if it shows ClockStart at startedAt.
+func ClockZero(startedAt time.Time) time.Time { return startedAt.Add(-duration(ClockStart)) }
+
 // idleWait bounds the wait for events while no timer is set.
 const idleWait = time.Hour
 
@@ -41,14 +44,14 @@
 	FetchEndpoints func()
 }
 
-// Config describes a Loop. Every field must be set.
+// Config describes a Loop.
 type Config struct {
-	Seed      int64         // of the module's random source
-	Settings  assign.Config // checked by its owner, internal/config
-	Inputs    Inputs
-	Outputs   Outputs
-	StartedAt time.Time      // the time at which the module's clock shows ClockStart
-	Log       zerolog.Logger // New adds the component
+	Seed      int64          // of the module's random source; any value
+	Settings  assign.Config  // checked by its owner, internal/config; required
+	Inputs    Inputs         // all fields required
+	Outputs   Outputs        // all fields required
+	StartedAt time.Time      // the time at which the module's clock shows ClockStart; required
+	Log       zerolog.Logger // New adds the component; default: no log
 }
 
 // Loop runs one Assigner. Only Stats may be called by several goroutines.
@@ -95,7 +98,7 @@
 // Run handles the initial events at once and then batches of events, until the context ends. Events still queued then are
 // not handled. Run calls ready after the first batch. It must be called once.
 func (l *Loop) Run(ctx context.Context, initial []assign.Event, ready func()) {
-	alarm := time.NewTimer(0)
+	alarm := time.NewTimer(idleWait) // set for each wait
 	defer alarm.Stop()
 	lastBatch := l.now()
 	l.handle(lastBatch, initial)
@@ -151,10 +154,11 @@
 	return events
 }
 
+// duration converts seconds.
+func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
 // roundUp converts seconds to a duration of at least 0. It adds a microsecond so that a timer never fires before it is due.
-func roundUp(seconds float64) time.Duration {
-	return max(0, time.Duration(seconds*float64(time.Second))+time.Microsecond)
-}
+func roundUp(seconds float64) time.Duration { return max(0, duration(seconds)+time.Microsecond) }
 
 // handle passes one batch to the module and dispatches the module's orders.
 func (l *Loop) handle(now float64, events []assign.Event) {
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -105,18 +105,22 @@
 // fails it opens another one after the next of the delays. It starts over from the shortest one when the current stream
 // fails; Receive may reset the delays, too. No other goroutine may use them while Follow runs.
 func Follow[T any](ctx context.Context, address *Address, delays *backoff.Backoff, source Source[T]) {
-	f := &follower[T]{source: source, address: address, delays: delays, delay: time.NewTimer(0)}
-	defer f.delay.Stop()
-	defer func() {
-		f.current.close()
-		f.next.close()
-	}()
+	delay := time.NewTimer(0) // fires once without effect: there is no backoff yet
+	f := &follower[T]{source: source, address: address, delays: delays, delay: delay}
+	defer f.stop()
 	for ctx.Err() == nil {
 		moved := f.openNext(ctx)
 		f.step(ctx, moved)
 	}
 }
 
+// stop closes all streams.
+func (f *follower[T]) stop() {
+	f.delay.Stop()
+	f.current.close()
+	f.next.close()
+}
+
 // openNext opens the next stream if the state asks for one. It returns a channel that is closed when the address changes.
 func (f *follower[T]) openNext(ctx context.Context) (moved <-chan struct{}) {
 	address, moved := f.address.Current()
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -22,15 +22,15 @@
 	allProxies bool         // all proxies acknowledge, not only those reached
 }
 
-// apply applies orders up to the first that is rejected, and returns the number of applied orders. The proxies that the
+// applyCall applies the orders of a call up to the first that is rejected, and returns the number of applied orders. The proxies that the
 // call reaches acknowledge it at once.
-func (r *Relay) apply(orders []string) (applied int) {
+func (r *Relay) applyCall(orders []string) (applied int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state.Calls = append(r.state.Calls, orders)
 	call := &call{state: &r.state, classes: r.classes, reached: map[int]bool{}}
 	for _, order := range orders {
-		if call.apply(strings.Split(order, argumentSeparator)) != nil {
+		if call.applyOrder(strings.Split(order, argumentSeparator)) != nil {
 			break
 		}
 		applied++
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// apply applies one order, given by its fields.
-func (c *call) apply(fields []string) error {
+// applyOrder applies one order, given by its fields.
+func (c *call) applyOrder(fields []string) error {
 	name := fields[0]
 	if len(fields) != fieldCount(name) {
 		return errRejected
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -166,7 +166,7 @@
 	}
 	applied := 0
 	if fault.appliesOrders() {
-		applied = r.apply(orders)
+		applied = r.applyCall(orders)
 	}
 	switch fault {
 	case ResetBefore, ResetAfter:
