--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -29,7 +29,7 @@
 	var calls, requests atomic.Int32
 	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(calls.Add(1)-1, 4)] })
-	p.relay.CutStreamsInEvent(25)
+	p.relay.CutStreamsInEvent(25) // in the data
 	p.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
 		bad := requests.Add(1) < 3
 		if bad {
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -80,7 +80,7 @@
 	proxy := step % 6
 	switch s.chance(40) {
 	case 0:
-		s.relay.CutStreamsInEvent(9)
+		s.relay.CutStreamsInEvent(9) // in the type
 	case 1:
 		s.relay.Disconnect(proxy)
 		s.relay.Connect(proxy, zoneOf(proxy), 20, s.chance(2) == 0)
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -40,7 +40,7 @@
 	return pipe, nil
 }
 
-// While the previous process still holds the addresses, the new one retries. It serves as testTimeout as its listener is bound, and
+// While the previous process still holds the addresses, the new one retries. It serves as soon as its listener is bound, and
 // does not wait for the status page and the peer socket.
 func TestStartWhileAddressesInUse(t *testing.T) {
 	platform := newPlatform(t)
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// stop closes all streams.
+// stop closes all streams and ends the backoff.
 func (f *follower[T]) stop() {
 	f.delay.Stop()
 	f.current.close()
