--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -26,6 +26,11 @@
 // testTimeout bounds any wait. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
+const (
+	agentVersion   = 5   // of the agent's first list
+	maxDescriptors = 256 // limit of the assigner
+)
+
 // Environment variables of this test binary. The first makes it run the program instead of the tests; the second sets how
 // long the program retries an unusable configuration file.
 const (
@@ -204,8 +209,12 @@
 // newPlatform starts the fakes, writes a configuration file and closes the fakes at the end of the test.
 func newPlatform(t *testing.T) *platform {
 	t.Helper()
-	platform := &platform{listen: freeAddress(t, "tcp"), status: freeAddress(t, "tcp"), peers: freeAddress(t, "udp"),
-		path: filepath.Join(t.TempDir(), "config.json")}
+	platform := &platform{
+		listen: freeAddress(t, "tcp"),
+		status: freeAddress(t, "tcp"),
+		peers:  freeAddress(t, "udp"),
+		path:   filepath.Join(t.TempDir(), "config.json"),
+	}
 	var list []discoverytest.Endpoint
 	for i := range 12 {
 		list = append(list, endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Ready))
@@ -215,19 +224,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, platform.relay) })
-	if platform.agent, err = discoverytest.New("", 5, list...); err != nil {
+	if platform.agent, err = discoverytest.New("", agentVersion, list...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, platform.agent) })
-	initial := platform.agent.List()
-	initial.Version--
-	platform.members = map[string]any{"name": "n1", "listen": platform.listen, "discovery": platform.agent.Address(), "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 256}, "relay": map[string]any{"address": platform.relay.Address()},
-		"known": initial, "peer_listen": platform.peers, "peers": []string{platform.peers}, "peers_all": platform.peers, "settings": testconfig.Settings()}
+	platform.members = platform.configuration()
 	platform.writeConfig(t, 1)
 	return platform
 }
 
+// configuration returns the members of the configuration file. Its endpoint list is older than the agent's, so that the
+// assigner applies the agent's.
+func (p *platform) configuration() map[string]any {
+	initial := p.agent.List()
+	initial.Version = agentVersion - 1
+	return map[string]any{
+		"name":        "n1",
+		"listen":      p.listen,
+		"discovery":   p.agent.Address(),
+		"relay":       map[string]any{"address": p.relay.Address()},
+		"seed":        "8c1f30d27a5be964",
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": maxDescriptors},
+		"known":       initial,
+		"peer_listen": p.peers,
+		"peers":       []string{p.peers},
+		"peers_all":   p.peers,
+		"settings":    testconfig.Settings(),
+	}
+}
+
 // startAttached starts an assigner with a status page on a new platform, and returns once its proxies are attached.
 func startAttached(t *testing.T) (*platform, *assignerProcess) {
 	t.Helper()
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -144,7 +144,12 @@
 // tables are correct once they stop.
 func TestSoakKeepsResourcesBounded(t *testing.T) {
 	platform := newPlatform(t)
-	soaked := &soak{platform: platform, process: start(t, platform.path, "-status", platform.status), random: rand.New(rand.NewSource(1)), replaceNext: "s-11"}
+	soaked := &soak{
+		platform:    platform,
+		process:     start(t, platform.path, "-status", platform.status),
+		random:      rand.New(rand.NewSource(1)),
+		replaceNext: "s-11",
+	}
 	platform.connectCollectors(t)
 	platform.connectProxies()
 	soaked.injectFaults()
@@ -155,8 +160,8 @@
 		"KB of heap":  {first.heapKB, second.heapKB},
 		"descriptors": {first.descriptors, second.descriptors},
 	} {
-		if highest[1] > 1.5*highest[0]+20 || second.descriptors > 256 {
-			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most 256 descriptors", name, highest[1], highest[0])
+		if highest[1] > 1.5*highest[0]+20 || second.descriptors > maxDescriptors {
+			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most %d descriptors", name, highest[1], highest[0], maxDescriptors)
 		}
 	}
 	for _, conn := range soaked.connections {
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -19,6 +19,9 @@
 // proxyCount is the number of proxies.
 const proxyCount = 6
 
+// zones returns the zones of the configuration's settings.
+func zones() []string { return []string{"x", "y", "z"} }
+
 // platformConfig holds the members of the assigner's configuration file that the fakes use, too.
 type platformConfig struct {
 	Listen    string // the assigner's address
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -29,7 +29,7 @@
 // awaitAssigner waits for the assigner and connects the collectors.
 func (d *demo) awaitAssigner() error {
 	var err error
-	if d.collectors, err = collectortest.DialAll(d.config.Listen, startTimeout, "x", "y", "z"); err != nil {
+	if d.collectors, err = collectortest.DialAll(d.config.Listen, startTimeout, zones()...); err != nil {
 		return fmt.Errorf("connect collectors: %w", err)
 	}
 	d.connectedAt = time.Now()
@@ -40,7 +40,8 @@
 // connectProxies connects the proxies and reports a normal load for three seconds.
 func (d *demo) connectProxies() error {
 	for id := range proxyCount {
-		d.relay.Connect(id, string("xyz"[id%3]), float64(normal().requests), false)
+		zone := zones()[id%len(zones())]
+		d.relay.Connect(id, zone, float64(normal().requests), false)
 	}
 	d.printf("Six proxies connect. They hold tables of a previous assigner, which this one does not know.")
 	if !eventually.True(orderTimeout, func() bool { return d.relay.AllAttached("") }) {
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -168,9 +168,14 @@
 	if fault.appliesOrders() {
 		applied = r.applyCall(orders)
 	}
+	r.answerCall(response, request, fault, applied)
+}
+
+// answerCall answers a call with the number of applied orders, or fails as its fault says.
+func (r *Relay) answerCall(response http.ResponseWriter, request *http.Request, fault Fault, applied int) {
 	switch fault {
 	case ResetBefore, ResetAfter:
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // resets the connection
 	case SilentBefore, SilentAfter:
 		select {
 		case <-request.Context().Done():
