--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -104,23 +104,11 @@
 	l.handle(lastBatch, initial)
 	ready()
 	for {
-		// Wait for one event or the next timer.
-		alarm.Reset(l.untilNextTimer())
-		var events, reports []assign.Event
-		select {
-		case <-ctx.Done():
+		events, reports, ok := l.waitForEvent(ctx, alarm)
+		if !ok {
 			return
-		case event := <-l.inputs.Events:
-			events = append(events, event)
-		case report := <-l.inputs.Reports:
-			reports = append(reports, report)
-		case <-alarm.C:
-		}
-		// Wait until the next batch may start, and collect all that is queued by then. The sleep does not end with the
-		// context; it lasts no longer than minInterval, and the batch is handled before Run returns.
-		if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
-			time.Sleep(roundUp(rest))
 		}
+		l.waitForInterval(lastBatch)
 		events = appendQueued(events, l.inputs.Events)
 		events = append(events, reports...) // behind the events
 		events = appendQueued(events, l.inputs.Reports)
@@ -133,6 +121,30 @@
 	}
 }
 
+// waitForEvent blocks until there is an event or a report, which it returns, or until a timer may be due. It is not ok if the
+// context has ended.
+func (l *Loop) waitForEvent(ctx context.Context, alarm *time.Timer) (events, reports []assign.Event, ok bool) {
+	alarm.Reset(l.untilNextTimer())
+	select {
+	case <-ctx.Done():
+		return nil, nil, false
+	case event := <-l.inputs.Events:
+		return []assign.Event{event}, nil, true
+	case report := <-l.inputs.Reports:
+		return nil, []assign.Event{report}, true
+	case <-alarm.C:
+		return nil, nil, true
+	}
+}
+
+// waitForInterval blocks until minInterval has passed since the last batch. It does not end with the context: the events that
+// were received are handled before Run returns.
+func (l *Loop) waitForInterval(lastBatch float64) {
+	if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
+		time.Sleep(roundUp(rest))
+	}
+}
+
 // untilNextTimer returns how long the loop may wait for events.
 func (l *Loop) untilNextTimer() time.Duration {
 	due, ok := l.timers.next()
