--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -74,24 +74,26 @@
 	defer func() { _ = conn.Close() }() // no request is in progress; the error changes nothing
 	defer conn.CloseWith(ctx)()
 	poll := &pollState{address: address}
-	received := deliver(poll) // before the first request
-	for received {
+	if !deliver(poll) { // sets the first request
+		return fmt.Errorf("agent %s: %w", address, ctx.Err())
+	}
+	for {
 		update, closing, err := w.requestList(conn, poll.next)
 		if err != nil {
 			return fmt.Errorf("agent %s: %w", address, err)
 		}
 		poll.answered = true
 		poll.update = update
-		received = deliver(poll)
-		switch {
-		case !received: // the watcher may still use poll
-		case poll.err != nil:
+		if !deliver(poll) { // the watcher may still use poll
+			return fmt.Errorf("agent %s: %w", address, ctx.Err())
+		}
+		if poll.err != nil {
 			return poll.err
-		case closing:
+		}
+		if closing {
 			return ErrConnectionClosed
 		}
 	}
-	return fmt.Errorf("agent %s: %w", address, ctx.Err())
 }
 
 // requestList makes one request and returns its answer. Closing reports that the connection cannot be used again.
