--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -19,12 +19,15 @@
 // proxyCount is the number of proxies.
 const proxyCount = 6
 
+// zones returns the zones of the configuration's settings.
+func zones() []string { return []string{"x", "y", "z"} }
+
 // platformConfig holds the members of the assigner's configuration file that the fakes use, too.
 type platformConfig struct {
 	Listen    string // the assigner's address
 	Discovery string // address of the fake agent
 	Relay     struct{ Address string }
-	Known     discoverytest.List
+	Initial   discoverytest.List `json:"known"`
 }
 
 // readConfig reads a configuration file.
@@ -44,7 +47,7 @@
 	config      platformConfig
 	relay       *relaytest.Relay
 	agent       *discoverytest.Agent
-	collectors  map[string]*collectortest.Collector // by zone
+	collectors  map[string]*collectortest.Collector // by zone; set by awaitAssigner
 	connectedAt time.Time                           // when the assigner answered the last collector's ping
 }
 
@@ -58,7 +61,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start relay: %w", err)
 	}
-	agent, err := discoverytest.New(config.Discovery, config.Known.Index, config.Known.Endpoints...)
+	agent, err := discoverytest.New(config.Discovery, config.Initial.Version, config.Initial.Endpoints...)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start discovery: %w", err), relay.Close())
 	}
@@ -66,7 +69,6 @@
 		config:      config,
 		relay:       relay,
 		agent:       agent,
-		collectors:  map[string]*collectortest.Collector{},
 		connectedAt: time.Now(),
 	}, nil
 }
@@ -97,7 +99,7 @@
 func (d *demo) report(second load) error {
 	for zone, collector := range d.collectors {
 		for _, endpoint := range d.agent.List().Endpoints {
-			if endpoint.Status != discoverytest.Active {
+			if endpoint.State != discoverytest.Ready {
 				continue
 			}
 			if err := collector.ReportEndpoint(endpoint.Name, second.requests/2, second.failed, second.latency, second.busy); err != nil {
@@ -127,17 +129,6 @@
 	return proxies
 }
 
-// attached reports whether every proxy has tables for both classes.
-func (d *demo) attached() (all bool) {
-	d.relay.Inspect(func(state *relaytest.State) {
-		all = true
-		for _, proxy := range state.Proxies {
-			all = all && len(proxy.Tables) == 2
-		}
-	})
-	return all
-}
-
 // tableOfProxy0 formats the entries of the table of proxy 0.
 func (d *demo) tableOfProxy0() (text string) {
 	d.relay.Inspect(func(state *relaytest.State) {
@@ -168,8 +159,8 @@
 	return proxies, lowest
 }
 
-// users returns the number of proxies that have an endpoint in a table.
-func (d *demo) users(endpoint string) (proxies int) {
+// proxiesWith returns the number of proxies that have an endpoint in a table.
+func (d *demo) proxiesWith(endpoint string) (proxies int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			for _, table := range proxy.Tables {
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -21,28 +21,16 @@
 
 // Errors that end the demo.
 var (
-	errNotListening = errors.New("no assigner listens")
-	errNotAttached  = errors.New("tables were not attached to all proxies")
-	errNotDrained   = errors.New("tables still have the draining endpoint")
-	errNotMoved     = errors.New("the assigner does not use the new address")
+	errNotAttached = errors.New("tables were not attached to all proxies")
+	errNotDrained  = errors.New("tables still have the draining endpoint")
+	errNotMoved    = errors.New("the assigner does not use the new address")
 )
 
 // awaitAssigner waits for the assigner and connects the collectors.
 func (d *demo) awaitAssigner() error {
-	for _, zone := range []string{"x", "y", "z"} {
-		var collector *collectortest.Collector
-		connected := eventually.True(startTimeout, func() bool {
-			var err error
-			collector, err = collectortest.Dial(d.config.Listen, zone)
-			return err == nil
-		})
-		if !connected {
-			return fmt.Errorf("%w at %s", errNotListening, d.config.Listen)
-		}
-		if err := collector.Ping(orderTimeout); err != nil {
-			return fmt.Errorf("ping: %w", err)
-		}
-		d.collectors[zone] = collector
+	var err error
+	if d.collectors, err = collectortest.DialAll(d.config.Listen, startTimeout, zones()...); err != nil {
+		return fmt.Errorf("connect collectors: %w", err)
 	}
 	d.connectedAt = time.Now()
 	d.printf("The assigner answers pings. A collector of each zone is connected.")
@@ -52,10 +40,11 @@
 // connectProxies connects the proxies and reports a normal load for three seconds.
 func (d *demo) connectProxies() error {
 	for id := range proxyCount {
-		d.relay.Connect(id, string("xyz"[id%3]), float64(normal().requests), false)
+		zone := zones()[id%len(zones())]
+		d.relay.Connect(id, zone, float64(normal().requests), false)
 	}
 	d.printf("Six proxies connect. They hold tables of a previous assigner, which this one does not know.")
-	if !eventually.True(orderTimeout, d.attached) {
+	if !eventually.True(orderTimeout, func() bool { return d.relay.AllAttached("") }) {
 		return errNotAttached
 	}
 	d.printf("Each proxy has a table of its own, which prefers endpoints of its zone. Proxy 0, zone x: %s", d.tableOfProxy0())
@@ -70,11 +59,11 @@
 
 // drain drains an endpoint and prints how long the assigner took to remove it from all tables.
 func (d *demo) drain(endpoint discoverytest.Endpoint) error {
-	endpoint.Status = discoverytest.Leaving
+	endpoint.State = discoverytest.Draining
 	began := time.Now()
 	d.agent.Change(endpoint)
-	d.printf("Endpoint %s drains; %d proxies have it in a table.", endpoint.Name, d.users(endpoint.Name))
-	if !eventually.True(orderTimeout, func() bool { return d.users(endpoint.Name) == 0 }) {
+	d.printf("Endpoint %s drains; %d proxies have it in a table.", endpoint.Name, d.proxiesWith(endpoint.Name))
+	if !eventually.True(orderTimeout, func() bool { return d.proxiesWith(endpoint.Name) == 0 }) {
 		return errNotDrained
 	}
 	d.printf("No table has it %d ms after the change of the endpoint list. Proxy 0: %s", time.Since(began).Milliseconds(), d.tableOfProxy0())
@@ -87,7 +76,7 @@
 	if err := d.drain(endpoint); err != nil {
 		return err
 	}
-	endpoint.Status, endpoint.Since = discoverytest.Active, time.Now().UnixMilli()
+	endpoint.State, endpoint.StartedAt = discoverytest.Ready, time.Now().UnixMilli()
 	d.agent.Change(endpoint)
 	d.printf("The endpoint restarts and warms up: it gets no requests in the first seconds, then its weight increases.")
 	for second := range 9 {
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -14,7 +14,7 @@
 	"madderhollow/internal/httpconn"
 )
 
-// The names in a request to the agent. Package wire has those in the answer.
+// The protocol's names in a request to the agent. Package wire has those in the answer.
 const (
 	listPath       = "/v1/servers"
 	afterParameter = "after"   // the version after which changes are requested; absent: the full list
@@ -73,19 +73,27 @@
 	}
 	defer func() { _ = conn.Close() }() // no request is in progress; the error changes nothing
 	defer conn.CloseWith(ctx)()
-	closing := false
-	for poll := (&pollState{address: address}); deliver(poll); poll.answered = true {
+	poll := &pollState{address: address}
+	if !deliver(poll) { // sets the first request
+		return fmt.Errorf("agent %s: %w", address, ctx.Err())
+	}
+	for {
+		update, closing, err := w.requestList(conn, poll.next)
+		if err != nil {
+			return fmt.Errorf("agent %s: %w", address, err)
+		}
+		poll.answered = true
+		poll.update = update
+		if !deliver(poll) { // the watcher may still use poll
+			return fmt.Errorf("agent %s: %w", address, ctx.Err())
+		}
 		if poll.err != nil {
 			return poll.err
 		}
 		if closing {
 			return ErrConnectionClosed
 		}
-		if poll.update, closing, err = w.requestList(conn, poll.next); err != nil {
-			return fmt.Errorf("agent %s: %w", address, err)
-		}
 	}
-	return fmt.Errorf("agent %s: %w", address, ctx.Err())
 }
 
 // requestList makes one request and returns its answer. Closing reports that the connection cannot be used again.
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -16,6 +16,9 @@
 // times must stay above 0, and is small enough for a float64 to resolve microseconds.
 const ClockStart = 1e6
 
+// ClockZero returns the time at which the module's clock shows 0 if it shows ClockStart at startedAt.
+func ClockZero(startedAt time.Time) time.Time { return startedAt.Add(-duration(ClockStart)) }
+
 // idleWait bounds the wait for events while no timer is set.
 const idleWait = time.Hour
 
@@ -41,14 +44,14 @@
 	FetchEndpoints func()
 }
 
-// Config describes a Loop. Every field must be set.
+// Config describes a Loop.
 type Config struct {
-	Seed      int64         // of the module's random source
-	Settings  assign.Config // checked by its owner, internal/config
-	Inputs    Inputs
-	Outputs   Outputs
-	StartedAt time.Time      // the time at which the module's clock shows ClockStart
-	Log       zerolog.Logger // New adds the component
+	Seed      int64          // of the module's random source; any value
+	Settings  assign.Config  // checked by its owner, internal/config; required
+	Inputs    Inputs         // all fields required
+	Outputs   Outputs        // all fields required
+	StartedAt time.Time      // the time at which the module's clock shows ClockStart; required
+	Log       zerolog.Logger // New adds the component; default: no log
 }
 
 // Loop runs one Assigner. Only Stats may be called by several goroutines.
@@ -95,28 +98,17 @@
 // Run handles the initial events at once and then batches of events, until the context ends. Events still queued then are
 // not handled. Run calls ready after the first batch. It must be called once.
 func (l *Loop) Run(ctx context.Context, initial []assign.Event, ready func()) {
-	alarm := time.NewTimer(0)
+	alarm := time.NewTimer(idleWait) // set for each wait
 	defer alarm.Stop()
 	lastBatch := l.now()
 	l.handle(lastBatch, initial)
 	ready()
 	for {
-		// Wait for one event or the next timer.
-		alarm.Reset(l.untilNextTimer())
-		var events, reports []assign.Event
-		select {
-		case <-ctx.Done():
+		events, reports, ok := l.waitForEvent(ctx, alarm)
+		if !ok {
 			return
-		case event := <-l.inputs.Events:
-			events = append(events, event)
-		case report := <-l.inputs.Reports:
-			reports = append(reports, report)
-		case <-alarm.C:
-		}
-		// Wait until the next batch may start, and collect all that is queued by then.
-		if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
-			time.Sleep(roundUp(rest))
 		}
+		l.waitForInterval(lastBatch)
 		events = appendQueued(events, l.inputs.Events)
 		events = append(events, reports...) // behind the events
 		events = appendQueued(events, l.inputs.Reports)
@@ -129,6 +121,30 @@
 	}
 }
 
+// waitForEvent blocks until there is an event or a report, which it returns, or until a timer may be due. It is not ok if the
+// context has ended.
+func (l *Loop) waitForEvent(ctx context.Context, alarm *time.Timer) (events, reports []assign.Event, ok bool) {
+	alarm.Reset(l.untilNextTimer())
+	select {
+	case <-ctx.Done():
+		return nil, nil, false
+	case event := <-l.inputs.Events:
+		return []assign.Event{event}, nil, true
+	case report := <-l.inputs.Reports:
+		return nil, []assign.Event{report}, true
+	case <-alarm.C:
+		return nil, nil, true
+	}
+}
+
+// waitForInterval blocks until minInterval has passed since the last batch. It does not end with the context: the events that
+// were received are handled before Run returns.
+func (l *Loop) waitForInterval(lastBatch float64) {
+	if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
+		time.Sleep(roundUp(rest))
+	}
+}
+
 // untilNextTimer returns how long the loop may wait for events.
 func (l *Loop) untilNextTimer() time.Duration {
 	due, ok := l.timers.next()
@@ -150,10 +166,11 @@
 	return events
 }
 
+// duration converts seconds.
+func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+
 // roundUp converts seconds to a duration of at least 0. It adds a microsecond so that a timer never fires before it is due.
-func roundUp(seconds float64) time.Duration {
-	return max(0, time.Duration(seconds*float64(time.Second))+time.Microsecond)
-}
+func roundUp(seconds float64) time.Duration { return max(0, duration(seconds)+time.Microsecond) }
 
 // handle passes one batch to the module and dispatches the module's orders.
 func (l *Loop) handle(now float64, events []assign.Event) {
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -15,8 +15,8 @@
 	// returns.
 	//
 	// Open passes each item to deliver, which blocks until Receive has returned for the item and then returns true. It
-	// returns false if the context has ended; Open must return then. Receive owns the item while deliver blocks, Open before
-	// and after.
+	// returns false if the context has ended. Open owns an item before deliver is called, and again if deliver returns true;
+	// if it returns false, Open must return without reading or writing the item, since Receive may still use it.
 	Open func(ctx context.Context, address string, deliver func(item T) bool) error
 	// Receive handles an item. During a handover the items of both streams interleave: duringHandover is true for the
 	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
@@ -60,7 +60,7 @@
 			return false
 		}
 	}
-	go func() { opened.ended <- source.Open(ctx, address, deliver) }()
+	go func() { opened.ended <- source.Open(ctx, address, deliver) }() // ends when Open returns, as stated above
 	return opened
 }
 
@@ -76,8 +76,8 @@
 //
 //	idle      none: waiting for the end of the backoff
 //	opening   next: it becomes current with the next item that it delivers, ready or not
-//	active    current: at the address, or at a former address during the backoff after a failed handover
-//	handover  current and next: current at a former address, next at the address
+//	active    current: at the address, or at an old address during the backoff after a failed handover
+//	handover  current and next: current at an old address, next at the address
 //
 // Its transitions. A backoff delays the opening of a stream; a change of the address ends it.
 //
@@ -105,18 +105,22 @@
 // fails it opens another one after the next of the delays. It starts over from the shortest one when the current stream
 // fails; Receive may reset the delays, too. No other goroutine may use them while Follow runs.
 func Follow[T any](ctx context.Context, address *Address, delays *backoff.Backoff, source Source[T]) {
-	f := &follower[T]{source: source, address: address, delays: delays, delay: time.NewTimer(0)}
-	defer f.delay.Stop()
-	defer func() {
-		f.current.close()
-		f.next.close()
-	}()
+	delay := time.NewTimer(0) // fires once without effect: there is no backoff yet
+	f := &follower[T]{source: source, address: address, delays: delays, delay: delay}
+	defer f.stop()
 	for ctx.Err() == nil {
 		moved := f.openNext(ctx)
 		f.step(ctx, moved)
 	}
 }
 
+// stop closes all streams and ends the backoff.
+func (f *follower[T]) stop() {
+	f.delay.Stop()
+	f.current.close()
+	f.next.close()
+}
+
 // openNext opens the next stream if the state asks for one. It returns a channel that is closed when the address changes.
 func (f *follower[T]) openNext(ctx context.Context) (moved <-chan struct{}) {
 	address, moved := f.address.Current()
@@ -169,6 +173,7 @@
 	}
 }
 
+// currentEnded reports the end of the current stream. The next stream is opened after the shortest delay, if there is none.
 func (f *follower[T]) currentEnded(err error) {
 	f.current.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, false)
@@ -178,6 +183,7 @@
 	f.delay.Reset(f.delays.Next())
 }
 
+// nextEnded reports the end of the next stream, which is opened again after a delay.
 func (f *follower[T]) nextEnded(err error) {
 	f.next.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, f.current != nil)
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -83,8 +83,8 @@
 		},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /{$}", relay.serveCall)
-	mux.HandleFunc("GET /stream", relay.serveStream)
+	mux.HandleFunc("POST "+callPath+"{$}", relay.serveCall)
+	mux.HandleFunc("GET "+streamPath, relay.serveStream)
 	server, err := testserver.New(address, mux)
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
@@ -117,6 +117,25 @@
 	f(&r.state)
 }
 
+// AllAttached reports whether a proxy is connected, and every connected proxy has a table with entries for each request class,
+// in which the endpoint without has no weight. An empty name excludes no endpoint.
+func (r *Relay) AllAttached(without string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, proxy := range r.state.Proxies {
+		if len(proxy.Tables) != len(r.classes) {
+			return false
+		}
+		for _, table := range proxy.Tables {
+			entries := r.state.Tables[table]
+			if len(entries) == 0 || entries[without] > 0 {
+				return false
+			}
+		}
+	}
+	return len(r.state.Proxies) > 0
+}
+
 // Connect connects a proxy and sends the event. A fresh proxy holds no assigned table yet.
 func (r *Relay) Connect(id int, zone string, rate float64, fresh bool) {
 	r.mu.Lock()
@@ -136,22 +155,27 @@
 
 // serveCall applies the orders of a call and answers with the number of applied orders.
 func (r *Relay) serveCall(response http.ResponseWriter, request *http.Request) {
-	if request.PostFormValue("Action") != "CommitChanges" || request.PostFormValue("orders") == "" {
-		answerError(response, "SYNTAX")
+	if request.PostFormValue(actionField) != commitAction || request.PostFormValue(ordersField) == "" {
+		answerError(response, syntaxCode)
 		return
 	}
-	orders := strings.Split(request.PostFormValue("orders"), ";")
+	orders := strings.Split(request.PostFormValue(ordersField), orderSeparator)
 	fault := r.chooseFault(orders)
 	if fault == HalfApplied {
 		orders = orders[:len(orders)/2]
 	}
 	applied := 0
 	if fault.appliesOrders() {
-		applied = r.apply(orders)
+		applied = r.applyCall(orders)
 	}
+	r.answerCall(response, request, fault, applied)
+}
+
+// answerCall answers a call with the number of applied orders, or fails as its fault says.
+func (r *Relay) answerCall(response http.ResponseWriter, request *http.Request, fault Fault, applied int) {
 	switch fault {
 	case ResetBefore, ResetAfter:
-		panic(http.ErrAbortHandler)
+		panic(http.ErrAbortHandler) // resets the connection
 	case SilentBefore, SilentAfter:
 		select {
 		case <-request.Context().Done():
@@ -159,14 +183,14 @@
 		}
 		panic(http.ErrAbortHandler)
 	case GarbledAnswer:
-		answer(response, "<Response><results><item><taken>4")
+		answer(response, truncatedAnswerText)
 	case BusyAnswer:
-		answerError(response, "BUSY")
+		answerError(response, busyCode)
 	case SyntaxAnswer:
-		answerError(response, "SYNTAX")
+		answerError(response, syntaxCode)
 	default:
 		response.Header().Set("Content-Type", "text/xml")
-		answer(response, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><results><item><taken>%d</taken></item></results></Response>\n", applied))
+		answer(response, fmt.Sprintf(appliedFormat, applied))
 	}
 }
 
@@ -189,5 +213,5 @@
 // answerError answers with an error code of the protocol.
 func answerError(w http.ResponseWriter, code string) {
 	w.WriteHeader(http.StatusBadRequest)
-	answer(w, fmt.Sprintf("<?xml version=\"1.0\"?>\n<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>\n", code))
+	answer(w, fmt.Sprintf(errorFormat, code))
 }
