--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -179,6 +179,30 @@
 	}
 }
 
+// TestRetriesReturnWithoutRateLimit has an overload and a recovery by tenths, in which the proxies' rate limits exceed what
+// they receive before the limits are removed. Without a limit each class then makes the configured retries again.
+func TestRetriesReturnWithoutRateLimit(t *testing.T) {
+	host := newTestHost(t, modelConfig())
+	host.requests = 8 // of each class: more than the 48/s that the endpoints answer
+	for range 5 {
+		host.reportAll(EndpointLoadReport{MeanLatency: 0.9, Attempts: 9, Failed: 5, Load: []float64{0.95}})
+	}
+	if len(host.limits) == 0 {
+		t.Fatal("got no rate limit in an overload, want some")
+	}
+	for range 20 {
+		host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 4, Load: []float64{0.7}})
+	}
+	if len(host.limits) != 0 || totalRate(host.assigner) != 0 {
+		t.Fatalf("got limits %v and a total of %g/s after the overload, want none", host.limits, totalRate(host.assigner))
+	}
+	for of, got := range host.retries {
+		if want := host.config.Retries; got != want {
+			t.Errorf("table %d, class %d: got %d retries without a rate limit, want %d", of.table, of.class, got, want)
+		}
+	}
+}
+
 // proxyTypicalRate is the typical rate of each proxy of a testHost, 1/s.
 const proxyTypicalRate = 9.0
 
@@ -189,13 +213,15 @@
 	config   Config
 	now      float64 // s
 	listed   []Endpoint
-	requests int             // of each class that a proxy reports, 1/s
-	failing  map[string]bool // endpoints that fail every attempt
-	pending  []Event         // acknowledgments for the next batch
+	requests int                // of each class that a proxy reports, 1/s
+	failing  map[string]bool    // endpoints that fail every attempt
+	busy     map[string]float64 // busy fraction of the endpoints of a zone, in place of the report's
+	pending  []Event            // acknowledgments for the next batch
 
 	tables  map[tableOf]int            // attached
 	weights map[int]map[string]float64 // above 0, by table and endpoint
 	limits  map[limitOf]float64        // ordered last, 1/s; unlimited is not kept
+	retries map[limitOf]int            // ordered last
 }
 
 // tableOf names what a proxy uses for a request class.
@@ -207,7 +233,8 @@
 func newTestHost(t *testing.T, config Config) *testHost {
 	t.Helper()
 	host := &testHost{assigner: New(1, config), config: config, now: 1000, requests: 3, failing: map[string]bool{},
-		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[limitOf]float64{}}
+		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[limitOf]float64{},
+		retries: map[limitOf]int{}, busy: map[string]float64{}}
 	for _, zone := range config.Zones {
 		for _, endpoint := range newEndpoints(zone, 4) {
 			endpoint.Zone = zone
@@ -257,6 +284,7 @@
 	for _, class := range order.RequestClasses {
 		of := limitOf{order.Table, class}
 		h.limits[of] = order.Limit
+		h.retries[of] = order.Retries
 		if order.Limit >= admission.Unlimited {
 			delete(h.limits, of)
 		}
@@ -273,6 +301,9 @@
 		if h.failing[endpoint.Name] {
 			each.Failed, each.MeanLatency = each.Attempts, 0
 		}
+		if busy, ok := h.busy[endpoint.Zone]; ok {
+			each.Load = []float64{busy}
+		}
 		events = append(events, each)
 	}
 	for proxy := range h.config.Zones {
--- a/assign/ordering/ordering_test.go
+++ b/assign/ordering/ordering_test.go
@@ -150,3 +150,13 @@
 		return true
 	})
 }
+
+// Whatever the limit, the removal of a draining endpoint's entries must be able to leave: one urgent message is allowed
+// where none was sent within the window.
+func TestAllowedAdmitsUrgentMessageAtAnyLimit(t *testing.T) {
+	for _, limit := range []int{0, 1, 2, 3, 20} {
+		if !ordering.Allowed(ordering.History{Now: 100}, true, limit) {
+			t.Errorf("limit %d: got the first urgent message held back, want it allowed", limit)
+		}
+	}
+}
--- a/assign/subset/subset_test.go
+++ b/assign/subset/subset_test.go
@@ -336,3 +336,26 @@
 		})
 	}
 }
+
+// Without remote candidates a table holds the zone's endpoints, up to its size, whatever part should go to other zones.
+func TestBuildFillsTableWithoutRemoteCandidates(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		warming bool // one of the endpoints, which have half of the zone's usual weight
+		change  func(zone *subset.Zone)
+	}{
+		{"spill-over", false, func(zone *subset.Zone) { zone.Overloaded, zone.Spillover = true, 0.9 }},
+		{"loss while an endpoint warms up", true, func(*subset.Zone) {}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			zone, deployment := usualZone()
+			test.change(&zone)
+			candidates := localCandidates(5)
+			candidates[0].Warming = test.warming
+			table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 5)
+			if got := len(table.Entries); got != 5 {
+				t.Errorf("got %d entries, want 5", got)
+			}
+		})
+	}
+}
