--- a/assign/model_rules_test.go
+++ b/assign/model_guarantees_test.go
@@ -8,14 +8,14 @@
 	"madderhollow/assign/timing"
 )
 
-// fail records the first broken rule.
+// fail records the first broken guarantee.
 func (m *model) fail(format string, values ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf("at %.2f s: ", m.now-modelStart) + fmt.Sprintf(format, values...)
 	}
 }
 
-// slowness returns how many times longer than configured the channel takes; the rules allow for that.
+// slowness returns how many times longer than configured the channel takes; the guarantees allow for that.
 func (m *model) slowness() float64 { return modelNominalRate / m.channelRate }
 
 // checkOrder checks what an order alone shows.
@@ -27,7 +27,7 @@
 		}
 	case SetRateLimit:
 		if class := m.config.RequestClasses[order.RequestClasses[0]]; order.Retries > 1 && class.RetrySafety != SafeToRetry {
-			m.fail("rule 2: %d retries of class %s", order.Retries, class.Name)
+			m.fail("guarantee 2: %d retries of class %s", order.Retries, class.Name)
 		}
 	case AttachTable:
 		if !m.proxies[order.Proxy].connected {
@@ -36,7 +36,7 @@
 	}
 }
 
-// checkChannel checks rule 5: the lines queued in the channel, and the messages to each proxy.
+// checkChannel checks guarantee 5: the lines queued in the channel, and the messages to each proxy.
 func (m *model) checkChannel() {
 	queued := 0
 	for _, message := range m.inTransit {
@@ -45,12 +45,12 @@
 		}
 	}
 	if float64(queued) > m.config.Channel.QueueLimit {
-		m.fail("rule 5: %d lines wait", queued)
+		m.fail("guarantee 5: %d lines wait", queued)
 	}
 	for _, p := range m.proxies {
 		p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at float64) bool { return m.now-at > modelMessageWindow })
 		if len(p.messageTimes) > modelMessageLimit {
-			m.fail("rule 5: %d messages to proxy %d in 10 s", len(p.messageTimes), p.id)
+			m.fail("guarantee 5: %d messages to proxy %d in 10 s", len(p.messageTimes), p.id)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkEntries checks rule 3 and the zones that a class may use.
+// checkEntries checks guarantee 3 and the zones that a class may use.
 func (m *model) checkEntries(p *modelProxy, class int, held map[string]float64) {
 	for _, e := range m.endpoints {
 		if held[e.Name] <= 0 {
@@ -87,7 +87,7 @@
 		}
 		since, gone := m.goneSince[e.Name]
 		if gone && m.now-math.Max(since, p.connectedAt) > 2*m.slowness() {
-			m.fail("rule 3: proxy %d holds %s, gone for %.2f s", p.id, e.Name, m.now-since)
+			m.fail("guarantee 3: proxy %d holds %s, gone for %.2f s", p.id, e.Name, m.now-since)
 		}
 		if !m.allows(class, e.Zone) {
 			m.fail("proxy %d sends class %d to zone %s", p.id, class, e.Zone)
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkPick checks rule 1 where the assigner knows of an endpoint to pick.
+// checkPick checks guarantee 1 where the assigner knows of an endpoint to pick.
 func (m *model) checkPick(proxy *modelProxy, class int, held map[string]float64, seconds float64) {
 	hasPick, couldHave := false, false
 	for _, e := range m.endpoints {
@@ -109,11 +109,11 @@
 		proxy.withoutPick[class] = 0
 	}
 	if proxy.withoutPick[class] > 3*m.slowness() {
-		m.fail("rule 1: proxy %d has no endpoint to pick for class %d", proxy.id, class)
+		m.fail("guarantee 1: proxy %d has no endpoint to pick for class %d", proxy.id, class)
 	}
 }
 
-// checkWarming checks rule 4: a warming endpoint's part of a table against what a table of its zone would give it. What
+// checkWarming checks guarantee 4: a warming endpoint's part of a table against what a table of its zone would give it. What
 // tables should hold changes by the second: only an excess that lasts nearly the overload window counts.
 func (m *model) checkWarming(proxy *modelProxy, class int, held map[string]float64, seconds float64) {
 	sum, usual, warmLeft := 0.0, m.assigner.zone(proxy.zone).peakWeight, false
@@ -136,6 +136,6 @@
 	proxy.overBudget[class] = excess
 	allowed := 2.5 * m.slowness()
 	if excess > allowed && m.now-proxy.connectedAt > allowed {
-		m.fail("rule 4: proxy %d gives too much to warming endpoints: %v", proxy.id, held)
+		m.fail("guarantee 4: proxy %d gives too much to warming endpoints: %v", proxy.id, held)
 	}
 }
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -24,7 +24,7 @@
 	defaultTable       = -1     // in place of a table's number
 )
 
-// model is a small model of proxies, their tables and the channel: enough to check the rules that orders alone decide.
+// model is a small model of proxies, their tables and the channel: enough to check the guarantees (docs/design.md) that orders alone decide.
 // It carries no load.
 type model struct {
 	random          *rand.Rand
@@ -41,7 +41,7 @@
 	goneSince       map[string]float64 // when the assigner was notified that an endpoint drains or is removed
 	log             []string           // every order, to compare two runs
 	digest          hash.Hash          // of every order, to compare with an earlier build
-	violation       string             // the first broken rule
+	violation       string             // the first broken guarantee
 }
 
 type modelEndpoint struct {
@@ -228,7 +228,7 @@
 	proxy.messageTimes = append(proxy.messageTimes, m.now)
 }
 
-// step advances the clock, applies the messages that arrive, passes events to the assigner and checks the rules.
+// step advances the clock, applies the messages that arrive, passes events to the assigner and checks the guarantees.
 func (m *model) step(seconds float64, events ...Event) {
 	m.now += seconds
 	m.deliver()
