--- a/assign/decisions_doc_test.go
+++ b/assign/decisions_doc_test.go
@@ -24,8 +24,13 @@
 // minDecisionRows is how many questions the index answers at least.
 const minDecisionRows = 25
 
-// decisionColumns are the columns of its table: question, rule, inputs, constants, what shows it.
-const decisionColumns = 5
+// The columns of its tables: question, functions that decide, functions that collect the inputs, inputs, constants, what shows
+// it.
+const (
+	decisionColumns = 6
+	decidedBy       = 1
+	collectedBy     = 2
+)
 
 // reference finds each `package.Identifier` of a document, with the value behind it if there is one.
 var reference = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`(?: = ([0-9.e+-]+))?")
@@ -40,7 +45,7 @@
 	packages := parseAssignPackages(t)
 	for _, match := range matches {
 		name, value := match[1]+"."+match[2], match[3]
-		object := lookUp(packages, match[1], match[2])
+		object := packages.lookUp(match[1], match[2])
 		if object == nil {
 			t.Errorf("%s: not declared", name)
 		}
@@ -50,6 +55,47 @@
 	}
 }
 
+// declarationOrFile finds each `package.Identifier` and each (file.go) of a cell.
+var declarationOrFile = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`|\\(([\\w/]+\\.go)\\)")
+
+// TestDecisionsDocNamesFiles checks that each function of the index that decides or collects inputs is declared in the file
+// that stands behind it.
+func TestDecisionsDocNamesFiles(t *testing.T) {
+	packages := parseAssignPackages(t)
+	for _, cells := range decisionRows(t) {
+		for _, cell := range []string{cells[decidedBy], cells[collectedBy]} {
+			checkFiles(t, packages, cells[0], cell)
+		}
+	}
+}
+
+// checkFiles checks the files of one cell. A file stands behind the functions that it declares.
+func checkFiles(t *testing.T, packages *assignPackages, question, cell string) {
+	t.Helper()
+	var pending []types.Object
+	files := 0
+	for _, match := range declarationOrFile.FindAllStringSubmatch(cell, -1) {
+		packageName, identifier, file := match[1], match[2], match[3]
+		if file == "" {
+			pending = append(pending, packages.lookUp(packageName, identifier))
+			continue
+		}
+		files++
+		if _, err := os.Stat(filepath.Join("..", file)); err != nil {
+			t.Errorf("%s: got file %s, want one that exists: %v", question, file, err)
+		}
+		for _, object := range pending {
+			if got := packages.fileOf(object); got != file {
+				t.Errorf("%s: got file %s of %v, want %q, which declares it", question, file, object, got)
+			}
+		}
+		pending = nil
+	}
+	if files == 0 || len(pending) > 0 {
+		t.Errorf("%s: got %q, want a file behind each function", question, cell)
+	}
+}
+
 // TestDocsNameWhatExists checks that each rule that other documents name is declared. Names with another package before
 // the dot are not of the decisions.
 func TestDocsNameWhatExists(t *testing.T) {
@@ -58,11 +104,11 @@
 		t.Run(path.Base(doc), func(t *testing.T) {
 			found := 0
 			for _, match := range reference.FindAllStringSubmatch(readDoc(t, doc), -1) {
-				if packages[match[1]] == nil {
+				if packages.byName[match[1]] == nil {
 					continue
 				}
 				found++
-				if lookUp(packages, match[1], match[2]) == nil {
+				if packages.lookUp(match[1], match[2]) == nil {
 					t.Errorf("%s.%s: not declared", match[1], match[2])
 				}
 			}
@@ -108,21 +154,14 @@
 // TestDecisionsDocRows checks that the index has enough questions, each once and with all columns filled in.
 func TestDecisionsDocRows(t *testing.T) {
 	questions := map[string]bool{}
-	for line := range strings.Lines(readDoc(t, decisionsDoc)) {
-		cells := strings.Split(strings.Trim(line, "| \n"), "|")
-		question := strings.TrimSpace(cells[0])
-		if !strings.HasPrefix(line, "|") || !strings.HasSuffix(question, "?") {
-			continue
-		}
+	for _, cells := range decisionRows(t) {
+		question := cells[0]
 		if questions[question] {
 			t.Errorf("%s: got it twice, want it once", question)
 		}
 		questions[question] = true
-		if len(cells) != decisionColumns {
-			t.Errorf("%s: got %d columns, want %d", question, len(cells), decisionColumns)
-		}
 		for i, cell := range cells {
-			if strings.TrimSpace(cell) == "" {
+			if cell == "" {
 				t.Errorf("%s: column %d is empty", question, i)
 			}
 		}
@@ -132,6 +171,26 @@
 	}
 }
 
+// decisionRows returns the cells of each row of the index that has a question.
+func decisionRows(t *testing.T) (rows [][]string) {
+	t.Helper()
+	for line := range strings.Lines(readDoc(t, decisionsDoc)) {
+		cells := strings.Split(strings.Trim(line, "| \n"), "|")
+		for i, cell := range cells {
+			cells[i] = strings.TrimSpace(cell)
+		}
+		if !strings.HasPrefix(line, "|") || !strings.HasSuffix(cells[0], "?") {
+			continue
+		}
+		if len(cells) != decisionColumns {
+			t.Errorf("%s: got %d columns, want %d", cells[0], len(cells), decisionColumns)
+			continue
+		}
+		rows = append(rows, cells)
+	}
+	return rows
+}
+
 // checkConstant compares a constant of the source with the value in the document.
 func checkConstant(t *testing.T, name string, c *types.Const, documented string) {
 	t.Helper()
@@ -145,29 +204,23 @@
 	}
 }
 
-// lookUp finds a declaration of a package, or a field or method of a type: "Type.Field". It returns nil if there is none.
-func lookUp(packages map[string]*types.Package, packageName, identifier string) types.Object {
-	declared := packages[packageName]
-	if declared == nil {
-		return nil
-	}
-	name, member, qualified := strings.Cut(identifier, ".")
-	object := declared.Scope().Lookup(name)
-	if object == nil || !qualified {
-		return object
-	}
-	found, _, _ := types.LookupFieldOrMethod(object.Type(), true, declared, member)
-	return found
+// assignPath is this package's import path.
+const assignPath = "madderhollow/assign"
+
+// assignPackages are this package and the rule packages, type-checked without test files.
+type assignPackages struct {
+	byName  map[string]*types.Package
+	fileSet *token.FileSet
 }
 
-// parseAssignPackages type-checks this package and the rule packages, by package name and without test files.
-func parseAssignPackages(t *testing.T) map[string]*types.Package {
+// parseAssignPackages type-checks this package and the rule packages.
+func parseAssignPackages(t *testing.T) *assignPackages {
 	t.Helper()
 	directories, err := filepath.Glob("*/")
 	if err != nil {
 		t.Fatal(err)
 	}
-	packages := assignImporter{}
+	packages := &assignPackages{byName: map[string]*types.Package{}, fileSet: token.NewFileSet()}
 	for _, directory := range append(directories, ".") {
 		sources, err := filepath.Glob(filepath.Join(directory, "*.go"))
 		if err != nil {
@@ -182,40 +235,57 @@
 	return packages
 }
 
-// assignPath is this package's import path.
-const assignPath = "madderhollow/assign"
+// lookUp finds a declaration of a package, or a field or method of a type: "Type.Field". It returns nil if there is none.
+func (p *assignPackages) lookUp(packageName, identifier string) types.Object {
+	declared := p.byName[packageName]
+	if declared == nil {
+		return nil
+	}
+	name, member, qualified := strings.Cut(identifier, ".")
+	object := declared.Scope().Lookup(name)
+	if object == nil || !qualified {
+		return object
+	}
+	found, _, _ := types.LookupFieldOrMethod(object.Type(), true, declared, member)
+	return found
+}
+
+// fileOf returns the file that declares an object, relative to the repository's root; empty for nil.
+func (p *assignPackages) fileOf(object types.Object) string {
+	if object == nil {
+		return ""
+	}
+	return path.Join("assign", filepath.ToSlash(p.fileSet.Position(object.Pos()).Filename))
+}
 
 // errNotImported is returned for packages outside assignPath: the declarations and constants of these need none.
 var errNotImported = errors.New("package not imported")
 
-// assignImporter type-checks the packages under assignPath when they are first imported.
-type assignImporter map[string]*types.Package
-
-func (importer assignImporter) Import(importPath string) (*types.Package, error) {
+// Import type-checks a package under assignPath when it is first imported.
+func (p *assignPackages) Import(importPath string) (*types.Package, error) {
 	name := path.Base(importPath)
 	if !strings.HasPrefix(importPath, assignPath) {
 		return nil, errNotImported
 	}
-	if checked := importer[name]; checked != nil {
+	if checked := p.byName[name]; checked != nil {
 		return checked, nil
 	}
 	sources, err := filepath.Glob(filepath.Join(".", strings.TrimPrefix(importPath, assignPath), "*.go"))
 	if err != nil {
 		return nil, fmt.Errorf("sources of %s: %w", importPath, err)
 	}
-	fileSet := token.NewFileSet()
 	var files []*ast.File
 	for _, source := range sources {
 		if strings.HasSuffix(source, "_test.go") {
 			continue
 		}
-		file, err := parser.ParseFile(fileSet, source, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(p.fileSet, source, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return nil, fmt.Errorf("parse: %w", err)
 		}
 		files = append(files, file)
 	}
-	config := types.Config{Importer: importer, Error: func(error) {}} // errors of packages not imported
-	importer[name], _ = config.Check(importPath, fileSet, files, nil)
-	return importer[name], nil
+	config := types.Config{Importer: p, Error: func(error) {}} // errors of packages not imported
+	p.byName[name], _ = config.Check(importPath, p.fileSet, files, nil)
+	return p.byName[name], nil
 }
--- a/assign/model_guarantees_test.go
+++ b/assign/model_guarantees_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// checkRules checks the tables that the proxies have held for some seconds.
-func (m *model) checkRules(seconds float64) {
+// checkGuarantees checks the tables that the proxies have held for some seconds.
+func (m *model) checkGuarantees(seconds float64) {
 	sum := 0.0
 	for _, p := range m.assigner.proxies {
 		if m.now-p.lastReportAt <= timing.SilenceTimeout {
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -24,8 +24,8 @@
 	defaultTable       = -1     // in place of a table's number
 )
 
-// model is a small model of proxies, their tables and the channel: enough to check the guarantees (docs/design.md) that orders alone decide.
-// It carries no load.
+// model is a small model of proxies, their tables and the channel: enough to check the guarantees of docs/design.md that
+// orders alone decide. It carries no load.
 type model struct {
 	random          *rand.Rand
 	config          Config
@@ -238,7 +238,7 @@
 	if len(events) > 0 {
 		m.handle(events...)
 	}
-	m.checkRules(seconds)
+	m.checkGuarantees(seconds)
 }
 
 // deliver applies the messages that have arrived at proxies which are not stalled.
