--- a/assign/admission/admission_test.go
+++ b/assign/admission/admission_test.go
@@ -90,7 +90,7 @@
 			admittedSum += admitted
 			belowMargin := limitedBefore && admitted > 0
 			if !(limit >= 0) || math.IsInf(limit, 0) || admitted > demand.Cap*(1+1e-9) || belowMargin {
-				t.Errorf("seed %demand, %+v: got limit %g, want one within the cap, and 0 below the margin", seed, demand, limit)
+				t.Errorf("seed %d, %+v: got limit %g, want one within the cap, and 0 below the margin", seed, demand, limit)
 				return false
 			}
 			demanded += demand.Rate
--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -11,9 +11,9 @@
 const clockTolerance = 1e-9
 
 // Assigner decides for the proxies that are connected to one assigner. Use New.
-//
-// The records of endpoints, zones, request classes and proxies are created when they are first named, and change only in
-// the handlers of messages (mailbox.go), one after another. A handler collects the inputs of a rule, calls the rule's
+// The records of endpoints, zones, request classes and proxies are created when they are first named. They change only in
+// the handlers of messages (mailbox.go), one after another, except for the deletion of expired endpoints and for values
+// made on first use. A handler collects the inputs of a rule, calls the rule's
 // package and stores the result.
 type Assigner struct {
 	// Written by New only.
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -65,14 +65,14 @@
 		want, urgent bool
 	}{
 		{"nothing requires it", assignment.Proxy{Connected: true}, false, false},
-		{"an endpoint should weigh less", assignment.Proxy{Connected: true, DefaultTableHas: assignment.ReplaceDefault}, true, false},
-		{"an endpoint drains", assignment.Proxy{Connected: true, DefaultTableHas: assignment.ReplaceUrgently}, true, true},
+		{"an endpoint should weigh less", assignment.Proxy{Connected: true, DefaultTableNeed: assignment.ReplaceDefault}, true, false},
+		{"an endpoint drains", assignment.Proxy{Connected: true, DefaultTableNeed: assignment.ReplaceUrgently}, true, true},
 		{"unknown tables", assignment.Proxy{Connected: true, HasUnknown: true}, true, true},
 		{"rate limit", assignment.Proxy{Connected: true, RateLimited: true}, true, false},
 		{"overloaded zone", assignment.Proxy{Connected: true, ZoneOverloaded: true}, true, false},
 		{"assigned already", assignment.Proxy{Connected: true, HasAssigned: true}, true, false},
 		{"assigned already, an endpoint drains",
-			assignment.Proxy{Connected: true, HasAssigned: true, DefaultTableHas: assignment.ReplaceUrgently}, true, false},
+			assignment.Proxy{Connected: true, HasAssigned: true, DefaultTableNeed: assignment.ReplaceUrgently}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := assignment.NeedsTables(test.proxy); got != test.want {
--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -45,7 +45,8 @@
 }
 
 // urgentLimitFactor is the factor by which a rate limit has to fall to be urgent. A slow-start cap uses half of the
-// overload multiple, so that a smaller fall does not overload a warming endpoint before its turn.
+// overload multiple (slowstart.burstFraction), so that a smaller fall does not overload a warming endpoint while the
+// message waits as an ordinary one.
 const urgentLimitFactor = 2
 
 // UrgentLimit reports whether a guarantee depends on the change of a rate limit: it protects warming endpoints of the
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -63,13 +63,13 @@
 
 // Proxy is what decides whether a proxy needs assigned tables.
 type Proxy struct {
-	Connected       bool
-	TablesByShard   bool // tables belong to shards, not to proxies
-	HasAssigned     bool // it uses assigned tables already
-	HasUnknown      bool // see Contents.Unknown
-	RateLimited     bool
-	ZoneOverloaded  bool
-	DefaultTableHas Need // what the endpoints that its default table may hold require
+	Connected        bool
+	TablesByShard    bool // tables belong to shards, not to proxies
+	HasAssigned      bool // it uses assigned tables already
+	HasUnknown       bool // see Contents.Unknown
+	RateLimited      bool
+	ZoneOverloaded   bool
+	DefaultTableNeed Need // what the endpoints that its default table may hold require
 }
 
 // NeedsTables reports whether the proxy's assigned tables have to be computed. A default table is replaced at the
@@ -79,10 +79,10 @@
 		return false
 	}
 	return proxy.HasAssigned || proxy.HasUnknown || proxy.RateLimited || proxy.ZoneOverloaded ||
-		proxy.DefaultTableHas > KeepDefault
+		proxy.DefaultTableNeed > KeepDefault
 }
 
 // UrgentAttachment reports whether a guarantee depends on the proxy's first assigned tables.
 func UrgentAttachment(proxy Proxy) bool {
-	return !proxy.HasAssigned && (proxy.HasUnknown || proxy.DefaultTableHas == ReplaceUrgently)
+	return !proxy.HasAssigned && (proxy.HasUnknown || proxy.DefaultTableNeed == ReplaceUrgently)
 }
--- a/assign/decisions_doc_test.go
+++ b/assign/decisions_doc_test.go
@@ -47,7 +47,7 @@
 		name, value := match[1]+"."+match[2], match[3]
 		object := packages.lookUp(match[1], match[2])
 		if object == nil {
-			t.Errorf("%s: not declared", name)
+			t.Errorf("got %s in the document, want a declared name", name)
 		}
 		if c, ok := object.(*types.Const); ok {
 			checkConstant(t, name, c, value)
@@ -109,7 +109,7 @@
 				}
 				found++
 				if packages.lookUp(match[1], match[2]) == nil {
-					t.Errorf("%s.%s: not declared", match[1], match[2])
+					t.Errorf("got %s.%s in the document, want a declared name", match[1], match[2])
 				}
 			}
 			if found == 0 {
--- a/assign/doc.go
+++ b/assign/doc.go
@@ -10,7 +10,8 @@
 // weights during normal operation; under a wide overload one total rate, split among the proxies as stored quotas, with
 // unused quota moving to the proxies that use all of theirs. Six mechanisms extend it (docs/design.md has the reasons).
 //
-// The decisions are in rule packages of pure functions, which do not import this one:
+// The decisions are in rule packages, which do not import this one. Their functions are pure but for subset.Plan and
+// admission.Budget, which a sequence of calls uses up:
 //
 //   - membership: whether an endpoint is ready, draining or removed
 //   - outlier: health weight of an endpoint by its attempts, probation, unverified endpoints
@@ -24,7 +25,7 @@
 //   - ordering: order of the messages to proxies, in-flight window, message limit
 //   - timing, numeric: durations and the least divisor that several rules share
 //
-// This package has no rule: events.go, orders.go and config.go have the types of the interface, assigner.go the entry
+// This package collects the inputs of the rules and stores their results: events.go, orders.go and config.go have the types of the interface, assigner.go the entry
 // points, mailbox.go the messages between records, tick.go the phases of a tick, and endpoint.go, zone.go, proxy.go,
 // requestclass.go and scheduler.go the records with their handlers; tables.go collects the inputs of a proxy's tables.
 package assign
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -59,7 +59,8 @@
 func (e *endpoint) ready() bool { return e.status.State == Ready }
 
 // updateEndpoints turns an endpoint update into a message to each endpoint that it names or drops. It creates the records
-// of new endpoints and deletes expired ones at once, so that the other events of the batch find them.
+// of new endpoints and deletes expired ones at once, so that the other events of the batch find them. Known fault: an
+// expired endpoint that the same update lists again is deleted too (KNOWN-RED.txt).
 func (a *Assigner) updateEndpoints(update EndpointUpdate) {
 	if update.Failed {
 		a.order(WatchEndpoints{Enabled: true})
@@ -94,7 +95,7 @@
 func (a *Assigner) newEndpoint(entry Endpoint, firstUpdate bool) *endpoint {
 	return &endpoint{
 		name:           entry.Name,
-		tieBreak:       subset.TieBreak(a.random.ExpFloat64(), entry.Weight),
+		tieBreak:       subset.TieBreak(a.random.ExpFloat64(), entry.Weight), // as given: without a weight it comes last
 		status:         membership.Status{State: Removed},
 		lastListedAt:   a.now,
 		lastAnsweredAt: outlier.AssumedAnswer(firstUpdate, a.now),
@@ -132,7 +133,7 @@
 	assigner.zone(e.zone)
 }
 
-// applyDrop applies an update that no longer names the endpoint.
+// applyDrop applies the endpoint's removal from the list, and does so again at each tick while it is delisted.
 func (e *endpoint) applyDrop(assigner *Assigner) {
 	e.status = membership.AfterDrop(e.status, membership.Drop{
 		RemovalIsAdvisory: assigner.config.RemovalIsAdvisory,
@@ -219,7 +220,7 @@
 	result.unverified = outlier.Unverified(outlier.Proof{
 		LastAnsweredAt: e.lastAnsweredAt,
 		Now:            assigner.now,
-		Warming:        capacityFraction != 1,
+		Warming:        capacityFraction != 1, // also above 1, where the settings let it start above its full capacity
 		Failing:        health.Failing(),
 	})
 	if e.ready() {
--- a/assign/events.go
+++ b/assign/events.go
@@ -38,7 +38,7 @@
 type EndpointLoadReport struct {
 	Zone        string
 	Endpoint    string
-	Interval    float64 // that the report covers, s
+	Interval    float64 // that the report covers, s; no rule uses it
 	MeanLatency float64 // of the successful attempts, s; 0 if there are none
 	Attempts    int
 	Failed      int
--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"madderhollow/assign/admission"
+	"madderhollow/assign/membership"
 )
 
 // Each test of this file shows a known fault at its true bound and fails until the fault is mended. KNOWN-RED.txt at the
@@ -206,6 +207,32 @@
 // proxyTypicalRate is the typical rate of each proxy of a testHost, 1/s.
 const proxyTypicalRate = 9.0
 
+// TestEndpointListedAgainAfterRetentionIsReady removes an endpoint and lists it again once its record may be deleted, with no
+// update in between. The endpoint has to be ready like any other that an update lists.
+func TestEndpointListedAgainAfterRetentionIsReady(t *testing.T) {
+	const removedAt = 1001.0 // s
+	for _, test := range []struct {
+		name  string
+		after float64 // s after its removal
+	}{
+		{"before the retention", membership.Retention - 1},
+		{"after the retention", membership.Retention + 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			assigner := New(1, modelConfig())
+			listed := newEndpoints("x", 4)
+			assigner.Handle(removedAt-1, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+			removed := listed[0]
+			removed.State = Removed
+			assigner.Handle(removedAt, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
+			assigner.Handle(removedAt+test.after, []Event{EndpointUpdate{Endpoints: listed[:1]}})
+			if !isReady(assigner, listed[0].Name) {
+				t.Error("got the endpoint not ready after it was listed again, want ready")
+			}
+		})
+	}
+}
+
 // testHost is an assigner with a proxy in each zone, numbered as the zones are, and four endpoints a zone. The proxies
 // have assigned tables from the start. Orders take effect at once and are acknowledged in the next batch.
 type testHost struct {
@@ -344,3 +371,9 @@
 
 // totalRate returns the total rate, 1/s; 0 if none is set.
 func totalRate(assigner *Assigner) float64 { return assigner.totalRate }
+
+// isReady reports whether the assigner has a record of a ready endpoint of a name.
+func isReady(assigner *Assigner, name string) bool {
+	e := assigner.endpoints[name]
+	return e != nil && e.ready()
+}
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -141,10 +141,12 @@
 // shifted shows in reports only after several ticks. Until then the gap counts it as shifted, away from the zone's
 // endpoints and onto the remote ones, so that it is not shifted again.
 func (s Spillover) gap(zone Zone) float64 {
+	// Reports show Busy for the traffic that stayed, 1 - Observed. The division gives that of the zone's whole
+	// traffic.
 	shifting := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
 	shiftingRemote := shifting * zone.ReadyWeight / zone.Remote.weight
-	localBusy := zone.Busy - shifting - shiftingRemote - crossZoneCost
+	adjustedBusy := zone.Busy - shifting - shiftingRemote - crossZoneCost
 	remoteBusy := zone.Remote.busyWeight / zone.Remote.weight
-	// Above the threshold the remote endpoints are overloaded themselves, and the gap is not above 0.
-	return math.Min(localBusy, overload.BusyThreshold) - remoteBusy
+	// The cap on the zone's side makes the gap 0 or less where the remote endpoints are above the threshold.
+	return math.Min(adjustedBusy, overload.BusyThreshold) - remoteBusy
 }
--- a/assign/model_guarantees_test.go
+++ b/assign/model_guarantees_test.go
@@ -23,15 +23,15 @@
 	switch order := order.(type) {
 	case SetWeight:
 		if order.Weight < 0 || math.IsNaN(order.Weight) {
-			m.fail("weight %v", order.Weight)
+			m.fail("got weight %v, want 0 or more", order.Weight)
 		}
 	case SetRateLimit:
 		if class := m.config.RequestClasses[order.RequestClasses[0]]; order.Retries > 1 && class.RetrySafety != SafeToRetry {
-			m.fail("guarantee 2: %d retries of class %s", order.Retries, class.Name)
+			m.fail("guarantee 2: got %d retries of class %s, want at most 1", order.Retries, class.Name)
 		}
 	case AttachTable:
 		if !m.proxies[order.Proxy].connected {
-			m.fail("a table attached to %d, which is disconnected", order.Proxy)
+			m.fail("got a table attached to proxy %d, which is disconnected, want none", order.Proxy)
 		}
 	}
 }
@@ -45,12 +45,12 @@
 		}
 	}
 	if float64(queued) > m.config.Channel.QueueLimit {
-		m.fail("guarantee 5: %d lines wait", queued)
+		m.fail("guarantee 5: got %d lines queued, want at most %g", queued, m.config.Channel.QueueLimit)
 	}
 	for _, p := range m.proxies {
 		p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at float64) bool { return m.now-at > modelMessageWindow })
 		if len(p.messageTimes) > modelMessageLimit {
-			m.fail("guarantee 5: %d messages to proxy %d in 10 s", len(p.messageTimes), p.id)
+			m.fail("guarantee 5: got %d messages to proxy %d in 10 s, want at most %d", len(p.messageTimes), p.id, modelMessageLimit)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 		}
 	}
 	if sum > 1+1e-9 {
-		m.fail("quotas sum to %v", sum)
+		m.fail("got quotas that sum to %v, want at most 1", sum)
 	}
 	for _, p := range m.proxies {
 		if !p.connected || p.stalledUntil > m.now-1 {
@@ -87,10 +87,10 @@
 		}
 		since, gone := m.goneSince[e.Name]
 		if gone && m.now-math.Max(since, p.connectedAt) > 2*m.slowness() {
-			m.fail("guarantee 3: proxy %d holds %s, gone for %.2f s", p.id, e.Name, m.now-since)
+			m.fail("guarantee 3: got %s at proxy %d %.2f s after its removal, want at most %.2f s", e.Name, p.id, m.now-since, 2*m.slowness())
 		}
 		if !m.allows(class, e.Zone) {
-			m.fail("proxy %d sends class %d to zone %s", p.id, class, e.Zone)
+			m.fail("got class %d of proxy %d sent to zone %s, want an allowed zone", class, p.id, e.Zone)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		proxy.withoutPick[class] = 0
 	}
 	if proxy.withoutPick[class] > 3*m.slowness() {
-		m.fail("guarantee 1: proxy %d has no endpoint to pick for class %d", proxy.id, class)
+		m.fail("guarantee 1: got no endpoint to pick at proxy %d for class %d in %.1f s, want one", proxy.id, class, proxy.withoutPick[class])
 	}
 }
 
@@ -136,6 +136,6 @@
 	proxy.overBudget[class] = excess
 	allowed := 2.5 * m.slowness()
 	if excess > allowed && m.now-proxy.connectedAt > allowed {
-		m.fail("guarantee 4: proxy %d gives too much to warming endpoints: %v", proxy.id, held)
+		m.fail("guarantee 4: got too much for warming endpoints at proxy %d for %.2f s, want at most %.2f s: %v", proxy.id, excess, allowed, held)
 	}
 }
--- a/assign/ordering/ordering_test.go
+++ b/assign/ordering/ordering_test.go
@@ -143,7 +143,8 @@
 			inFlight += message.Lines
 			recent := ordering.CountRecent(times, time, window)
 			if recent > maxMessages-1 || inFlight > 0.9*queueLimit {
-				t.Errorf("seed %d: got %d messages of %d within %g s, %g lines in flight", seed, recent, maxMessages, window, inFlight)
+				t.Errorf("seed %d: got %d messages within %g s and %g lines in flight, want at most %d and %g",
+					seed, recent, window, inFlight, maxMessages-1, 0.9*queueLimit)
 				return false
 			}
 		}
--- a/assign/orders.go
+++ b/assign/orders.go
@@ -13,7 +13,7 @@
 
 // SetWeight sets the weight of one entry of a table; 0 removes it.
 type SetWeight struct {
-	Table    int
+	Table    int // proxy number times the number of table groups, plus the index of the group
 	Endpoint string
 	Weight   float64
 }
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -3,9 +3,9 @@
 //
 // Assess acts once a tick on every endpoint; Decrease acts once a tick on unhealthy endpoints while there is no
 // overload. Unverified acts whenever tables are computed, InTimeCredit on each report (latency.go). Inputs are counts
-// of attempts, latencies and times in seconds, and ratios from 0 to 1. Both return the next Health. Each zone has a
-// Health of its own, because a network partition between zones is no fault of the endpoint. See docs/design.md, "What
-// was changed", 1 (health weights).
+// of attempts, latencies and times in seconds, and ratios from 0 to 1. Assess and Decrease return the next Health.
+// Each zone has a Health of its own, because a network partition between zones is no fault of the endpoint. See
+// docs/design.md, "What was changed", 1 (health weights).
 package outlier
 
 import (
@@ -49,7 +49,7 @@
 	// minAttemptsAtLowWeight replaces minAttempts below lowWeight, where tables bring few attempts.
 	minAttemptsAtLowWeight = minAttempts / 2
 	lowWeight              = 0.5 // health weight
-	// weightGain is what a healthy endpoint regains of its weight per tick.
+	// weightGain is added to the health weight of a healthy endpoint, at most once a tick.
 	weightGain = 0.1
 )
 
@@ -64,7 +64,8 @@
 	if health.Attempts < needed {
 		return health
 	}
-	meanLatency := health.LatencySum / math.Max(health.Attempts-health.Failed, 1)
+	successful := math.Max(health.Attempts-health.Failed, 1)
+	meanLatency := health.LatencySum / successful // 0, not late, if every attempt failed
 	health.FailureRatio = health.Failed / health.Attempts
 	health.Late = meanLatency > lateThreshold
 	health.AssessedAt = now
@@ -84,7 +85,8 @@
 	return health
 }
 
-// FailureThreshold is the failure ratio from which an endpoint is unhealthy. A busy endpoint rejects fewer requests.
+// FailureThreshold is the failure ratio from which an endpoint is unhealthy. It is above the fraction that an
+// endpoint rejects only because it is busy.
 const FailureThreshold = 0.4
 
 // Failing reports whether the failure ratio of the last assessment reached FailureThreshold.
@@ -116,9 +118,9 @@
 // failure ratio is that of the current assessments of all ready endpoints.
 //
 // An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned
-// off, and is put on probation at once. One that fails and answers late is overloaded: its weight decays step by
-// step, because moving all its load would overload the next endpoint. Decrease waits for the feedback delay between
-// two steps. It is wrong where the reporting proxies are at fault.
+// off, and is put on probation at once. Any other unhealthy endpoint, late or failing about as much as the rest,
+// counts as overloaded: its weight decays step by step, because moving all its load would overload the next endpoint.
+// Decrease waits for the feedback delay between two steps. It is wrong where the reporting proxies are at fault.
 func Decrease(health Health, meanFailureRatio, now float64) (next Health, probation bool) {
 	isOutlier := health.Failing() && !health.Late && health.FailureRatio > outlierFactor*meanFailureRatio
 	switch {
--- a/assign/outlier/outlier_test.go
+++ b/assign/outlier/outlier_test.go
@@ -276,7 +276,8 @@
 				health.FailureRatio >= 0 && health.FailureRatio <= 1 &&
 				credit >= outlier.MinInTimeCredit && credit <= 1
 			if !inBounds {
-				t.Errorf("seed %d, tick %d: got %+v, credit %g, want weight and credit within bounds", seed, tick, health, credit)
+				t.Errorf("seed %d, tick %d: got %+v, credit %g, want weight %g to 1, failure ratio 0 to 1, credit %g to 1",
+					seed, tick, health, credit, outlier.ProbationWeight, outlier.MinInTimeCredit)
 				return false
 			}
 		}
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -56,8 +56,8 @@
 	reportedWeight float64  // their listed weight
 }
 
-// NewPeriod returns the sums without endpoints, at a time in seconds. Their mean busy fraction is 1: endpoints that
-// report none count as full.
+// NewPeriod returns the sums without endpoints, at a time in seconds. Where no endpoint reports a busy fraction the
+// mean is 1, full; otherwise those that report none are left out. Package locality counts them as idle.
 func NewPeriod(now float64) *Period {
 	return &Period{
 		now:            now,
@@ -91,9 +91,6 @@
 	}
 }
 
-// InTimeRate returns the rate at which ready endpoints answered in time, 1/s.
-func (p *Period) InTimeRate() float64 { return p.ready.InTime }
-
 // BusyThreshold is the mean busy fraction above which endpoints are overloaded.
 const BusyThreshold = 0.75
 
@@ -139,7 +136,7 @@
 // Decision is what follows from a period.
 type Decision struct {
 	Overloaded bool
-	Total      float64 // rate that the proxies may admit, 1/s; 0: none is set
+	Total      float64 // rate that the proxies may admit, 1/s; 0: none is set; if Removed, for the log line only
 	Removed    bool    // Total exceeds the observed rate by enough that no total is needed any more
 }
 
--- a/assign/overload_test.go
+++ b/assign/overload_test.go
@@ -30,7 +30,7 @@
 			sim.reportAll(test.endpoints, 0.8, EndpointLoadReport{MeanLatency: test.meanLatency, Attempts: test.attempts, Failed: test.failed, Load: []float64{test.busy}})
 		}
 		if got := sim.assigner.totalRate > 0; got != test.want {
-			t.Errorf("%+v: got a total %v, want %v", test, got, test.want)
+			t.Errorf("%+v: got a total set %v, want %v", test, got, test.want)
 		}
 	}
 }
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -174,7 +174,8 @@
 func (p *proxy) recordOrder(assigner *Assigner, order Order) {
 	switch o := order.(type) {
 	case SetWeight:
-		table := &p.tables[o.Table%len(assigner.groups)]
+		group := o.Table % len(assigner.groups) // see tableNumber
+		table := &p.tables[group]
 		*table = slices.DeleteFunc(*table, func(entry tableEntry) bool { return entry.Endpoint.name == o.Endpoint })
 		if o.Weight > 0 {
 			*table = append(*table, tableEntry{Endpoint: assigner.endpoints[o.Endpoint], Weight: o.Weight})
--- a/assign/proxy_test.go
+++ b/assign/proxy_test.go
@@ -125,7 +125,8 @@
 		t.Errorf("got a share of %.2f of the table for the first endpoint, want above 0 and at most 0.1", fraction)
 	}
 	limits := sim.record(0).classLimits
-	if limits == nil || limits[0] > 1.25*(10/3+2*math.Sqrt(10.0/3))+1 {
-		t.Errorf("got limits %v, want a first one low enough that a burst before the first report does not overload it", limits)
+	highest := 1.25*(10/3+2*math.Sqrt(10.0/3)) + 1 // a burst before the first report must not overload the endpoint
+	if limits == nil || limits[0] > highest {
+		t.Errorf("got limits %v, want a first one of at most %g/s", limits, highest)
 	}
 }
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -2,9 +2,9 @@
 // design page, "Surplus-shifting rate shares".
 //
 // Join acts when proxies join the split, Redistribute once a tick. Inputs are quotas (fractions of the total rate)
-// and rates in requests per second. Redistribute returns quotas that sum to 1. Join keeps their sum, which is below 1
-// after proxies have left, until the next tick. A proxy leaves the split when timing.Silent says so. See
-// docs/design.md, "What was kept".
+// and rates in requests per second. Redistribute returns quotas that sum to 1, and Join keeps such a sum. After
+// proxies have left, the sum is below 1 until the next tick; a join in between raises it. A proxy leaves the split
+// when timing.Silent says so. See docs/design.md, "What was kept".
 package quota
 
 import (
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -13,8 +13,8 @@
 	return listedWeight * math.Min(healthWeight, capacityFraction)
 }
 
-// TieBreak returns what orders endpoints of equal rank, the lowest first: a draw from an exponential distribution
-// over the weight, so that heavier endpoints tend to come first.
+// TieBreak returns what orders endpoints of equal rank, the lowest first: a draw from an exponential distribution,
+// divided by the weight, so that heavier endpoints tend to come first.
 func TieBreak(draw, listedWeight float64) float64 {
 	return draw / math.Max(listedWeight, numeric.MinDivisor)
 }
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -84,16 +84,16 @@
 }
 
 // choose keeps the candidates that tables may hold. A warming endpoint serves only proxies of its own zone, which
-// know what they bring to it, and none where Zone.ExcludeWarming holds. Those set aside are used where there is
-// nothing else.
+// know what they bring to it, except where the classes may use no endpoint of the proxies' zone. None is used where
+// Zone.ExcludeWarming holds. Those set aside are used where there is nothing else.
 func (plan *Plan[E]) choose(zone Zone, usable []Candidate[E]) (found supply) {
 	var lastResort []*Candidate[E]
 	for i := range usable {
 		option := &usable[i]
 		option.penalizeWeight()
 		found.total += option.Weight
-		foreign := option.Remote && !zone.Closed
-		if option.Warming && (zone.ExcludeWarming || foreign) {
+		remoteWarming := option.Warming && option.Remote && !zone.Closed
+		if remoteWarming || (option.Warming && zone.ExcludeWarming) {
 			lastResort = append(lastResort, option)
 			continue
 		}
@@ -109,10 +109,10 @@
 	return found
 }
 
-// demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost,
-// and in an overloaded zone what its traffic takes. Where warming endpoints are in use the loss does not count,
-// because warm endpoints have to carry the load next to them, however unhealthy. Proxies that do not report here
-// bring as much as those that do, and zones have equally many.
+// demand returns the weight that the zone's proxies need: what they usually have, less what the deployment has lost;
+// in an overloaded zone at least what its traffic takes. Where warming endpoints are in use the loss does not count,
+// because warm endpoints have to carry the load next to them, however unhealthy. It assumes that proxies which do not
+// report here bring as much as those that do, and that zones have equally many.
 func (plan *Plan[E]) demand(zone Zone, deployment Deployment, found supply, usualWeight float64) float64 {
 	demand := usualWeight
 	if !found.warming {
@@ -124,8 +124,8 @@
 	proxies := math.Max(deployment.ReportingProxies, deployment.ConfiguredProxies)
 	proxiesPerZone := proxies / float64(deployment.Zones)
 	proxiesPerReporting := math.Max(1, proxiesPerZone/zone.ReportingProxies)
-	reportedTraffic := found.total * zone.TrafficFraction * deployment.ReportingProxies / proxies
-	return math.Max(demand, reportedTraffic*proxiesPerReporting)
+	reportedDemand := found.total * zone.TrafficFraction * deployment.ReportingProxies / proxies
+	return math.Max(demand, reportedDemand*proxiesPerReporting)
 }
 
 // maxTableWeight returns the most that a table carries: the zone's usual weight, or that of a full table where there
--- a/assign/subset/property_test.go
+++ b/assign/subset/property_test.go
@@ -126,7 +126,7 @@
 			proxy := i % len(held)
 			table := plan.Build(held[proxy], 1e3*quickcheck.Fraction(random), size)
 			if wrong := drawn.check(table, size); wrong != "" {
-				t.Errorf("seed %d, table %d: got %s: %+v", seed, i, wrong, table)
+				t.Errorf("seed %d, table %d: got %+v, want none with %s", seed, i, table, wrong)
 				return false
 			}
 			held[proxy] = table.Entries
--- a/assign/subset/subset_test.go
+++ b/assign/subset/subset_test.go
@@ -112,8 +112,14 @@
 			}
 		})
 	}
-	if all.Equal(own) || all.Equal(two) || !two.Equal(subset.ZonePolicy{AllowedZones: []string{"x", "y"}}) {
-		t.Error("got policies equal that differ, or different that are equal")
+	if all.Equal(own) {
+		t.Error("own zone only: got equal to all zones, want not")
+	}
+	if all.Equal(two) {
+		t.Error("two zones: got equal to all zones, want not")
+	}
+	if !two.Equal(subset.ZonePolicy{AllowedZones: []string{"x", "y"}}) {
+		t.Error("two zones: got unequal to the same zones, want equal")
 	}
 }
 
@@ -246,7 +252,7 @@
 			table := plan.Build(nil, 1, 2)
 			weight := subset.WeightOf(table.Entries, "local0")
 			if got := weight > 0; got != test.want {
-				t.Fatalf("got it in the table %t, want %t", got, test.want)
+				t.Fatalf("got the unverified endpoint in the table %t, want %t", got, test.want)
 			}
 			if test.want && math.Abs(weight-penalty) > tolerance {
 				t.Errorf("got weight %g, want %g", weight, penalty)
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -55,12 +55,13 @@
 
 // Build returns the table that a proxy should hold, given the one that it holds, the rate in requests per second that
 // it brings, and the table size in entries. It prefers endpoints of the proxy's zone, because crossing zones is
-// charged for, and adds remote ones until the table carries what tables of the zone usually do.
+// charged for, and adds the plan's fraction of remote ones.
 func (plan *Plan[E]) Build(held []Entry[E], rate, tableSize float64) Table[E] {
 	plan.AddLoad(held, -rate)
 	plan.rank(held)
 	size := int(math.Round(tableSize))
-	remoteSize := min(int(math.Round(plan.remoteFraction*float64(size))), size-1) // one entry is the zone's own, if any
+	remoteSize := int(math.Round(plan.remoteFraction * float64(size)))
+	remoteSize = min(remoteSize, size-1) // one entry is kept for the zone's own, also where it has none
 
 	table := &draft[E]{}
 	localWeight, _ := table.add(plan.lowestRanked(false, size-remoteSize))
@@ -153,11 +154,12 @@
 		return math.Min(plan.remainingCapacity, maxShare)
 	}
 	if table.warming > maxShare*table.weight {
+		// The factor for which factor*warming is maxShare of warm + factor*warming.
 		factor := maxShare / (1 - maxShare) * warm / table.warming
 		plan.scaleWarming(table, factor)
 	}
-	fullWeight := table.healthy / (1 - maxShare) // of a table whose warm part is the healthy weight
-	return math.Min(1, fullWeight/fullTableWeight)
+	servableWeight := table.healthy / (1 - maxShare) // of a table whose warm part is the healthy weight
+	return math.Min(1, servableWeight/fullTableWeight)
 }
 
 // scaleWarming multiplies the weights of the warming entries by a factor.
--- a/assign/tables.go
+++ b/assign/tables.go
@@ -26,13 +26,13 @@
 func (p *proxy) tableOrders(assigner *Assigner) tableOrders {
 	z := assigner.zone(p.zone)
 	inputs := assignment.Proxy{
-		Connected:       p.connected,
-		TablesByShard:   assigner.config.Shards > 0,
-		HasAssigned:     p.hasAssignedTables,
-		HasUnknown:      p.contents.Unknown,
-		RateLimited:     p.rateLimit != 0,
-		ZoneOverloaded:  z.overloaded,
-		DefaultTableHas: z.defaultTableNeed(p.contents.Local),
+		Connected:        p.connected,
+		TablesByShard:    assigner.config.Shards > 0,
+		HasAssigned:      p.hasAssignedTables,
+		HasUnknown:       p.contents.Unknown,
+		RateLimited:      p.rateLimit != 0,
+		ZoneOverloaded:   z.overloaded,
+		DefaultTableNeed: z.defaultTableNeed(p.contents.Local),
 	}
 	if !assignment.NeedsTables(inputs) {
 		return tableOrders{}
@@ -46,7 +46,7 @@
 
 // addTable adds the orders for the table of one group.
 func (p *proxy) addTable(assigner *Assigner, group *tableGroup, result *tableOrders) {
-	table := p.id*len(assigner.groups) + group.index
+	table := p.tableNumber(assigner, group)
 	wanted := p.buildTable(assigner, group)
 	if !p.hasAssignedTables {
 		result.add(ClearTable{table}, false)
@@ -67,6 +67,12 @@
 	}
 }
 
+// tableNumber returns the number that orders use for the proxy's table of a group: all groups of proxy 0, then of proxy 1,
+// and so on.
+func (p *proxy) tableNumber(assigner *Assigner, group *tableGroup) int {
+	return p.id*len(assigner.groups) + group.index
+}
+
 // buildTable returns the table that the proxy should hold for a group.
 func (p *proxy) buildTable(assigner *Assigner, group *tableGroup) subset.Table[*endpoint] {
 	plan := assigner.zone(p.zone).plan(assigner, group)
@@ -77,7 +83,7 @@
 // weight while some of its entries are warming up; 0 if none is. Classes of other groups take their rate out of the budget
 // too.
 func (p *proxy) addLimits(assigner *Assigner, group *tableGroup, warmingCapacity float64, result *tableOrders) {
-	table := p.id*len(assigner.groups) + group.index
+	table := p.tableNumber(assigner, group)
 	tableHasWarming := warmingCapacity > 0
 	budget := admission.NewBudget(p.rateLimit)
 	retries := admission.Retries(assigner.config.Retries, p.rateLimit > 0, tableHasWarming)
--- a/assign/tables_test.go
+++ b/assign/tables_test.go
@@ -69,7 +69,8 @@
 		return known, added
 	}
 	if known, added := means(); added == 0 || added > 2*outlier.ProbationWeight*known {
-		t.Errorf("got load %.3f of unverified endpoints and %.3f of others, want more than 0 and at most twice probation", added, known)
+		t.Errorf("got load %.3f of unverified endpoints and %.3f of others, want above 0 and at most %.3f",
+			added, known, 2*outlier.ProbationWeight*known)
 	}
 	var events []Event
 	for _, e := range newEndpoints("s", 30) {
@@ -83,6 +84,7 @@
 		}
 	}
 	if known, added := means(); added < known/subset.ReassignmentRatio {
-		t.Errorf("got load %.3f of verified endpoints and %.3f of others, want at least a part of %g", added, known, subset.ReassignmentRatio)
+		t.Errorf("got load %.3f of verified endpoints and %.3f of others, want at least %.3f",
+			added, known, known/subset.ReassignmentRatio)
 	}
 }
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -41,7 +41,7 @@
 	a.scheduler.request(a, nil)
 }
 
-// dropSilentProxies removes the proxies from the split that are silent.
+// dropSilentProxies has each silent proxy removed from the split.
 func (a *Assigner) dropSilentProxies() {
 	for _, p := range a.proxies {
 		if timing.Silent(a.now, p.lastReportAt) {
@@ -145,13 +145,13 @@
 	}
 }
 
-// logRateResolution is the number of parts of one request per second that log lines show.
+// logRateResolution is the number of steps per request per second to which log lines round rates.
 const logRateResolution = 10
 
 // roundRate rounds a rate for a log line.
 func roundRate(rate float64) float64 { return math.Round(rate*logRateResolution) / logRateResolution }
 
-// decreaseUnhealthyWeights has the endpoints weigh less that were found unhealthy in this period.
+// decreaseUnhealthyWeights decreases the weights of endpoints found unhealthy by an assessment at most one tick old.
 func (a *Assigner) decreaseUnhealthyWeights() {
 	for _, e := range a.endpointList {
 		for _, health := range e.health {
