--- a/assign/timing/timing.go
+++ b/assign/timing/timing.go
@@ -12,5 +12,5 @@
 	SilenceTimeout = 10.0
 )
 
-// Silent reports whether the last sign of life, at a time in seconds, is older than SilenceTimeout.
+// Silent reports whether the last report, at a time in seconds, is older than SilenceTimeout.
 func Silent(now, lastSeenAt float64) bool { return now-lastSeenAt > SilenceTimeout }
--- a/assign/timing/timing_test.go
+++ b/assign/timing/timing_test.go
@@ -9,7 +9,7 @@
 func TestSilent(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		since float64 // the last sign of life, s
+		since float64 // the last report, s
 		want  bool
 	}{
 		{"now", 0, false},
