--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -126,8 +126,8 @@
 	if err := errors.Join(d.relay.Move(moved.Relay.Address, moveTimeout), d.agent.Move(moved.Discovery, moveTimeout)); err != nil {
 		return fmt.Errorf("move: %w", err)
 	}
-	d.printf("Discovery and the relay move to new addresses; open connections stay open for two minutes. In a third terminal:\n"+
-		"    cp %s mine.json && pkill -HUP -x madderhollow", movedPath)
+	d.printf("Discovery and the relay move to new addresses; open connections stay open for two minutes. In a third terminal, where PID is the assigner's process id:\n"+
+		"    cp %s mine.json && kill -HUP PID", movedPath)
 	if !eventually.True(moveTimeout, func() bool { return d.agent.LastHost() == moved.Discovery }) {
 		return fmt.Errorf("%w %s", errNotMoved, moved.Discovery)
 	}
@@ -135,6 +135,6 @@
 	if err := d.drain(d.agent.List().Endpoints[1]); err != nil {
 		return err
 	}
-	d.printf("The demo is complete. Stop the assigner with Ctrl-C.")
+	d.printf("The demo is complete. The assigner logs warnings until you stop it, because the demo's services end now.")
 	return nil
 }
