--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -26,7 +26,7 @@
 	}
 	defer demo.close()
 	fmt.Printf("Waiting for an assigner at %s. In another terminal:\n"+
-		"    cp %s mine.json && EDGE_CONFIG=mine.json bin/madderhollow\n", demo.config.Listen, configPath)
+		"    cp %s mine.json\n    EDGE_CONFIG=mine.json bin/madderhollow & echo $!\n", demo.config.Listen, configPath)
 	for _, scene := range []func() error{demo.awaitAssigner, demo.connectProxies, demo.drainAndRestart, demo.overload} {
 		if err := scene(); err != nil {
 			return err
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,4 +1,4 @@
-// Package eventqueue holds the events for the decision module in two bounded queues. Events that every rule depends on
+// Package eventqueue holds the events for the decision module in two bounded queues. Events that guarantees depend on
 // (endpoint updates, proxies, acknowledgments, peer messages) are never dropped: Post blocks while their queue is full.
 // Load and traffic reports never block their sender: Report drops the oldest one while their queue is full.
 package eventqueue
--- a/internal/orderqueue/ambiguity.go
+++ b/internal/orderqueue/ambiguity.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// maxAmbiguityDelay is below the half second that the decision rules allow for a broken call.
+	// maxAmbiguityDelay is below the half second that the platform allows for a broken call.
 	maxAmbiguityDelay = 480 * time.Millisecond
 	// minAmbiguityDelay applies where the configured transit time is shorter or missing.
 	minAmbiguityDelay = 50 * time.Millisecond
--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -28,7 +28,7 @@
 //   - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
 //     all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
 //     acknowledgments.go). After the delay they are sent again: a repeat costs one message, while a lost order could break
-//     a rule.
+//     a guarantee (docs/design.md).
 //   - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
 //
 // When the relay rejects an order, it has applied those before it and none after it. The latter are queued again, with the
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -13,8 +13,8 @@
 	"madderhollow/internal/wire"
 )
 
-// minReopenDelay and maxReopenDelay bound the delays between two attempts to open the event stream. The decision rules
-// allow 4 s without one.
+// minReopenDelay and maxReopenDelay bound the delays between two attempts to open the event stream. The platform allows
+// 4 s without one.
 const (
 	minReopenDelay = 10 * time.Millisecond
 	maxReopenDelay = 100 * time.Millisecond
