--- a/assign/admission/admission.go
+++ b/assign/admission/admission.go
@@ -16,8 +16,7 @@
 const Unlimited = 1e9
 
 // Budget is what a proxy may still admit. Pass its request classes to Limit by falling priority: higher classes take
-// their rate out of the proxy's limit, only the class at the margin is held to the remaining rate, and the lowest is
-// rejected first.
+// their rate out of the proxy's limit, the class at the margin is held to what remains, and those below it to 0.
 type Budget struct {
 	limited   bool
 	remaining float64 // 1/s
--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -7,7 +7,8 @@
 	"madderhollow/assign/overload"
 )
 
-// clockTolerance is how early a tick may run: hosts round times, and a tick missed by rounding would run a batch late, s.
+// clockTolerance is how early a tick may run, in seconds: hosts round times, and a tick missed by rounding would run a
+// batch late.
 const clockTolerance = 1e-9
 
 // Assigner decides for the proxies that are connected to one assigner. Use New.
--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -6,7 +6,7 @@
 	"madderhollow/assign/subset"
 )
 
-// minRelativeChange is the change of a weight or limit, as a fraction of the greater value, from which it is worth a
+// minRelativeChange is the change of a weight or limit, as a fraction of the greater value, above which it is worth a
 // message.
 const minRelativeChange = 0.1
 
@@ -16,7 +16,8 @@
 }
 
 // Changes returns the entries of a wanted table that the held one lacks or has at a weight that is worth changing,
-// and an entry of weight 0 for each that has to go.
+// and an entry of weight 0 for each that has to go. It may append to wanted's array, which the caller must not use
+// again.
 func Changes[E comparable](held, wanted []subset.Entry[E]) (changes []subset.Entry[E]) {
 	for _, entry := range held {
 		if subset.WeightOf(wanted, entry.Endpoint) == 0 {
--- a/assign/config.go
+++ b/assign/config.go
@@ -84,7 +84,7 @@
 
 // ChannelConfig describes the channel that carries orders to the proxies.
 type ChannelConfig struct {
-	QueueLimit      float64 // lines that may be queued; more break a rule; default +Inf
+	QueueLimit      float64 // lines that may be queued; the platform forbids more; default +Inf
 	MessageOverhead float64 // lines that a message costs in addition to its orders; default 1
 	MessageLimit    float64 // messages that one proxy may receive within MessageWindow; 0, the default: no limit
 	MessageWindow   float64 // s; default 10
--- a/assign/doc.go
+++ b/assign/doc.go
@@ -25,7 +25,8 @@
 //   - ordering: order of the messages to proxies, in-flight window, message limit
 //   - timing, numeric: durations and the least divisor that several rules share
 //
-// This package collects the inputs of the rules and stores their results: events.go, orders.go and config.go have the types of the interface, assigner.go the entry
-// points, mailbox.go the messages between records, tick.go the phases of a tick, and endpoint.go, zone.go, proxy.go,
-// requestclass.go and scheduler.go the records with their handlers; tables.go collects the inputs of a proxy's tables.
+// This package collects the inputs of the rules and stores their results: events.go, orders.go and config.go have the
+// types of the interface, assigner.go the entry points, mailbox.go the messages between records, tick.go the phases of a
+// tick, and endpoint.go, zone.go, proxy.go, requestclass.go and scheduler.go the records with their handlers; tables.go
+// collects the inputs of a proxy's tables.
 package assign
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -143,7 +143,9 @@
 func (s Spillover) gap(zone Zone) float64 {
 	// Reports show Busy for the traffic that stayed, 1 - Observed. The division gives that of the zone's whole
 	// traffic.
+	// Of the zone's busy fraction, the part that was shifted and does not show in reports yet.
 	shifting := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
+	// The same load as a busy fraction of the remote endpoints.
 	shiftingRemote := shifting * zone.ReadyWeight / zone.Remote.weight
 	adjustedBusy := zone.Busy - shifting - shiftingRemote - crossZoneCost
 	remoteBusy := zone.Remote.busyWeight / zone.Remote.weight
--- a/assign/membership/membership.go
+++ b/assign/membership/membership.go
@@ -10,7 +10,8 @@
 //	any            -- the list names it ready or draining --> that state
 //	any            -- the list names it removed           --> as if the list dropped it
 //	ready          -- dropped, removal binds              --> removed
-//	ready          -- dropped, removal is advisory        --> ready and delisted
+//	ready          -- dropped, advisory, has answered     --> ready and delisted
+//	ready          -- dropped, advisory, silent           --> removed and delisted
 //	draining       -- dropped                             --> removed
 //	delisted       -- silent for timing.SilenceTimeout    --> removed and delisted
 //	delisted       -- answers                             --> ready and delisted
@@ -64,7 +65,7 @@
 	return status
 }
 
-// Retention is the time for which a removed endpoint's record is kept: longer than a restart of an endpoint takes, s.
+// Retention is the time, in seconds, for which a removed endpoint's record is kept: longer than a restart takes.
 const Retention = 60.0
 
 // Expired reports whether the record of an endpoint may be deleted. Deleting it keeps names that are used once from
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -14,7 +14,8 @@
 	"madderhollow/assign/timing"
 )
 
-// neverAssessed is the time of the last assessment of an endpoint that had none: before the start of any clock, s.
+// neverAssessed, in seconds, is the time of the last assessment of an endpoint that had none: before the start of any
+// clock.
 const neverAssessed = -10.0
 
 // Health is what the proxies of one zone observe of an endpoint. NewHealth returns the first value.
--- a/assign/outlier/unverified.go
+++ b/assign/outlier/unverified.go
@@ -10,9 +10,9 @@
 	Failing        bool    // see Health.Failing
 }
 
-// Unverified reports whether an endpoint has to prove itself: it claims to have run for long and has never answered,
-// or it fails and has not answered for timing.SilenceTimeout. Lists may be wrong, so it counts as on probation until
-// it answers. An assigner that starts with a list which lacks most endpoints takes the rest for unverified at first.
+// Unverified reports whether an endpoint has to prove itself: it is not warming up and has never answered, or it
+// fails and has not answered for timing.SilenceTimeout. Lists may be wrong, so it counts as on probation until it
+// answers. An assigner that starts with a list which lacks most endpoints takes the rest for unverified at first.
 func Unverified(proof Proof) bool {
 	// An endpoint that never answered is silent, too, once the clock is past timing.SilenceTimeout.
 	if !timing.Silent(proof.Now, proof.LastAnsweredAt) || proof.Warming {
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -13,7 +13,7 @@
 	"madderhollow/assign/timing"
 )
 
-// Attempts counts attempts, or attempts per second.
+// Attempts are sums of attempts in a period, or rates per second after PerSecond; each field of this type says which.
 type Attempts struct {
 	Total  float64
 	Failed float64
@@ -122,7 +122,7 @@
 }
 
 const (
-	// minTotal replaces a total of 0, which would mean that none is set, 1/s.
+	// minTotal, in requests per second, replaces a total of 0, which would mean that none is set.
 	minTotal = 0.1
 	// totalGrowth is the factor on the total in each period without an overload.
 	totalGrowth = 1.1
@@ -146,22 +146,15 @@
 	case p.Detected(traffic):
 		return Decision{Overloaded: true, Total: p.TotalDuring()}
 	case traffic.Total > 0:
-		growth := p.TotalAfter(traffic)
-		return Decision{Total: growth.Total, Removed: growth.Removed}
+		return p.TotalAfter(traffic)
 	}
 	return Decision{}
 }
 
-// Growth is a total rate after a period without an overload.
-type Growth struct {
-	Total   float64 // 1/s
-	Removed bool    // it exceeds the observed rate by enough that no limit is needed
-}
-
-// TotalAfter returns the total rate after a period without an overload. The total that was set during an overload can
+// TotalAfter returns the decision of a period without an overload. The total that was set during an overload can
 // be far too low for steps of a tenth, so that the endpoints' busy fraction shows how far it may rise.
-func (p *Period) TotalAfter(traffic Traffic) Growth {
+func (p *Period) TotalAfter(traffic Traffic) Decision {
 	byBusy := p.successful * BusyThreshold * p.reportedWeight / p.busyWeight
 	total := math.Max(traffic.Total*totalGrowth, byBusy)
-	return Growth{Total: total, Removed: total > limitRemovalFactor*traffic.Observed}
+	return Decision{Total: total, Removed: total > limitRemovalFactor*traffic.Observed}
 }
--- a/assign/overload/tablesize.go
+++ b/assign/overload/tablesize.go
@@ -33,7 +33,7 @@
 	}
 	failureRatio := period.ready.Failed / period.ready.Total
 	successful := period.ready.Total - period.ready.Failed
-	// The mean credit of successful attempts is nearer to 1 than to the least one.
+	// The mean credit of successful attempts is above the middle of MinInTimeCredit and 1.
 	quick := 2*period.ready.InTime > (1+outlier.MinInTimeCredit)*successful
 	scarce := failureRatio > outlier.FailureThreshold && quick && !period.nearlyFull(busyReported)
 	switch {
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -52,8 +52,8 @@
 	inFlight     []unacknowledgedMessage // shortened by acknowledge
 }
 
-// proxy returns the record of a proxy, a new one where there is none. Records are kept by number, so that no order depends
-// on which proxy connected first.
+// proxy returns the record of a proxy, a new one where there is none. Records are kept by number, so that no order
+// depends on which proxy connected first.
 func (a *Assigner) proxy(id int) *proxy {
 	i, found := slices.BinarySearchFunc(a.proxies, id, func(p *proxy, id int) int { return cmp.Compare(p.id, id) })
 	if !found {
@@ -84,8 +84,9 @@
 	return p.messageTimes[len(p.messageTimes)-1]
 }
 
-// connect records that the proxy's stream is open. Its assigned tables, if it had any, are lost. Messages in flight still
-// count: a proxy that connects again without ProxyDisconnected may have had its stream all along.
+// connect records that the proxy's stream is open. Its assigned tables and its rate limit, if it had any, are lost.
+// Messages in flight still count: a proxy that connects again without ProxyDisconnected may have had its stream all
+// along.
 func (p *proxy) connect(assigner *Assigner, event ProxyConnected) {
 	p.connected = true
 	p.zone = event.Zone
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -34,7 +34,7 @@
 
 // Split is the total rate that the members share.
 type Split struct {
-	Total    float64 // 1/s; 0: no total is set, and all members use less than their quota
+	Total    float64 // 1/s; 0: no total is set, and no member counts as using all of its quota
 	Observed float64 // sum of the members' rates, 1/s; above 0
 }
 
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -6,11 +6,11 @@
 	"madderhollow/assign/ordering"
 )
 
-// maxSequence bounds the sequence numbers of acknowledgment requests; they wrap around.
-const maxSequence = 65536
+// sequenceCount is the number of sequence numbers of acknowledgment requests; they wrap around.
+const sequenceCount = 65536
 
-// orderScheduler is the record of the proxies whose tables have to be computed. By the acknowledgments it keeps the channel
-// short, also while the channel is slower than configured.
+// orderScheduler is the record of the proxies whose tables have to be computed. It counts unacknowledged lines, so that
+// the channel stays short even while it is slower than configured.
 type orderScheduler struct {
 	// Written by newOrderScheduler only.
 	channel     ChannelConfig
@@ -18,7 +18,7 @@
 
 	sequence int      // of the last batch that asked for acknowledgments; written by run
 	pending  []*proxy // whose tables may have to change; written by request and run
-	retryAt  float64  // when the proxies are tried again that had to wait, s; written by request and run
+	retryAt  float64  // time at which the proxies that had to wait are tried again, s; written by request and run
 }
 
 func newOrderScheduler(channel ChannelConfig) *orderScheduler {
@@ -45,14 +45,15 @@
 	message ordering.Message
 }
 
-// run sends the orders of the pending proxies as far as the channel takes them; the others stay pending.
+// run recomputes all zones and sends the orders of the pending proxies as far as the channel takes them; the others stay
+// pending.
 func (s *orderScheduler) run(assigner *Assigner) {
 	for _, z := range assigner.zones {
 		z.recompute(assigner)
 	}
 	deliveries := s.takeDeliveries(assigner)
 	inFlight := linesInFlight(assigner.proxies)
-	sequence := (s.sequence + 1) % maxSequence
+	sequence := (s.sequence + 1) % sequenceCount
 	sent := false
 	for _, d := range deliveries {
 		fits := ordering.Fits(d.message, inFlight, s.channel.QueueLimit)
@@ -75,7 +76,8 @@
 	}
 }
 
-// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending then.
+// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending
+// then.
 func (s *orderScheduler) takeDeliveries(assigner *Assigner) (deliveries []*delivery) {
 	for _, p := range s.pending {
 		result := p.tableOrders(assigner)
--- a/assign/slowstart/slowstart.go
+++ b/assign/slowstart/slowstart.go
@@ -23,11 +23,11 @@
 	RateLimitsIgnored bool    // proxies admit all requests, whatever their rate limit
 }
 
-// CapacityFraction returns the fraction of its capacity that an endpoint has for certain, 0 to 1. It rises linearly
-// from the initial fraction to 1 over the configured duration. It is 0 within the first overload window, because
-// proxies with outdated tables may have spent that window's budget before the assigner was notified of the start. It
-// stays 0 until the end of the warm-up where rate limits are ignored, because nothing else protects the endpoint from
-// a burst.
+// CapacityFraction returns the fraction of its capacity that an endpoint has for certain: 0 to 1, or above 1 during
+// the warm-up where InitialFraction is above 1. It goes linearly from the initial fraction to 1 over the configured
+// duration. It is 0 within the first overload window, because proxies with outdated tables may have spent that
+// window's budget before the assigner was notified of the start. It stays 0 until the end of the warm-up where rate
+// limits are ignored, because nothing else protects the endpoint from a burst.
 func CapacityFraction(config Config, start Start) float64 {
 	age := start.Now - start.StartedAt
 	if start.StartedAt == 0 || age >= config.Duration {
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -34,8 +34,8 @@
 	rank float64 // for the next table; the lowest is chosen first
 }
 
-// penalizeWeight lowers the weight of an unverified candidate. Its penalty is that of probation: one square root of
-// it by a lower weight, the other by fewer tables.
+// penalizeWeight lowers the weight of an unverified candidate to the square root of ProbationWeight. penalizeRank
+// raises its rank by the same factor, so that both together are the penalty of probation.
 func (c *Candidate[E]) penalizeWeight() {
 	if c.Unverified {
 		c.Weight = math.Min(c.Weight, math.Sqrt(outlier.ProbationWeight)*c.ListedWeight)
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -49,7 +49,7 @@
 	byEndpoint        map[E]*Candidate[E]
 	remoteFraction    float64 // of a table's entries and of its weight
 	remainingCapacity float64 // weight of all usable endpoints, as a fraction of the deployment's peak
-	fullTableWeight   float64 // the most that a table carries
+	maxWeight         float64 // the most that a table carries
 }
 
 // wholeZoneFraction is the part of the mean peak weight of all zones above which a zone has been seen whole. Below
@@ -69,7 +69,7 @@
 		demand := plan.demand(zone, deployment, supply, usualWeight)
 		plan.remoteFraction = math.Max(zone.Spillover, 1-supply.local/demand)
 	}
-	plan.fullTableWeight = plan.maxTableWeight(usualWeight)
+	plan.maxWeight = plan.maxTableWeight(usualWeight)
 	for _, c := range plan.candidates {
 		plan.byEndpoint[c.Endpoint] = c
 	}
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -101,7 +101,8 @@
 	stickinessMargin = 1e-9
 )
 
-// rank ranks the candidates by load for a proxy, and those that it holds lower.
+// rank ranks the candidates for a proxy by load. One that the proxy holds ranks by its load over ReassignmentRatio,
+// without the penalty of penalizeRank.
 func (plan *Plan[E]) rank(held []Entry[E]) {
 	for _, c := range plan.candidates {
 		c.rank = c.load
@@ -147,8 +148,8 @@
 	if table.warming == 0 {
 		return 0
 	}
-	fullTableWeight := math.Max(plan.fullTableWeight, numeric.MinDivisor)
-	maxShare := math.Min(maxWarmingShare, table.warming/fullTableWeight)
+	maxWeight := math.Max(plan.maxWeight, numeric.MinDivisor)
+	maxShare := math.Min(maxWarmingShare, table.warming/maxWeight)
 	warm := table.weight - table.warming
 	if warm < numeric.MinDivisor { // only warming endpoints are left, and the proxies of all zones may use the same few
 		return math.Min(plan.remainingCapacity, maxShare)
@@ -159,7 +160,7 @@
 		plan.scaleWarming(table, factor)
 	}
 	servableWeight := table.healthy / (1 - maxShare) // of a table whose warm part is the healthy weight
-	return math.Min(1, servableWeight/fullTableWeight)
+	return math.Min(1, servableWeight/maxWeight)
 }
 
 // scaleWarming multiplies the weights of the warming entries by a factor.
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -17,10 +17,10 @@
 	a.send(tickDue{})
 }
 
-// runTick ends a period. It runs the phases of a tick in their order; each reads the records as the former phases left them.
-// The messages that a phase sends (drops, silent proxies, weight decreases, quotas) are handled after the last phase, in the
-// order in which they were sent. They take effect in tables when the order scheduler recomputes the zones at the end of the
-// batch.
+// runTick ends a period. It runs the phases of a tick in their order; each reads the records as the former phases left
+// them. The messages that a phase sends (drops, silent proxies, weight decreases, quotas) are handled after the last
+// phase, in the order in which they were sent. They take effect in tables when the order scheduler recomputes the zones
+// at the end of the batch.
 func (a *Assigner) runTick() {
 	for _, e := range a.endpointList {
 		e.closePeriod(a)
@@ -60,7 +60,7 @@
 	return members
 }
 
-// minClassRate is added to the rate of each class, because rates are divided by, 1/s.
+// minClassRate, in requests per second, is added to the rate of each class, because their sum is a divisor.
 const minClassRate = 1e-6
 
 // measureClasses sets the rate of each request class and returns the sum of the rates, 1/s.
@@ -116,8 +116,8 @@
 	return period, failures.Ratio()
 }
 
-// updateTotal sets the total rate and the table size by the attempts of the last period, and the mean failure ratio. It
-// reports whether there is an overload.
+// updateTotal measures the last period and sets the mean failure ratio, the table size and the total rate. It reports
+// whether there is an overload.
 func (a *Assigner) updateTotal(observedRate float64) (overloaded bool) {
 	period, meanFailureRatio := a.measurePeriod()
 	a.meanFailureRatio = meanFailureRatio
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -26,7 +26,7 @@
 
 	// Written by measureTraffic.
 	trafficFraction  float64 // of the rate of all reporting proxies that its own bring
-	reportingProxies float64 // number; above 0, but 0 before the first tick
+	reportingProxies float64 // number plus numeric.MinDivisor; 0 before the first tick, a known fault (KNOWN-RED.txt)
 
 	spillover locality.Spillover // written by adjustSpillover
 }
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -28,10 +28,11 @@
 )
 
 const (
-	// maxLogRate bounds the log, in lines a second. Further lines are dropped, so that a repeated failure cannot fill a disk.
+	// maxLogRate bounds the log, in lines a second, apart from the lines of package loglimit, which have bounds of their
+	// own. Further lines are dropped, so that a repeated failure cannot fill a disk.
 	maxLogRate = 50
-	// maxLogBuffered bounds the lines that wait for a slow reader of the log. Further lines are dropped, because writing a
-	// line must not block.
+	// maxLogBuffered bounds the lines that wait for a slow reader of the log. Further lines are dropped, because writing
+	// a line must not block.
 	maxLogBuffered = 1000
 	// logPollInterval 0 makes the log writer wait for the next line instead of polling for it.
 	logPollInterval = 0
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -191,7 +191,7 @@
 	status     string
 	peers      string
 	path       string                              // of the configuration file
-	members    map[string]any                      // of the configuration file
+	fields     map[string]any                      // of the configuration file
 	collectors map[string]*collectortest.Collector // by zone; set by connectCollectors
 }
 
@@ -228,12 +228,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, platform.agent) })
-	platform.members = platform.configuration()
+	platform.fields = platform.configuration()
 	platform.writeConfig(t, 1)
 	return platform
 }
 
-// configuration returns the members of the configuration file. Its endpoint list is older than the agent's, so that the
+// configuration returns the fields of the configuration file. Its endpoint list is older than the agent's, so that the
 // assigner applies the agent's.
 func (p *platform) configuration() map[string]any {
 	initial := p.agent.List()
@@ -267,7 +267,7 @@
 // writeConfig writes the first part of the configuration to the file, as a fraction of its length; 1 writes all of it.
 func (p *platform) writeConfig(t *testing.T, fraction float64) {
 	t.Helper()
-	text, err := json.Marshal(p.members)
+	text, err := json.Marshal(p.fields)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,8 +286,8 @@
 	if err := p.agent.Move("", closeAfter); err != nil {
 		t.Fatal(err)
 	}
-	p.members["relay"] = map[string]any{"address": p.relay.Address()}
-	p.members["discovery"] = p.agent.Address()
+	p.fields["relay"] = map[string]any{"address": p.relay.Address()}
+	p.fields["discovery"] = p.agent.Address()
 	p.writeConfig(t, 1)
 }
 
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -3,7 +3,7 @@
 // the resulting orders: routing tables, weights and rate limits.
 //
 // The environment variable EDGE_CONFIG names its configuration file; docs/configuration.md describes it. SIGHUP reloads the
-// file, SIGTERM ends the process with status 0.
+// file, SIGTERM or SIGINT ends the process with status 0.
 package main
 
 import (
@@ -86,7 +86,7 @@
 	return exitCode
 }
 
-// limitRuntime applies the configured CPU and memory limits to the Go runtime.
+// limitRuntime applies the configured CPU and memory limits to the Go runtime. Cores that are not stated count as one.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * bytesPerMB))
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -33,8 +33,9 @@
 	return update, checkAddresses(namedAddress{discoveryField, update.Discovery}, namedAddress{relayAddressField, update.Relay})
 }
 
-// NeedsRestart returns the names of the fields that differ from an earlier file and take effect only after a restart,
-// sorted. Before may be nil, which differs in nothing.
+// NeedsRestart returns the names of the fields in this file that are new or differ from an earlier file and call for a
+// restart, sorted. It names neither fields that were removed nor those of needsNoRestart. Before may be nil, which differs
+// in nothing.
 func (u *Update) NeedsRestart(before *Update) (fields []string) {
 	if before == nil {
 		return nil
@@ -48,7 +49,8 @@
 	return fields
 }
 
-// needsNoRestart reports whether a field may change while the program runs, or matters only at the start.
+// needsNoRestart reports whether a change of a field calls for no restart: the addresses move while the program runs, and
+// seed and initial endpoints matter only at the next start.
 func needsNoRestart(name string) bool {
 	return slices.Contains([]string{seedField, initialEndpointsField, discoveryField, relayField}, name)
 }
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -1,8 +1,8 @@
-// Package configreload applies a changed configuration file while the program runs: at a signal it reads the file again and
-// moves the addresses of discovery and the relay. Everything else in the file needs a restart.
+// Package configreload applies a changed configuration file while the program runs: at a signal it reads the file again
+// and moves the addresses of discovery and the relay. Everything else in the file needs a restart.
 //
-// All work is done by the goroutine that calls Reloader.Run, the only method. It blocks while the file is read, for instance
-// on a named pipe without a writer, and does not return then before the read ends.
+// All work is done by the goroutine that calls Reloader.Run, the only method. It blocks while the file is read, for
+// instance on a named pipe without a writer, and does not return then before the read ends.
 package configreload
 
 import (
@@ -62,11 +62,11 @@
 	}
 }
 
-// Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves the
-// addresses as they are.
+// Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves
+// the addresses as they are.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	// With an error the file is nil, or has an invalid address. If it is nil, no members that need a restart are logged; the
-	// addresses are not compared with those of the file.
+	// After an error, initial is nil or has an invalid address. If it is nil, no fields that need a restart are logged.
+	// Its addresses are not used.
 	r.initial, _ = config.LoadUpdate(r.path)
 	retry := time.NewTimer(0) // fires once while idle, without effect
 	defer retry.Stop()
--- a/internal/configreload/configreload_test.go
+++ b/internal/configreload/configreload_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestReloadLogsMembersThatNeedRestart(t *testing.T) {
+func TestReloadLogsFieldsThatNeedRestart(t *testing.T) {
 	var output bytes.Buffer
 	reloader := newReloader(t, zerolog.New(&output))
 	writeFile(t, reloader, fileWith(oldDiscovery))
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return fmt.Errorf("agent %s: %w", address, err)
 	}
-	defer func() { _ = conn.Close() }() // no request is in progress; the error changes nothing
+	defer func() { _ = conn.Close() }() // the connection is not used again, so an error of closing it changes nothing
 	defer conn.CloseWith(ctx)()
 	poll := &pollState{address: address}
 	if !deliver(poll) { // sets the first request
@@ -122,7 +122,7 @@
 	return update, response.Close, nil
 }
 
-// readBody reads and closes an answer's body.
+// readBody reads an answer's body and closes it, unless it is too large.
 func (w *Watcher) readBody(response *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxAnswer+1))
 	if int64(len(body)) > w.maxAnswer { // the rest stays unread, since the caller closes the connection
--- a/internal/discovery/version.go
+++ b/internal/discovery/version.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// minRegressions full lists with a lower version are rejected before one is accepted.
+	// minRegressions answers with a lower version are rejected before a full list with one is accepted: full lists, or
+	// changes as the first of them.
 	minRegressions = 3
 	// minRegressionTime has to pass between the first of them and the accepted list if the list held is discovery's. An
 	// agent that is behind for a shorter time would bring back endpoints that were removed.
@@ -40,8 +41,9 @@
 //	regressed  lower version, too early         -> regressed, answer rejected
 //	regressed  full list with a lower version   -> synced: discovery has restarted its versions
 //
-// A lower version is too early until minRegressions full lists were rejected and, unless regressed followed initial, until
-// minRegressionTime has passed. Changes with a lower version are always rejected; they count only where they are the first.
+// A lower version is too early until minRegressions of them were rejected and, unless regressed followed initial, until
+// minRegressionTime has passed. Changes with a lower version are always rejected; they count only where they are the
+// first.
 type listVersion struct {
 	held           int       // version of the list held
 	synced         bool      // the list held was received from discovery, by this process
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -15,8 +15,8 @@
 	// returns.
 	//
 	// Open passes each item to deliver, which blocks until Receive has returned for the item and then returns true. It
-	// returns false if the context has ended. Open owns an item before deliver is called, and again if deliver returns true;
-	// if it returns false, Open must return without reading or writing the item, since Receive may still use it.
+	// returns false if the context has ended. Open owns an item before deliver is called, and again if deliver returns
+	// true; if it returns false, Open must return without reading or writing the item, since Receive may still use it.
 	Open func(ctx context.Context, address string, deliver func(item T) bool) error
 	// Receive handles an item. During a handover the items of both streams interleave: duringHandover is true for the
 	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
@@ -36,8 +36,8 @@
 	cancel  context.CancelFunc
 }
 
-// open starts a stream, which the follower owns. Its goroutine ends when Source.Open returns: when reading fails, or after
-// the stream's cancel or the end of the context.
+// open starts a stream, which the follower owns. Its goroutine ends when Source.Open returns: when reading fails, or
+// after the stream's cancel or the end of the context.
 func open[T any](ctx context.Context, address string, source Source[T]) *stream[T] {
 	ctx, cancel := context.WithCancel(ctx)
 	opened := &stream[T]{
@@ -92,13 +92,13 @@
 //	handover  next ends                         -> active, backoff
 //	handover  address changed                   -> handover with another next, or active if current is at the address
 type follower[T any] struct {
-	source    Source[T]
-	address   *Address
-	delays    *backoff.Backoff
-	current   *stream[T]  // nil: none
-	next      *stream[T]  // nil: none
-	inBackoff bool        // open no stream before delay fires or the address changes
-	delay     *time.Timer // the end of the backoff
+	source     Source[T]
+	address    *Address
+	delays     *backoff.Backoff
+	current    *stream[T] // nil: none
+	next       *stream[T] // nil: none
+	inBackoff  bool       // open no stream before backoffEnd fires or the address changes
+	backoffEnd *time.Timer
 }
 
 // Follow follows a source at an address until the context ends, and returns once all streams are closed. When a stream
@@ -106,7 +106,7 @@
 // fails; Receive may reset the delays, too. No other goroutine may use them while Follow runs.
 func Follow[T any](ctx context.Context, address *Address, delays *backoff.Backoff, source Source[T]) {
 	delay := time.NewTimer(0) // fires once without effect: there is no backoff yet
-	f := &follower[T]{source: source, address: address, delays: delays, delay: delay}
+	f := &follower[T]{source: source, address: address, delays: delays, backoffEnd: delay}
 	defer f.stop()
 	for ctx.Err() == nil {
 		moved := f.openNext(ctx)
@@ -116,7 +116,7 @@
 
 // stop closes all streams and ends the backoff.
 func (f *follower[T]) stop() {
-	f.delay.Stop()
+	f.backoffEnd.Stop()
 	f.current.close()
 	f.next.close()
 }
@@ -149,7 +149,7 @@
 	case <-ctx.Done():
 	case <-moved:
 		f.inBackoff = false
-	case <-f.delay.C:
+	case <-f.backoffEnd.C:
 		f.inBackoff = false
 	case item := <-current.items:
 		f.source.Receive(item, false)
@@ -173,14 +173,14 @@
 	}
 }
 
-// currentEnded reports the end of the current stream. The next stream is opened after the shortest delay, if there is none.
+// currentEnded reports the end of the current stream. If no next stream is open, one is opened after the shortest delay.
 func (f *follower[T]) currentEnded(err error) {
 	f.current.cancel() // Open has returned; this releases the context
 	f.source.Failed(err, false)
 	f.current = nil
 	f.inBackoff = f.next == nil
 	f.delays.Reset()
-	f.delay.Reset(f.delays.Next())
+	f.backoffEnd.Reset(f.delays.Next())
 }
 
 // nextEnded reports the end of the next stream, which is opened again after a delay.
@@ -189,5 +189,5 @@
 	f.source.Failed(err, f.current != nil)
 	f.next = nil
 	f.inBackoff = true
-	f.delay.Reset(f.delays.Next())
+	f.backoffEnd.Reset(f.delays.Next())
 }
--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -26,7 +26,7 @@
 //   - queued: the orders are pending; of two that set the same value only the later one is kept (pending.go).
 //   - in flight: the call was sent and counts as a message to each proxy that it reaches (budget.go).
 //   - ambiguous: the answer was lost, so all of the call or none of it was applied. Its orders are pending again, before
-//     all newer ones, and nothing is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
+//     all newer ones, and no call with orders is sent for a delay during which the acknowledgment may arrive (ambiguity.go,
 //     acknowledgments.go). After the delay they are sent again: a repeat costs one message, while a lost order could break
 //     a guarantee (docs/design.md).
 //   - acknowledged: the relay or a proxy confirmed that the call was applied. Its orders are dropped.
--- a/internal/orderqueue/known_faults_test.go
+++ b/internal/orderqueue/known_faults_test.go
@@ -1,6 +1,7 @@
 package orderqueue
 
 import (
+	"slices"
 	"testing"
 
 	"madderhollow/assign"
@@ -29,10 +30,9 @@
 	second := mustTake(t, queue)
 	queue.RequeueAmbiguous(second)
 	queue.expireBudgetAndDelay()
-	if call, ok := queue.TryTake(); !ok {
-		t.Errorf("got no call, want %q repeated: no acknowledgment proves that proxy 1 applied it", second.Orders)
-	} else {
-		t.Logf("got call %q", call.Orders)
+	call, ok := queue.TryTake()
+	if !ok || !slices.Equal(call.Orders, second.Orders) {
+		t.Errorf("got call %q (%t), want %q repeated: no acknowledgment proves that proxy 1 applied it", call.Orders, ok, second.Orders)
 	}
 }
 
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// shutdownTimeout bounds the calls after the context has ended: the program may be killed 0.7 s after it was asked to end.
+	// shutdownTimeout bounds the calls after the context has ended: the program may be killed 0.7 s after it was asked to
+	// end.
 	shutdownTimeout = 400 * time.Millisecond
 	// minRetryDelay and maxRetryDelay bound the delays after calls that were not sent. They are short, because the grace
 	// period of a drain runs on while the relay is down. A failed connect does not load the relay.
@@ -21,8 +22,8 @@
 	maxRetryDelay = 60 * time.Millisecond
 	// deferredDelay is the delay after a call that the relay delays or cannot parse.
 	deferredDelay = 50 * time.Millisecond
-	// maxSyntaxErrors is how many times a call that the relay cannot parse is sent before it is dropped, so that it does not
-	// block all others.
+	// maxSyntaxErrors is the number of syntax errors, without an accepted call between, after which a call is dropped, so
+	// that it does not block all others.
 	maxSyntaxErrors = 3
 	// maxLoggedOrder bounds the part of an order in a log line, in bytes.
 	maxLoggedOrder = 200
@@ -43,8 +44,8 @@
 	log          zerolog.Logger
 	conditions   callConditions
 	delays       *backoff.Backoff
-	rejected     string // the order that the relay rejected in the last call; empty: none
-	syntaxErrors int    // consecutive ones
+	rejected     string // the order that the relay rejected last; empty after a call was accepted or an order dropped
+	syntaxErrors int    // since the last call that was accepted or dropped
 }
 
 // NewOrderClient returns a client that has not opened a connection yet.
@@ -59,8 +60,8 @@
 	}
 }
 
-// Run makes calls until the context ends, and closes the connection before it returns. After the context's end it completes
-// the call under way and makes calls with the pending orders, within shutdownTimeout. It is called once.
+// Run makes calls until the context ends, and closes the connection before it returns. After the context's end it
+// completes the call under way and makes calls with the pending orders, within shutdownTimeout. It is called once.
 func (c *OrderClient) Run(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -149,8 +150,8 @@
 }
 
 // handleRejection requeues a call from the order on that the relay rejected. A drain or an attachment may depend on that
-// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent twice before it is
-// dropped.
+// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent twice before it
+// is dropped.
 func (c *OrderClient) handleRejection(call orderqueue.Call, position int) {
 	order := call.Orders[position]
 	if order == c.rejected {
--- a/internal/relay/streammerger.go
+++ b/internal/relay/streammerger.go
@@ -118,12 +118,12 @@
 // decide returns what happens to a stream's buffered events. The old stream has to deliver an item after the new one has
 // started: until then it may be broken, and changes may have been missed.
 func (m *streamMerger) decide(stream *streamState, duringHandover bool) bufferDecision {
-	oldStreamAlive := m.forwarded > stream.forwardedBefore
-	if oldStreamAlive && stream.snapshotComplete {
+	oldStreamDelivered := m.forwarded > stream.forwardedBefore
+	if oldStreamDelivered && stream.snapshotComplete {
 		return completeHandover
 	}
-	oldStreamMayDeliver := duringHandover // it is still open
-	if (oldStreamAlive || oldStreamMayDeliver) && len(stream.buffered) < maxBuffered {
+	oldStreamOpen := duringHandover
+	if (oldStreamDelivered || oldStreamOpen) && len(stream.buffered) < maxBuffered {
 		return keepBuffering
 	}
 	return resync
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -37,9 +37,9 @@
 //
 //	unidentified   pings are answered; a collector message leads to identified; any other line, a line over
 //	               maxUnidentifiedLineSize, identificationTimeout or eviction leads to closed
-//	identified     reports go to the sink; malformed lines are skipped; too many of them in a row, lineTimeout or
-//	               eviction leads to closed
-//	closed         run has returned; refuse logs the reason and sends the client a last line
+//	identified     reports go to the sink; pings are answered; another collector message sets the zone; malformed lines
+//	               are skipped; too many of them in a row, lineTimeout, a failed write or eviction leads to closed
+//	closed         run has returned; refuse logs the reason and tries to send a last line, in vain after an eviction
 //
 // A client that closes its connection, and the end of the context, lead to closed without refuse. The former is logged if the
 // client was a collector.
@@ -130,7 +130,11 @@
 func (s *session) skip(line []byte, reason error) error {
 	s.server.malformedLines.Add(1)
 	s.malformedLines++
-	tooMany := s.malformedLines >= maxMalformedLines || !s.hasReports && s.malformedLines >= maxMalformedLinesBeforeReport
+	maximum := maxMalformedLines
+	if !s.hasReports {
+		maximum = maxMalformedLinesBeforeReport
+	}
+	tooMany := s.malformedLines >= maximum
 	if tooMany || !s.client.identified() {
 		return reason
 	}
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -9,8 +9,9 @@
 	"madderhollow/assign"
 )
 
-// EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode for an order of another type or with a name
-// that contains a reserved character.
+// EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode for an order of another type, and for a
+// request class that is not configured or whose name cannot be written. Endpoint names are not checked here:
+// EndpointUpdate has rejected those that cannot be written.
 func (c *Codec) EncodeOrder(order assign.Order) (string, error) {
 	switch order := order.(type) {
 	case assign.SetWeight:
