--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -207,25 +207,28 @@
 // proxyTypicalRate is the typical rate of each proxy of a testHost, 1/s.
 const proxyTypicalRate = 9.0
 
-// TestEndpointListedAgainAfterRetentionIsReady removes an endpoint and lists it again once its record may be deleted, with no
-// update in between. The endpoint has to be ready like any other that an update lists.
+// TestEndpointListedAgainAfterRetentionIsReady removes an endpoint and lists it again with the next update, once its record may
+// be deleted. The endpoint has to be ready like any other that an update lists.
 func TestEndpointListedAgainAfterRetentionIsReady(t *testing.T) {
-	const removedAt = 1001.0 // s
 	for _, test := range []struct {
-		name  string
-		after float64 // s after its removal
+		name            string
+		listed, removed float64 // how long it was listed without an answer, and how long removed, s
 	}{
-		{"before the retention", membership.Retention - 1},
-		{"after the retention", membership.Retention + 1},
+		{"before the retention", 1, membership.Retention - 2},
+		{"after the retention", 1, membership.Retention + 1},
+		{"removed for a moment after the retention", membership.Retention + 1, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assigner := New(1, modelConfig())
+			now := 1000.0
 			listed := newEndpoints("x", 4)
-			assigner.Handle(removedAt-1, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+			assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+			now += test.listed
 			removed := listed[0]
 			removed.State = Removed
-			assigner.Handle(removedAt, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
-			assigner.Handle(removedAt+test.after, []Event{EndpointUpdate{Endpoints: listed[:1]}})
+			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
+			now += test.removed
+			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listed[:1]}})
 			if !isReady(assigner, listed[0].Name) {
 				t.Error("got the endpoint not ready after it was listed again, want ready")
 			}
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -63,7 +63,7 @@
 	return busy > overload.BusyThreshold || (before && busy > busyRecovered)
 }
 
-// Remote sums up the endpoints of other zones that a zone's proxies could use. NewRemote returns the first value.
+// Remote sums up the endpoints of other zones. NewRemote returns the first value.
 type Remote struct {
 	busyWeight float64
 	weight     float64
@@ -84,7 +84,7 @@
 // Spillover is the fraction of a zone's traffic that goes to other zones. Its zero value is none.
 type Spillover struct {
 	Fraction float64 // 0 to maxSpillover
-	Observed float64 // the part of Fraction that reports show already
+	Observed float64 // Fraction as reports show it, estimated: it trails Fraction, and is above it while that falls
 }
 
 // Zone is what the spill-over of a zone depends on.
@@ -137,13 +137,13 @@
 // crossZoneCost is the busy fraction that crossing zones has to gain, because it is charged for.
 const crossZoneCost = 0.1
 
-// gap returns how much busier the zone's endpoints are than those that it could use elsewhere. Traffic that was
+// gap returns how much busier the zone's endpoints are than those of other zones. Traffic that was
 // shifted shows in reports only after several ticks. Until then the gap counts it as shifted, away from the zone's
 // endpoints and onto the remote ones, so that it is not shifted again.
 func (s Spillover) gap(zone Zone) float64 {
-	// Reports show Busy for the traffic that stayed, 1 - Observed. The division gives that of the zone's whole
-	// traffic.
-	// Of the zone's busy fraction, the part that was shifted and does not show in reports yet.
+	// Reports show Busy for the traffic that stayed, 1 - Observed; Busy / (1 - Observed) is that of the whole
+	// traffic. Shifting is the part of it that was shifted and does not show in reports yet; below 0 while Fraction
+	// falls.
 	shifting := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
 	// The same load as a busy fraction of the remote endpoints.
 	shiftingRemote := shifting * zone.ReadyWeight / zone.Remote.weight
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -23,7 +23,7 @@
 type Message struct {
 	Lines         float64 // that it occupies in the channel
 	Urgent        bool    // a guarantee depends on its orders
-	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none since it connected
+	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none since it was last disconnected
 }
 
 // acknowledgmentLines is what the request for an acknowledgment adds to a message.
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -35,9 +35,8 @@
 	connected         bool // written by connect and disconnect
 	hasAssignedTables bool // it uses the tables assigned to it; set by recordOrder, cleared by connect
 
-	// Written by recordTraffic; set by connect and, without rates, by Assigner.proxy and forgetTraffic.
-	rates        []float64 // by request class, 1/s
-	lastReportAt float64   // s
+	rates        []float64 // by request class, 1/s; written by recordTraffic; 0 from Assigner.proxy and forgetTraffic until connect
+	lastReportAt float64   // or time of the connect, if that is later, s; written by connect and recordTraffic
 
 	// Written by assignQuota.
 	quota     float64 // fraction of the total rate; the design page calls it share
@@ -76,7 +75,7 @@
 	return sum
 }
 
-// lastMessageAt returns the time of the last message to the proxy, s; 0: none since it connected.
+// lastMessageAt returns the time of the last message to the proxy, s; 0: none since it was last disconnected.
 func (p *proxy) lastMessageAt() float64 {
 	if len(p.messageTimes) == 0 {
 		return 0
@@ -127,7 +126,8 @@
 	p.messageTimes = nil
 }
 
-// recordTraffic records a report on one request class.
+// recordTraffic records a report on one request class. Any report makes a connected proxy without a quota join the split
+// again.
 func (p *proxy) recordTraffic(assigner *Assigner, report ProxyTrafficReport) {
 	for _, class := range assigner.classes {
 		if class.Name == report.RequestClass && report.Interval > 0 {
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -9,8 +9,8 @@
 // sequenceCount is the number of sequence numbers of acknowledgment requests; they wrap around.
 const sequenceCount = 65536
 
-// orderScheduler is the record of the proxies whose tables have to be computed. It counts unacknowledged lines, so that
-// the channel stays short even while it is slower than configured.
+// orderScheduler is the record of the proxies whose tables have to be computed. It sends as far as the unacknowledged lines
+// allow, so that the channel's queue stays short even while the channel is slower than configured.
 type orderScheduler struct {
 	// Written by newOrderScheduler only.
 	channel     ChannelConfig
@@ -25,7 +25,8 @@
 	return &orderScheduler{channel: channel, maxMessages: int(channel.MessageLimit)}
 }
 
-// request has the tables of a proxy computed at the end of the batch; nil stands for all proxies.
+// request has the tables of a proxy computed at the end of the batch; nil stands for all proxies. Proxies that had to wait
+// are tried then, too.
 func (s *orderScheduler) request(assigner *Assigner, p *proxy) {
 	s.retryAt = 0
 	if p == nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending
-// then.
+// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending then. Tables
+// are built in the order of pending, on which the plans' loads depend.
 func (s *orderScheduler) takeDeliveries(assigner *Assigner) (deliveries []*delivery) {
 	for _, p := range s.pending {
 		result := p.tableOrders(assigner)
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -30,12 +30,12 @@
 	FailureRatio float64 // of the zone's proxies' attempts, 0 to 1
 	TieBreak     float64 // see TieBreak
 
-	load float64 // rate from the tables built so far per unit of the entry's weight, 1/s
+	load float64 // rate that the tables held and those built so far bring, per unit of the entry's weight, 1/s
 	rank float64 // for the next table; the lowest is chosen first
 }
 
-// penalizeWeight lowers the weight of an unverified candidate to the square root of ProbationWeight. penalizeRank
-// raises its rank by the same factor, so that both together are the penalty of probation.
+// penalizeWeight limits the weight of an unverified candidate to the square root of ProbationWeight, as a fraction of
+// its listed weight. With penalizeRank, which divides the rank by that root, the penalty is about that of probation.
 func (c *Candidate[E]) penalizeWeight() {
 	if c.Unverified {
 		c.Weight = math.Min(c.Weight, math.Sqrt(outlier.ProbationWeight)*c.ListedWeight)
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -35,7 +35,7 @@
 	entries []Entry[E]
 	weight  float64 // of all entries
 	warming float64 // of the entries that are warming up
-	healthy float64 // of the warm entries, less the fraction of attempts that fails
+	healthy float64 // of the warm entries, less the fraction of attempts that fails; remote ones before remoteScale
 }
 
 // add appends candidates and returns their weight, usable and as listed.
@@ -97,7 +97,7 @@
 	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry
 	// moves: a new connection is expensive.
 	ReassignmentRatio = 3.0
-	// stickinessMargin keeps an entry among candidates of equal rank.
+	// stickinessMargin keeps an entry among candidates of equal rank; 1/s per unit of weight, as ranks are.
 	stickinessMargin = 1e-9
 )
 
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// splitMembers returns the proxies that share the total rate: they have a quota and are not silent.
+// splitMembers returns the proxies that share the total rate: they have a quota and are not silent. A disconnected one counts
+// until it is silent.
 func (a *Assigner) splitMembers() (members []*proxy) {
 	for _, p := range a.proxies {
 		if p.quota > 0 && !timing.Silent(a.now, p.lastReportAt) {
@@ -78,7 +79,7 @@
 	return observedRate
 }
 
-// measureTraffic sets what the zone's proxies bring.
+// measureTraffic sets the zone's part of the members' rate and the number of its members.
 func (z *zone) measureTraffic(members []*proxy, observedRate float64) {
 	z.trafficFraction = 0
 	z.reportingProxies = numeric.MinDivisor
@@ -132,7 +133,8 @@
 	return next.Overloaded
 }
 
-// logTotal logs the beginning and the end of an overload.
+// logTotal logs an overload that is detected while no total is set, and the removal of the rate limits. A further detection
+// while a total is set and the end of a detection have no line.
 func (a *Assigner) logTotal(period *overload.Period, traffic overload.Traffic, next overload.Decision) {
 	total := LogField{"total_rate", roundRate(next.Total)}
 	observed := LogField{"observed_rate", roundRate(traffic.Observed)}
@@ -183,7 +185,7 @@
 	}
 }
 
-// joinSplit assigns the quotas of the collected proxies and of the members. Rate limits follow at the next tick.
+// joinSplit assigns the quotas of the collected proxies and of the members. The joining proxies have no rate limit until the next tick, not even one kept from before they fell silent.
 func (a *Assigner) joinSplit() {
 	a.dropSilentProxies()
 	members := a.splitMembers()
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -25,8 +25,8 @@
 	plans map[*tableGroup]*tablePlan // written by plan, discarded by recompute
 
 	// Written by measureTraffic.
-	trafficFraction  float64 // of the rate of all reporting proxies that its own bring
-	reportingProxies float64 // number plus numeric.MinDivisor; 0 before the first tick, a known fault (KNOWN-RED.txt)
+	trafficFraction  float64 // of the rate of all members of the split that its own members bring
+	reportingProxies float64 // number of its members plus numeric.MinDivisor; 0 before the first tick, a known fault (KNOWN-RED.txt)
 
 	spillover locality.Spillover // written by adjustSpillover
 }
@@ -92,7 +92,7 @@
 	z.spillover = locality.AdjustSpillover(z.spillover, inputs)
 }
 
-// sumRemote sums up the endpoints of other zones, whichever of them the request classes may use.
+// sumRemote sums up all endpoints of other zones, also those that no request class may use from here.
 func (z *zone) sumRemote(assigner *Assigner) locality.Remote {
 	remote := locality.NewRemote()
 	for _, e := range assigner.endpointList {
@@ -103,7 +103,8 @@
 	return remote
 }
 
-// plan returns the plan of a group's tables in the zone, made on first use after each recompute.
+// plan returns the plan of a group's tables in the zone, made on first use after each recompute, with the load of the
+// assigned tables that connected proxies of all zones hold.
 func (z *zone) plan(assigner *Assigner, group *tableGroup) *tablePlan {
 	if plan := z.plans[group]; plan != nil {
 		return plan
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -96,6 +96,7 @@
 	if err := assigner.makeParts(initial.Version); err != nil {
 		return err
 	}
+	// The parts do not run yet. The assigner is ready once the report server answers, see run.
 	assigner.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
 	assigner.run(ctx, initial, listener, reload)
 	assigner.ownLog.Info().EmbedObject(assigner.counters()).Msg("ended")
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -53,7 +53,7 @@
 	delays    *backoff.Backoff
 	maxAnswer int64 // bytes
 
-	reportFailures atomic.Bool // the module wants an event for each failure
+	reportFailures atomic.Bool // the module wants an event for each failure, ordinary closes by the agent included
 	fetchWanted    atomic.Bool // the module wants the full list
 
 	// The rest is used by the goroutine that calls Run.
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -10,7 +10,7 @@
 	Orders []string // encoded; the acknowledgment request, if any, is the last
 
 	orders     []*pendingOrder // without the acknowledgment request
-	sequences  []int           // of the batches that the call completes; it requests the last one's acknowledgment
+	sequences  []int           // of the requested batches; the call requests the last one's acknowledgment, also if it is split
 	allProxies bool            // the acknowledgment is requested from all proxies
 	split      bool            // another call with orders of the same batch requests the same acknowledgment
 	number     int
--- a/internal/orderqueue/take.go
+++ b/internal/orderqueue/take.go
@@ -64,7 +64,7 @@
 	call = q.newCall(chosen, len(rest) == 0)
 	q.pending.reset()
 	q.pending.addAll(rest)
-	if len(chosen) == 0 && !call.allProxies { // a request alone reaches no proxy, so there is nothing to acknowledge
+	if len(chosen) == 0 && !call.allProxies { // a request alone reaches no proxy; newCall has removed it from the ledger
 		return Call{}, false, 0
 	}
 	q.calls++
@@ -103,8 +103,9 @@
 	return exceeded
 }
 
-// newCall forms a call, whose number and encoded orders are set later. Complete: no order stays pending, so that the call
-// completes all requested batches, and no further call requests their acknowledgment.
+// newCall forms a call, whose number and encoded orders are set later. It requests the acknowledgment of the last requested
+// batch in any case. Complete: no order stays pending, so that no further call requests it again; otherwise the next one
+// does (split).
 func (q *Queue) newCall(chosen []*pendingOrder, complete bool) Call {
 	ledger := &q.acknowledgments
 	call := Call{
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -150,8 +150,8 @@
 }
 
 // handleRejection requeues a call from the order on that the relay rejected. A drain or an attachment may depend on that
-// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent twice before it
-// is dropped.
+// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent a second time,
+// without a delay, before it is dropped.
 func (c *OrderClient) handleRejection(call orderqueue.Call, position int) {
 	order := call.Orders[position]
 	if order == c.rejected {
