--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -23,6 +23,7 @@
 	handler  http.Handler
 	mu       sync.Mutex
 	servers  []*http.Server    // one for each address so far, the current one last
+	served   chan struct{}     // closed when Serve of the current server has returned
 	listener net.Listener      // of the current address
 	idle     map[net.Conn]bool // connections without a pending request
 }
@@ -46,9 +47,14 @@
 	server := &http.Server{Handler: s.handler, ConnState: s.connState, ReadHeaderTimeout: readHeaderTimeout}
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	served := make(chan struct{})
 	s.servers = append(s.servers, server)
+	s.served = served
 	s.listener = listener
-	go func() { _ = server.Serve(listener) }() // returns an error when Move or Close closes the listener
+	go func() {
+		_ = server.Serve(listener) // returns an error when Move or Close closes the listener
+		close(served)
+	}()
 	return nil
 }
 
@@ -70,14 +76,15 @@
 }
 
 // Move makes the server listen at another address; an empty address stands for a free port. The old address accepts no
-// connections any more, and its open connections are closed after a delay.
+// connections any more, and its open connections are closed after a delay. It must not be called by two goroutines at once.
 func (s *Server) Move(to string, closeAfter time.Duration) error {
 	s.mu.Lock()
-	listener, server := s.listener, s.servers[len(s.servers)-1]
+	listener, server, served := s.listener, s.servers[len(s.servers)-1], s.served
 	s.mu.Unlock()
 	if err := listener.Close(); err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
+	<-served                                                  // until then, Close of the server would close the listener again and return an error
 	time.AfterFunc(closeAfter, func() { _ = server.Close() }) // its only error is that of the closed listener
 	return s.open(to)
 }
