--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -37,7 +37,6 @@
 
 // Errors of an agent's answer.
 var (
-	ErrStatus         = errors.New("unexpected status")
 	ErrAnswerTooLarge = errors.New("answer too large")
 	// ErrConnectionClosed follows an answer that was received whole, with which the agent closed the connection.
 	ErrConnectionClosed = errors.New("connection closed by agent")
@@ -132,7 +131,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: %s", ErrStatus, response.Status)
+		return nil, fmt.Errorf("%w: %s", httpconn.ErrStatus, response.Status)
 	}
 	return body, nil
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,6 +19,7 @@
 	"madderhollow/internal/discoverytest"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/httpconn"
 	"madderhollow/internal/logtest"
 	"madderhollow/internal/wire"
 )
@@ -467,13 +468,13 @@
 		watcher.receive(t.Context(), &pollState{address: from, answered: true, update: update}, false)
 	}
 	for range 3 {
-		fail(ErrStatus, false)
+		fail(httpconn.ErrStatus, false)
 	}
 	succeed("old")
 	fail(ErrConnectionClosed, false)
 	address.Move("new")
 	for range 3 {
-		fail(ErrStatus, true)
+		fail(httpconn.ErrStatus, true)
 		succeed("old")
 	}
 	succeed("new")
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -5,6 +5,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -12,6 +13,10 @@
 	"time"
 )
 
+// ErrStatus is a response with another status than the caller expects. The callers check it, because some servers answer
+// errors that can be decoded.
+var ErrStatus = errors.New("unexpected status")
+
 // Conn is one connection to an HTTP server. Use Dial. One goroutine at a time may use it, but any may call Close.
 type Conn struct {
 	net.Conn
--- a/internal/orderqueue/known_faults_test.go
+++ b/internal/orderqueue/known_faults_test.go
@@ -14,16 +14,7 @@
 // and its acknowledgment arrives. The next call has the whole batch and becomes ambiguous too: the acknowledgment of the first
 // one must not count for it, because a proxy that only the second call reaches has not sent one.
 func TestAcknowledgmentOfSplitBatchDoesNotProveNextCall(t *testing.T) {
-	queue := newTestQueue(1)
-	queue.connect(1, 2)
-	queue.Submit([]assign.Order{assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	mustTake(t, queue)
-	queue.Submit([]assign.Order{
-		assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1},
-		assign.AttachTable{Proxy: 2, Table: 2},
-		assign.AcknowledgmentRequest{Sequence: 2},
-	})
-	first := mustTake(t, queue) // without the entry of table 1: proxy 1 has exhausted its message budget
+	queue, first := newQueueWithSplitBatch(t)
 	queue.RequeueAmbiguous(first)
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
 	queue.expireBudgetAndDelay()
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -28,8 +28,11 @@
 	expectCall(t, queue, mustTake(t, queue), assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8})
 }
 
-func TestAcknowledgmentOfSplitBatchDoesNotProveCallApplied(t *testing.T) {
-	queue := newTestQueue(1)
+// newQueueWithSplitBatch returns a queue of two proxies and the first call of batch 2, whose entry of table 1 stays pending,
+// because proxy 1 has exhausted its message budget.
+func newQueueWithSplitBatch(t *testing.T) (queue *Queue, first Call) {
+	t.Helper()
+	queue = newTestQueue(1)
 	queue.connect(1, 2)
 	queue.Submit([]assign.Order{assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
 	mustTake(t, queue)
@@ -38,7 +41,11 @@
 		assign.AttachTable{Proxy: 2, Table: 2},
 		assign.AcknowledgmentRequest{Sequence: 2},
 	})
-	call := mustTake(t, queue) // proxy 1 has exhausted its message budget
+	return queue, mustTake(t, queue)
+}
+
+func TestAcknowledgmentOfSplitBatchDoesNotProveCallApplied(t *testing.T) {
+	queue, call := newQueueWithSplitBatch(t)
 	want := []assign.Order{assign.AttachTable{Proxy: 2, Table: 2}, assign.AcknowledgmentRequest{Sequence: 2}}
 	expectCall(t, queue, call, want...)
 	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net/http"
 	"time"
@@ -25,9 +24,6 @@
 	headTimeout = time.Second
 )
 
-// ErrStatus is a response to the request for the event stream that is not 200 OK.
-var ErrStatus = errors.New("unexpected status")
-
 // streamItem is one event of a stream, or a heartbeat. EventReader.receive owns it while deliver blocks in readStream, which
 // owns it before and after.
 type streamItem struct {
@@ -58,7 +54,7 @@
 	}
 	defer func() { _ = response.Body.Close() }() // the connection is closed with it
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("open event stream: %w: %s", ErrStatus, response.Status)
+		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrStatus, response.Status)
 	}
 	item := &streamItem{stream: &streamState{address: address}}
 	events := wire.NewStream(response.Body)
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -14,6 +14,7 @@
 	"madderhollow/assign"
 	"madderhollow/internal/eventually"
 	"madderhollow/internal/handover"
+	"madderhollow/internal/httpconn"
 	"madderhollow/internal/logtest"
 	"madderhollow/internal/relaytest"
 	"madderhollow/internal/servertest"
@@ -88,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			logs := logtest.New(t, "relay")
 			reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(closedAddress), Log: logs.Logger()})
-			reader.logFailure(ErrStatus, test.duringHandover)
+			reader.logFailure(httpconn.ErrStatus, test.duringHandover)
 			logs.ExpectLines(t, test.want)
 		})
 	}
@@ -99,8 +100,8 @@
 	address := servertest.Start(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }).Address()
 	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: testCodec(), Log: zerolog.Nop()})
 	err := reader.readStream(t.Context(), address, func(*streamItem) bool { return true })
-	if !errors.Is(err, ErrStatus) {
-		t.Errorf("got error %v, want %v", err, ErrStatus)
+	if !errors.Is(err, httpconn.ErrStatus) {
+		t.Errorf("got error %v, want %v", err, httpconn.ErrStatus)
 	}
 }
 
