--- a/assign/digest_test.go
+++ b/assign/digest_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// playZonesDay runs a day that reports busy endpoints in one zone, quick failures at idle endpoints, and then idle ones that answer.
+// playZonesDay runs a day that reports busy endpoints in one zone, quick failures at idle endpoints, and then idle ones that
+// answer.
 func playZonesDay(t *testing.T) *model {
 	t.Helper()
 	sim := calmModel(t)
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -35,8 +35,10 @@
 	connected         bool // written by connect and disconnect
 	hasAssignedTables bool // it uses the tables assigned to it; set by recordOrder, cleared by connect
 
-	rates        []float64 // by request class, 1/s; written by recordTraffic; 0 from Assigner.proxy and forgetTraffic until connect
-	lastReportAt float64   // or time of the connect, if that is later, s; written by connect and recordTraffic
+	// By request class, 1/s; written by recordTraffic; 0 from Assigner.proxy and forgetTraffic until connect.
+	rates []float64
+	// Or time of the connect, if that is later, s; written by connect and recordTraffic.
+	lastReportAt float64
 
 	// Written by assignQuota.
 	quota     float64 // fraction of the total rate; the design page calls it share
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending then. Tables
-// are built in the order of pending, on which the plans' loads depend.
+// takeDeliveries returns the messages of the pending proxies in the order in which they are sent. No proxy is pending then.
+// Tables are built in the order of pending, on which the plans' loads depend.
 func (s *orderScheduler) takeDeliveries(assigner *Assigner) (deliveries []*delivery) {
 	for _, p := range s.pending {
 		result := p.tableOrders(assigner)
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -26,7 +26,7 @@
 
 	// Written by measureTraffic.
 	trafficFraction  float64 // of the rate of all members of the split that its own members bring
-	reportingProxies float64 // number of its members plus numeric.MinDivisor; 0 before the first tick, a known fault (KNOWN-RED.txt)
+	reportingProxies float64 // number of its members plus numeric.MinDivisor; 0 before the first tick (KNOWN-RED.txt)
 
 	spillover locality.Spillover // written by adjustSpillover
 }
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -22,8 +22,8 @@
 	allProxies bool         // all proxies acknowledge, not only those reached
 }
 
-// applyCall applies the orders of a call up to the first that is rejected, and returns the number of applied orders. The proxies that the
-// call reaches acknowledge it at once.
+// applyCall applies the orders of a call up to the first that is rejected, and returns the number of applied orders. The
+// proxies that the call reaches acknowledge it at once.
 func (r *Relay) applyCall(orders []string) (applied int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -84,7 +84,8 @@
 	if err := listener.Close(); err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
-	<-served                                                  // until then, Close of the server would close the listener again and return an error
+	// Until Serve has returned, Close of the server would close the listener again and return an error.
+	<-served
 	time.AfterFunc(closeAfter, func() { _ = server.Close() }) // its only error is that of the closed listener
 	return s.open(to)
 }
