--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -170,15 +170,15 @@
 }
 
 // closePeriod closes the sums of the period and assesses the endpoint's health in each zone. The rates are those of a period
-// of one tick interval; after a late tick they are too high.
-func (e *endpoint) closePeriod(assigner *Assigner) {
+// of one tick interval; after a late tick they are too high. LateThreshold is the result of Assigner.lateThreshold.
+func (e *endpoint) closePeriod(assigner *Assigner, lateThreshold float64) {
 	e.lastPeriod = e.reported.PerSecond(timing.TickInterval)
 	e.reported = overload.Attempts{}
 	if e.status.Delisted { // it may have fallen silent since
 		assigner.send(endpointDropped{e})
 	}
 	for _, health := range e.health {
-		health.Health = outlier.Assess(health.Health, assigner.lateThreshold(), assigner.now)
+		health.Health = outlier.Assess(health.Health, lateThreshold, assigner.now)
 	}
 }
 
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -22,8 +22,9 @@
 // phase, in the order in which they were sent. They take effect in tables when the order scheduler recomputes the zones
 // at the end of the batch.
 func (a *Assigner) runTick() {
+	lateThreshold := a.lateThreshold()
 	for _, e := range a.endpointList {
-		e.closePeriod(a)
+		e.closePeriod(a, lateThreshold)
 	}
 	a.dropSilentProxies()
 	members := a.splitMembers()
@@ -185,7 +186,8 @@
 	}
 }
 
-// joinSplit assigns the quotas of the collected proxies and of the members. The joining proxies have no rate limit until the next tick, not even one kept from before they fell silent.
+// joinSplit assigns the quotas of the collected proxies and of the members. The joining proxies have no rate limit until
+// the next tick, not even one kept from before they fell silent.
 func (a *Assigner) joinSplit() {
 	a.dropSilentProxies()
 	members := a.splitMembers()
