--- a/assign/any_input_test.go
+++ b/assign/any_input_test.go
@@ -28,10 +28,10 @@
 	input.config.Channel.MessageLimit = input.oneOf(0, 1, 2, 20)
 	duration := input.oneOf(0, 1, 10, 1e6)
 	input.config.WarmUp = WarmUpConfig{
-		InitialFraction:  quickcheck.Fraction(input.random),
-		Duration:         duration,
-		OverloadWindow:   duration * quickcheck.Fraction(input.random),
-		OverloadMultiple: input.magnitude(1e-3, 1e3),
+		InitialCapacityFraction: quickcheck.Fraction(input.random),
+		Duration:                duration,
+		OverloadWindow:          duration * quickcheck.Fraction(input.random),
+		OverloadMultiple:        input.magnitude(1e-3, 1e3),
 	}
 	for i := range 1 + input.random.Intn(4) {
 		class := RequestClassConfig{
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -10,28 +10,28 @@
 	"madderhollow/internal/quickcheck"
 )
 
-func TestNeedFor(t *testing.T) {
+func TestReplacementNeedFor(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		ready, warming bool
 		healthWeight   float64
-		want           assignment.Need
+		want           assignment.ReplacementNeed
 	}{
 		{"ready, warm and healthy", true, false, 1, assignment.KeepDefault},
 		{"weight just below 1", true, false, 0.999, assignment.ReplaceDefault},
 		{"on probation", true, false, 0.1, assignment.ReplaceDefault},
-		{"warming", true, true, 1, assignment.ReplaceUrgently},
-		{"warming and on probation", true, true, 0.1, assignment.ReplaceUrgently},
-		{"not ready", false, false, 1, assignment.ReplaceUrgently},
+		{"warming", true, true, 1, assignment.ReplaceDefaultUrgently},
+		{"warming and on probation", true, true, 0.1, assignment.ReplaceDefaultUrgently},
+		{"not ready", false, false, 1, assignment.ReplaceDefaultUrgently},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.NeedFor(test.ready, test.warming, test.healthWeight); got != test.want {
+			if got := assignment.ReplacementNeedFor(test.ready, test.warming, test.healthWeight); got != test.want {
 				t.Errorf("got need %d, want %d", got, test.want)
 			}
 		})
 	}
-	if assignment.KeepDefault >= assignment.ReplaceDefault || assignment.ReplaceDefault >= assignment.ReplaceUrgently {
-		t.Error("got needs in another order, want the higher to take precedence")
+	if assignment.KeepDefault >= assignment.ReplaceDefault || assignment.ReplaceDefault >= assignment.ReplaceDefaultUrgently {
+		t.Error("got needs in a different order, want the more urgent need to be higher")
 	}
 }
 
@@ -39,16 +39,16 @@
 	for _, test := range []struct {
 		name     string
 		fresh    bool
-		supplies []assignment.Supply
-		want     assignment.Contents
+		supplies []assignment.ZoneSupply
+		want     assignment.TableContents
 	}{
-		{"four ready", true, []assignment.Supply{{Ready: 4}}, assignment.Contents{Local: true}},
-		{"three ready", true, []assignment.Supply{{Ready: 3}}, assignment.Contents{}},
-		{"two ready", true, []assignment.Supply{{Ready: 2}}, assignment.Contents{Unknown: true}},
-		{"closed in the zone", true, []assignment.Supply{{Ready: 0, Closed: true}}, assignment.Contents{}},
-		{"not fresh", false, []assignment.Supply{{Ready: 4}}, assignment.Contents{Local: true, Unknown: true}},
-		{"one of two tables from elsewhere", true, []assignment.Supply{{Ready: 4}, {Ready: 0, Closed: true}}, assignment.Contents{}},
-		{"one of two tables with few", true, []assignment.Supply{{Ready: 2}, {Ready: 4}}, assignment.Contents{Unknown: true}},
+		{"four ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true}},
+		{"three ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 3}}, assignment.TableContents{}},
+		{"two ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 2}}, assignment.TableContents{Unknown: true}},
+		{"closed in the zone, none ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 0, Closed: true}}, assignment.TableContents{}},
+		{"not fresh", false, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true, Unknown: true}},
+		{"one of two tables closed in the zone", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}, {ReadyEndpoints: 0, Closed: true}}, assignment.TableContents{}},
+		{"one of two tables with two ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 2}, {ReadyEndpoints: 4}}, assignment.TableContents{Unknown: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := assignment.ContentsAtConnect(test.fresh, test.supplies); got != test.want {
@@ -58,62 +58,62 @@
 	}
 }
 
-func TestNeedsTables(t *testing.T) {
+func TestNeedsAssignedTables(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		proxy        assignment.Proxy
+		proxy        assignment.ProxyState
 		want, urgent bool
 	}{
-		{"nothing requires it", assignment.Proxy{Connected: true}, false, false},
-		{"an endpoint should weigh less", assignment.Proxy{Connected: true, DefaultTableNeed: assignment.ReplaceDefault}, true, false},
-		{"an endpoint drains", assignment.Proxy{Connected: true, DefaultTableNeed: assignment.ReplaceUrgently}, true, true},
-		{"unknown tables", assignment.Proxy{Connected: true, HasUnknown: true}, true, true},
-		{"rate limit", assignment.Proxy{Connected: true, RateLimited: true}, true, false},
-		{"overloaded zone", assignment.Proxy{Connected: true, ZoneOverloaded: true}, true, false},
-		{"assigned already", assignment.Proxy{Connected: true, HasAssigned: true}, true, false},
-		{"assigned already, an endpoint drains",
-			assignment.Proxy{Connected: true, HasAssigned: true, DefaultTableNeed: assignment.ReplaceUrgently}, true, false},
+		{"no problem", assignment.ProxyState{Connected: true}, false, false},
+		{"an endpoint should have less weight", assignment.ProxyState{Connected: true, DefaultTableNeed: assignment.ReplaceDefault}, true, false},
+		{"an endpoint drains", assignment.ProxyState{Connected: true, DefaultTableNeed: assignment.ReplaceDefaultUrgently}, true, true},
+		{"unknown tables", assignment.ProxyState{Connected: true, HasUnknownTables: true}, true, true},
+		{"rate limit", assignment.ProxyState{Connected: true, RateLimited: true}, true, false},
+		{"overloaded zone", assignment.ProxyState{Connected: true, ZoneOverloaded: true}, true, false},
+		{"has assigned tables", assignment.ProxyState{Connected: true, HasAssignedTables: true}, true, false},
+		{"has assigned tables, an endpoint drains",
+			assignment.ProxyState{Connected: true, HasAssignedTables: true, DefaultTableNeed: assignment.ReplaceDefaultUrgently}, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.NeedsTables(test.proxy); got != test.want {
+			if got := assignment.NeedsAssignedTables(test.proxy); got != test.want {
 				t.Errorf("got needs tables %t, want %t", got, test.want)
 			}
-			if got := assignment.UrgentAttachment(test.proxy); got != test.urgent {
+			if got := assignment.AttachmentIsUrgent(test.proxy); got != test.urgent {
 				t.Errorf("got urgent %t, want %t", got, test.urgent)
 			}
 			disconnected, sharded := test.proxy, test.proxy
 			disconnected.Connected, sharded.TablesByShard = false, true
-			if assignment.NeedsTables(disconnected) || assignment.NeedsTables(sharded) {
-				t.Error("got needs tables while disconnected or with tables by shard, want not")
+			if assignment.NeedsAssignedTables(disconnected) || assignment.NeedsAssignedTables(sharded) {
+				t.Error("got needs tables while disconnected or with tables by shard, want no need")
 			}
 		})
 	}
 }
 
-func TestWorthSending(t *testing.T) {
+func TestIsSignificantChange(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		from, to float64
-		want     bool
+		name          string
+		before, after float64
+		want          bool
 	}{
 		{"no change", 5, 5, false},
-		{"none to none", 0, 0, false},
-		{"a tenth lower", 100, 90, false},
-		{"over a tenth lower", 100, 89.9, true},
-		{"a tenth of the higher", 90, 100, false},
-		{"over a tenth of the higher", 89.9, 100, true},
-		{"new", 0, 1e-6, true},
-		{"gone", 1e-6, 0, true},
+		{"zero to zero", 0, 0, false},
+		{"decrease by a tenth", 100, 90, false},
+		{"decrease by over a tenth", 100, 89.9, true},
+		{"increase by a tenth of the new value", 90, 100, false},
+		{"increase by over a tenth of the new value", 89.9, 100, true},
+		{"added", 0, 1e-6, true},
+		{"removed", 1e-6, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.WorthSending(test.from, test.to); got != test.want {
-				t.Errorf("%g to %g: got %t, want %t", test.from, test.to, got, test.want)
+			if got := assignment.IsSignificantChange(test.before, test.after); got != test.want {
+				t.Errorf("%g to %g: got %t, want %t", test.before, test.after, got, test.want)
 			}
 		})
 	}
 }
 
-func TestChanges(t *testing.T) {
+func TestDiff(t *testing.T) {
 	type table = []subset.Entry[string]
 	entry := func(endpoint string, weight float64) subset.Entry[string] {
 		return subset.Entry[string]{Endpoint: endpoint, Weight: weight}
@@ -125,108 +125,109 @@
 		{"the same table", table{entry("a", 1), entry("b", 2)}, table{entry("b", 2), entry("a", 1)}, nil},
 		{"weights within a tenth", table{entry("a", 1)}, table{entry("a", 1.1)}, nil},
 		{"a weight over a tenth higher", table{entry("a", 1)}, table{entry("a", 1.12)}, table{entry("a", 1.12)}},
-		{"an additional entry", table{entry("a", 1)}, table{entry("a", 1), entry("b", 2)}, table{entry("b", 2)}},
-		{"an entry less", table{entry("a", 1), entry("b", 2)}, table{entry("a", 1)}, table{entry("b", 0)}},
+		{"an entry is added", table{entry("a", 1)}, table{entry("a", 1), entry("b", 2)}, table{entry("b", 2)}},
+		{"an entry is removed", table{entry("a", 1), entry("b", 2)}, table{entry("a", 1)}, table{entry("b", 0)}},
 		{"the first table", nil, table{entry("a", 1), entry("b", 2)}, table{entry("a", 1), entry("b", 2)}},
-		{"another table", table{entry("a", 1)}, table{entry("b", 2)}, table{entry("b", 2), entry("a", 0)}},
+		{"a table without common entries", table{entry("a", 1)}, table{entry("b", 2)}, table{entry("b", 2), entry("a", 0)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.Changes(test.held, test.wanted); !slices.Equal(got, test.want) {
+			if got := assignment.Diff(test.held, test.wanted); !slices.Equal(got, test.want) {
 				t.Errorf("got changes %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestUrgentEntry(t *testing.T) {
+func TestEntryChangeIsUrgent(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change assignment.EntryChange
 		want   bool
 	}{
-		{"removed from a draining endpoint", assignment.EntryChange{From: 1, To: 0}, true},
-		{"lower at a warming endpoint", assignment.EntryChange{From: 1, To: 0.5, Ready: true, Warming: true}, true},
-		{"higher at a warming endpoint", assignment.EntryChange{From: 0.5, To: 1, Ready: true, Warming: true}, false},
-		{"equal at a draining endpoint", assignment.EntryChange{From: 1, To: 1}, false},
-		{"lower at a ready warm endpoint", assignment.EntryChange{From: 1, To: 0.1, Ready: true}, false},
+		{"removed from a draining endpoint", assignment.EntryChange{OldWeight: 1, NewWeight: 0}, true},
+		{"decrease at a warming endpoint", assignment.EntryChange{OldWeight: 1, NewWeight: 0.5, Ready: true, Warming: true}, true},
+		{"increase at a warming endpoint", assignment.EntryChange{OldWeight: 0.5, NewWeight: 1, Ready: true, Warming: true}, false},
+		{"no change at a draining endpoint", assignment.EntryChange{OldWeight: 1, NewWeight: 1}, false},
+		{"decrease at a ready warm endpoint", assignment.EntryChange{OldWeight: 1, NewWeight: 0.1, Ready: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.UrgentEntry(test.change); got != test.want {
+			if got := assignment.EntryChangeIsUrgent(test.change); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
-func TestEssentialEntry(t *testing.T) {
+func TestEntryChangeIsEssential(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change assignment.EntryChange
 		want   bool
 	}{
-		{"a drained entry leaves", assignment.EntryChange{From: 1}, true},
-		{"a warming entry falls", assignment.EntryChange{From: 1, To: 0.5, Ready: true, Warming: true}, true},
-		{"a warm entry is new", assignment.EntryChange{To: 1, Ready: true}, true},
-		{"a warming entry is new", assignment.EntryChange{To: 1, Ready: true, Warming: true}, false},
-		{"a warm entry falls", assignment.EntryChange{From: 1, To: 0.5, Ready: true}, false},
-		{"a warm entry rises", assignment.EntryChange{From: 0.5, To: 1, Ready: true}, true},
-		{"a warming entry rises", assignment.EntryChange{From: 0.5, To: 1, Ready: true, Warming: true}, false},
-		{"a warm entry leaves", assignment.EntryChange{From: 1, Ready: true}, false},
+		{"entry of a draining endpoint is removed", assignment.EntryChange{OldWeight: 1}, true},
+		{"weight of a warming endpoint decreases", assignment.EntryChange{OldWeight: 1, NewWeight: 0.5, Ready: true, Warming: true}, true},
+		{"entry of a warm endpoint is added", assignment.EntryChange{NewWeight: 1, Ready: true}, true},
+		{"entry of a warming endpoint is added", assignment.EntryChange{NewWeight: 1, Ready: true, Warming: true}, false},
+		{"weight of a warm endpoint decreases", assignment.EntryChange{OldWeight: 1, NewWeight: 0.5, Ready: true}, false},
+		{"weight of a warm endpoint increases", assignment.EntryChange{OldWeight: 0.5, NewWeight: 1, Ready: true}, true},
+		{"weight of a warming endpoint increases", assignment.EntryChange{OldWeight: 0.5, NewWeight: 1, Ready: true, Warming: true}, false},
+		{"entry of a warm endpoint is removed", assignment.EntryChange{OldWeight: 1, Ready: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.EssentialEntry(test.change); got != test.want {
+			if got := assignment.EntryChangeIsEssential(test.change); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
-func TestLeavesEntry(t *testing.T) {
-	drained := assignment.EntryChange{From: 1}
-	newWarm := assignment.EntryChange{To: 1, Ready: true}
-	newWarming := assignment.EntryChange{To: 1, Ready: true, Warming: true}
+func TestNonEmptyAfterEssentialChanges(t *testing.T) {
+	removedDraining := assignment.EntryChange{OldWeight: 1}
+	addedWarm := assignment.EntryChange{NewWeight: 1, Ready: true}
+	addedWarming := assignment.EntryChange{NewWeight: 1, Ready: true, Warming: true}
 	for _, test := range []struct {
-		name    string
-		held    int
-		changes []assignment.EntryChange
-		want    bool
+		name        string
+		heldEntries int
+		changes     []assignment.EntryChange
+		want        bool
 	}{
-		{"one stays", 2, []assignment.EntryChange{drained}, true},
-		{"all leave", 2, []assignment.EntryChange{drained, drained}, false},
-		{"all leave, a warm one comes", 2, []assignment.EntryChange{drained, drained, newWarm}, true},
-		{"all leave, only a warming one comes", 2, []assignment.EntryChange{drained, drained, newWarming}, false},
-		{"nothing changes", 1, nil, true},
+		{"one entry remains", 2, []assignment.EntryChange{removedDraining}, true},
+		{"all entries are removed", 2, []assignment.EntryChange{removedDraining, removedDraining}, false},
+		{"all entries are removed, a warm endpoint is added", 2, []assignment.EntryChange{removedDraining, removedDraining, addedWarm}, true},
+		{"all entries are removed, only a warming endpoint is added", 2, []assignment.EntryChange{removedDraining, removedDraining, addedWarming}, false},
+		{"no changes", 1, nil, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.LeavesEntry(test.held, test.changes); got != test.want {
+			if got := assignment.NonEmptyAfterEssentialChanges(test.heldEntries, test.changes); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
-func TestUrgentLimit(t *testing.T) {
+func TestLimitChangeIsUrgent(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		from, to   float64
-		hasWarming bool
-		want       bool
+		name            string
+		before, after   float64
+		tableHasWarming bool
+		want            bool
 	}{
-		{"falls to half", 10, 5, true, false},
-		{"falls below half", 10, 4.999, true, true},
-		{"falls below half without warming endpoints", 10, 1, false, false},
-		{"rises", 10, 30, true, false},
+		{"decreases to half", 10, 5, true, false},
+		{"decreases below half", 10, 4.999, true, true},
+		{"decreases below half without warming endpoints", 10, 1, false, false},
+		{"increases", 10, 30, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.UrgentLimit(test.from, test.to, test.hasWarming); got != test.want {
+			if got := assignment.LimitChangeIsUrgent(test.before, test.after, test.tableHasWarming); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
-// A held table with all changes applied has the wanted endpoints, each weight within a tenth.
-func TestChangesLeadToWantedTable(t *testing.T) {
+// TestDiffLeadsToWantedTable checks that a held table has the wanted endpoints after all changes are applied, each with
+// a weight within a tenth of the wanted one.
+func TestDiffLeadsToWantedTable(t *testing.T) {
 	quickcheck.Seeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		held, wanted := drawTable(random), drawTable(random)
@@ -234,12 +235,12 @@
 		for _, entry := range held {
 			weights[entry.Endpoint] = entry.Weight
 		}
-		for _, change := range assignment.Changes(held, wanted) {
+		for _, change := range assignment.Diff(held, wanted) {
 			weights[change.Endpoint] = change.Weight
 		}
 		for endpoint, got := range weights {
 			want := subset.WeightOf(wanted, endpoint)
-			if assignment.WorthSending(got, want) {
+			if assignment.IsSignificantChange(got, want) {
 				t.Errorf("seed %d, endpoint %d: got weight %g, want %g within a tenth", seed, endpoint, got, want)
 				return false
 			}
--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -6,38 +6,42 @@
 	"madderhollow/assign/subset"
 )
 
-// minRelativeChange is the change of a weight or limit, as a fraction of the greater value, above which it is worth a
-// message.
+// minRelativeChange is the relative change of a weight or rate limit above which the change is sent to the proxy. It
+// is a fraction of the greater of the old and the new value.
 const minRelativeChange = 0.1
 
-// WorthSending reports whether the change from one weight or limit to another is worth a message.
-func WorthSending(from, to float64) bool {
-	return math.Abs(to-from) > minRelativeChange*math.Max(to, from)
+// IsSignificantChange reports whether the change of a weight or rate limit is large enough to be sent to the proxy.
+func IsSignificantChange(before, after float64) bool {
+	return math.Abs(after-before) > minRelativeChange*math.Max(after, before)
 }
 
-// Limit is the rate limit of a request class, and the number of retries that is ordered with it.
-type Limit struct {
-	Rate    float64 // 1/s, or the admitted fraction; admission.Unlimited for none
+// ClassLimit is the rate limit of a request class and the number of retries that is sent with it.
+type ClassLimit struct {
+	// Rate is in requests per second, or the admitted fraction of requests. It is admission.Unlimited if there is no
+	// limit.
+	Rate float64
+	// Retries is the number of retries that the proxy may make for a request.
 	Retries int
 }
 
-// LimitWorthSending reports whether the change from one limit to another is worth a message. More retries are, even
-// where the rate stays: retries are off until a message says otherwise.
-func LimitWorthSending(from, to Limit) bool {
-	return WorthSending(from.Rate, to.Rate) || to.Retries > from.Retries
+// IsSignificantLimitChange reports whether the change of a class's limit is large enough to be sent to the proxy. An
+// increase of the number of retries is always sent, even if the rate stays the same, because the proxy makes no
+// retries until a message allows them.
+func IsSignificantLimitChange(before, after ClassLimit) bool {
+	return IsSignificantChange(before.Rate, after.Rate) || after.Retries > before.Retries
 }
 
-// Changes returns the entries of a wanted table that the held one lacks or has at a weight that is worth changing,
-// and an entry of weight 0 for each that has to go. It may append to wanted's array, which the caller must not use
-// again.
-func Changes[E comparable](held, wanted []subset.Entry[E]) (changes []subset.Entry[E]) {
+// Diff returns the entries that change the held table into the wanted one. It contains each wanted entry that the held
+// table lacks or holds at a significantly different weight. It contains an entry of weight 0 for each endpoint that
+// has to be removed. Diff may append to the array of wanted, which the caller must not use afterwards.
+func Diff[E comparable](held, wanted []subset.Entry[E]) (changes []subset.Entry[E]) {
 	for _, entry := range held {
 		if subset.WeightOf(wanted, entry.Endpoint) == 0 {
 			wanted = append(wanted, subset.Entry[E]{Endpoint: entry.Endpoint, Weight: 0})
 		}
 	}
 	for _, entry := range wanted {
-		if WorthSending(subset.WeightOf(held, entry.Endpoint), entry.Weight) {
+		if IsSignificantChange(subset.WeightOf(held, entry.Endpoint), entry.Weight) {
 			changes = append(changes, entry)
 		}
 	}
@@ -46,47 +50,49 @@
 
 // EntryChange is a change of one entry of an assigned table.
 type EntryChange struct {
-	From, To float64 // weights
-	Ready    bool    // the endpoint takes requests
-	Warming  bool    // the endpoint is not yet at full speed
+	OldWeight, NewWeight float64 // weights of the entry; 0 if the table does not hold the entry
+
+	Ready   bool // whether the endpoint takes requests
+	Warming bool // whether the endpoint is still warming up
 }
 
-// UrgentEntry reports whether a guarantee depends on the change: it takes load from an endpoint that drains, was
-// removed or warms up.
-func UrgentEntry(change EntryChange) bool {
-	return change.To < change.From && (!change.Ready || change.Warming)
+// EntryChangeIsUrgent reports whether a guarantee (see docs/design.md) depends on the change. This is the case if the
+// change takes load from an endpoint that is draining, removed or warming up.
+func EntryChangeIsUrgent(change EntryChange) bool {
+	return change.NewWeight < change.OldWeight && (!change.Ready || change.Warming)
 }
 
-// EssentialEntry reports whether the change goes out even while the channel has no room for all urgent messages: an
-// urgent one, or a warm endpoint's entry that is new or rises. The latter takes load that would otherwise go to the
-// others of the table, warming ones among them.
-func EssentialEntry(change EntryChange) bool {
-	warmRises := change.To > change.From && change.Ready && !change.Warming
-	return warmRises || UrgentEntry(change)
+// EntryChangeIsEssential reports whether the change is sent even while the channel has no room for all urgent
+// messages. This applies to urgent changes and to an entry of a warm endpoint that is added or gets a higher weight.
+// The latter takes load that would otherwise go to the other endpoints of the table, some of which may be warming up.
+func EntryChangeIsEssential(change EntryChange) bool {
+	warmIncreases := change.NewWeight > change.OldWeight && change.Ready && !change.Warming
+	return warmIncreases || EntryChangeIsUrgent(change)
 }
 
-// LeavesEntry reports whether a table that holds a number of entries still has one after the essential changes alone.
-func LeavesEntry(held int, changes []EntryChange) bool {
-	remaining := held
+// NonEmptyAfterEssentialChanges reports whether a table that holds the given number of entries still has at least one
+// after only the essential changes are applied.
+func NonEmptyAfterEssentialChanges(heldEntries int, changes []EntryChange) bool {
+	remaining := heldEntries
 	for _, change := range changes {
 		switch {
-		case !EssentialEntry(change):
-		case change.From == 0:
+		case !EntryChangeIsEssential(change):
+		case change.OldWeight == 0:
 			remaining++
-		case change.To == 0:
+		case change.NewWeight == 0:
 			remaining--
 		}
 	}
 	return remaining > 0
 }
 
-// urgentLimitFactor is the factor by which a rate limit has to fall to be urgent. A slow-start cap uses half of the
-// overload multiple (slowstart.burstFraction), so that a smaller fall does not overload a warming endpoint while the
-// message waits as an ordinary one.
-const urgentLimitFactor = 2
+// urgentDecreaseFactor is the factor by which a rate limit has to decrease for the change to be urgent. A slow-start
+// rate cap uses half of the overload multiple (slowstart.overloadMultipleFraction). A smaller decrease therefore does
+// not overload a warming endpoint while its message waits among the ordinary ones.
+const urgentDecreaseFactor = 2
 
-// UrgentLimit reports whether a guarantee depends on the change of a rate limit: it protects warming endpoints of the
-// table and falls by more than the cap's reserve.
-func UrgentLimit(from, to float64, tableHasWarming bool) bool {
-	return tableHasWarming && to < from/urgentLimitFactor
+// LimitChangeIsUrgent reports whether a guarantee (see docs/design.md) depends on the change of a rate limit. This is
+// the case if the table holds warming endpoints and the limit decreases by more than urgentDecreaseFactor.
+func LimitChangeIsUrgent(before, after float64, tableHasWarming bool) bool {
+	return tableHasWarming && after < before/urgentDecreaseFactor
 }
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -1,27 +1,32 @@
 // Package assignment decides whether a proxy's default table has to be replaced by an assigned one, which changes of
-// an assigned table are worth a message, and which of them are urgent.
+// an assigned table are sent to the proxy, and which of them are urgent.
 //
-// It acts when a proxy connects and whenever the proxy's tables are computed. Inputs are the states of endpoints,
-// weights, and rate limits in requests per second. See docs/design.md, "What was changed", 2 (assigned tables before
-// a limit).
+// Its functions run when a proxy connects and whenever the tables of the proxy are computed. The inputs are the states
+// of endpoints, weights, and rate limits in requests per second. See docs/design.md, "What was changed", 2 (assigned
+// tables before a limit).
 package assignment
 
-// Need says what the endpoints that a default table may hold require of it. Higher values take precedence.
-type Need int
+// ReplacementNeed is whether, and how urgently, a default table has to be replaced because of the endpoints that it
+// may hold. Higher values take precedence.
+type ReplacementNeed int
 
-// The needs.
+// The replacement needs in ascending order of precedence.
 const (
-	KeepDefault     Need = iota // the default table may stay
-	ReplaceDefault              // an endpoint should weigh less than listed, which a default table cannot express
-	ReplaceUrgently             // a guarantee (docs/design.md) depends on the default table's replacement
+	// KeepDefault means that the default table may stay in use.
+	KeepDefault ReplacementNeed = iota
+	// ReplaceDefault means that an endpoint should have less than its listed weight, which a default table cannot
+	// express.
+	ReplaceDefault
+	// ReplaceDefaultUrgently means that a guarantee (see docs/design.md) depends on the replacement.
+	ReplaceDefaultUrgently
 )
 
-// NeedFor returns what a default table needs that may hold an endpoint of this state. HealthWeight is a factor on the
-// listed weight, 0 to 1.
-func NeedFor(ready, warming bool, healthWeight float64) Need {
+// ReplacementNeedFor returns the replacement need of a default table that may hold an endpoint in the given state. The
+// health weight is a factor on the endpoint's listed weight, from 0 to 1.
+func ReplacementNeedFor(ready, warming bool, healthWeight float64) ReplacementNeed {
 	switch {
 	case !ready || warming:
-		return ReplaceUrgently
+		return ReplaceDefaultUrgently
 	case healthWeight < 1:
 		return ReplaceDefault
 	}
@@ -29,60 +34,64 @@
 }
 
 const (
-	// minKnownEndpoints is the number of ready endpoints of a zone below which the contents of its default tables are
-	// unknown: the zone is being lost or regained.
-	minKnownEndpoints = 3
-	// minLocalEndpoints is the number of ready endpoints of a zone from which its default tables hold no others.
-	minLocalEndpoints = 4
+	// minReadyForKnownContents is the number of ready endpoints of a zone below which the contents of the zone's
+	// default tables are unknown, because the zone is failing or recovering.
+	minReadyForKnownContents = 3
+	// minReadyForLocalTables is the least number of ready endpoints of a zone at which the zone's default tables hold
+	// no endpoints of other zones.
+	minReadyForLocalTables = 4
 )
 
-// Supply is what a zone has for the classes that share a table.
-type Supply struct {
-	Ready  int  // ready endpoints of the zone that the classes may use
-	Closed bool // the classes may use no endpoint of the zone
+// ZoneSupply describes the endpoints that a zone has for the request classes that share a table.
+type ZoneSupply struct {
+	ReadyEndpoints int  // number of ready endpoints of the zone that the classes may use
+	Closed         bool // whether the classes may use no endpoint of the zone at all
 }
 
-// Contents is what is known of the tables that a proxy holds when it connects.
-type Contents struct {
-	Local   bool // they hold only endpoints of the proxy's zone
-	Unknown bool // they may hold endpoints that the assigner does not know
+// TableContents is what the assigner knows about the tables that a proxy holds when it connects.
+type TableContents struct {
+	OnlyLocal bool // whether the tables hold only endpoints of the proxy's zone
+	Unknown   bool // whether the tables may hold endpoints that the assigner does not know
 }
 
-// ContentsAtConnect returns what a proxy's tables may hold when it connects, with the supply of each of its tables. A
-// proxy that is not fresh holds tables of another assigner. Default tables of a closed class hold endpoints of other
-// zones; in a zone with few ready endpoints, which is being lost or regained, the contents are unknown.
-func ContentsAtConnect(fresh bool, supplies []Supply) Contents {
-	contents := Contents{Local: true, Unknown: !fresh}
+// ContentsAtConnect returns what a proxy's tables may hold when the proxy connects. It takes the zone's supply for each
+// of the tables. A fresh proxy holds only its default tables. A proxy that is not fresh holds tables of another
+// assigner, whose contents are unknown. The default table of classes that are closed in the zone holds endpoints of
+// other zones. In a zone with few ready endpoints, which is failing or recovering, the contents of default tables are
+// unknown.
+func ContentsAtConnect(fresh bool, supplies []ZoneSupply) TableContents {
+	contents := TableContents{OnlyLocal: true, Unknown: !fresh}
 	for _, supply := range supplies {
-		few := supply.Ready < minKnownEndpoints && !supply.Closed
-		contents.Local = contents.Local && supply.Ready >= minLocalEndpoints
-		contents.Unknown = contents.Unknown || few
+		tooFewReady := supply.ReadyEndpoints < minReadyForKnownContents && !supply.Closed
+		contents.OnlyLocal = contents.OnlyLocal && supply.ReadyEndpoints >= minReadyForLocalTables
+		contents.Unknown = contents.Unknown || tooFewReady
 	}
 	return contents
 }
 
-// Proxy is what decides whether a proxy needs assigned tables.
-type Proxy struct {
-	Connected        bool
-	TablesByShard    bool // tables belong to shards, not to proxies
-	HasAssigned      bool // it uses assigned tables already
-	HasUnknown       bool // see Contents.Unknown
-	RateLimited      bool
-	ZoneOverloaded   bool
-	DefaultTableNeed Need // what the endpoints that its default table may hold require
+// ProxyState holds the inputs of the decision whether a proxy needs assigned tables.
+type ProxyState struct {
+	Connected         bool            // whether the proxy's stream is open
+	TablesByShard     bool            // whether tables belong to shards instead of proxies
+	HasAssignedTables bool            // whether the proxy already uses assigned tables
+	HasUnknownTables  bool            // whether the tables may hold unknown endpoints; see TableContents.Unknown
+	RateLimited       bool            // whether the proxy has a rate limit
+	ZoneOverloaded    bool            // whether the proxy's zone is overloaded
+	DefaultTableNeed  ReplacementNeed // replacement need of the proxy's default table
 }
 
-// NeedsTables reports whether the proxy's assigned tables have to be computed. A default table is replaced at the
-// first problem, because its contents are unknown.
-func NeedsTables(proxy Proxy) bool {
+// NeedsAssignedTables reports whether the assigned tables of the proxy have to be computed. Any problem is sufficient
+// to replace a default table, because the exact contents of a default table are unknown.
+func NeedsAssignedTables(proxy ProxyState) bool {
 	if !proxy.Connected || proxy.TablesByShard {
 		return false
 	}
-	return proxy.HasAssigned || proxy.HasUnknown || proxy.RateLimited || proxy.ZoneOverloaded ||
+	return proxy.HasAssignedTables || proxy.HasUnknownTables || proxy.RateLimited || proxy.ZoneOverloaded ||
 		proxy.DefaultTableNeed > KeepDefault
 }
 
-// UrgentAttachment reports whether a guarantee depends on the proxy's first assigned tables.
-func UrgentAttachment(proxy Proxy) bool {
-	return !proxy.HasAssigned && (proxy.HasUnknown || proxy.DefaultTableNeed == ReplaceUrgently)
+// AttachmentIsUrgent reports whether a guarantee (see docs/design.md) depends on the attachment of the proxy's first
+// assigned tables.
+func AttachmentIsUrgent(proxy ProxyState) bool {
+	return !proxy.HasAssignedTables && (proxy.HasUnknownTables || proxy.DefaultTableNeed == ReplaceDefaultUrgently)
 }
--- a/assign/config.go
+++ b/assign/config.go
@@ -109,6 +109,6 @@
 	return Config{
 		ProxyCount: UnknownProxyCount,
 		Channel:    ChannelConfig{QueueLimit: math.Inf(1), MessageOverhead: 1, MessageWindow: 10},
-		WarmUp:     WarmUpConfig{InitialFraction: 1, OverloadMultiple: 2},
+		WarmUp:     WarmUpConfig{InitialCapacityFraction: 1, OverloadMultiple: 2},
 	}
 }
--- a/assign/deployment_warming_test.go
+++ b/assign/deployment_warming_test.go
@@ -28,7 +28,7 @@
 func (m *deploymentModel) fraction(endpoint Endpoint) float64 {
 	warmUp := m.config.WarmUp
 	warmUp.OverloadWindow = 0
-	return slowstart.CapacityFraction(warmUp, slowstart.Start{StartedAt: endpoint.StartedAt, Now: m.now})
+	return slowstart.CapacityFraction(warmUp, slowstart.WarmUpState{StartedAt: endpoint.StartedAt, Now: m.now})
 }
 
 // loads returns the requests per second that each endpoint gets from the tables that the proxies hold, at their typical
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -119,7 +119,7 @@
 // so every default table has to be replaced from then on.
 func (a *Assigner) deleteExpiredEndpoints() {
 	a.endpointList = slices.DeleteFunc(a.endpointList, func(e *endpoint) bool {
-		expired := membership.Expired(e.status.State, a.now, e.lastAnsweredAt, e.lastListedAt)
+		expired := membership.RecordExpired(e.status.State, a.now, e.lastAnsweredAt, e.lastListedAt)
 		if expired {
 			delete(a.endpoints, e.name)
 			a.expiredEndpoints = true
@@ -148,7 +148,7 @@
 
 // applyDrop applies the endpoint's removal from the list, and does so again at each tick while it is delisted.
 func (e *endpoint) applyDrop(assigner *Assigner) {
-	e.setStatus(membership.AfterDrop(e.status, membership.Drop{
+	e.setStatus(membership.StatusAfterDrop(e.status, membership.DropConditions{
 		RemovalIsAdvisory: assigner.config.RemovalIsAdvisory,
 		LastAnsweredAt:    e.lastAnsweredAt,
 		Now:               assigner.now,
@@ -169,7 +169,7 @@
 	})
 	if report.Attempts > report.Failed {
 		e.lastAnsweredAt = assigner.now
-		e.setStatus(membership.AfterAnswer(e.status), assigner.now)
+		e.setStatus(membership.StatusAfterAnswer(e.status), assigner.now)
 	}
 }
 
@@ -207,7 +207,7 @@
 
 // capacityFraction returns the fraction of its capacity that the endpoint has while it warms up, 1 after that.
 func (e *endpoint) capacityFraction(assigner *Assigner) float64 {
-	return slowstart.CapacityFraction(assigner.config.WarmUp, slowstart.Start{
+	return slowstart.CapacityFraction(assigner.config.WarmUp, slowstart.WarmUpState{
 		StartedAt:         e.startedAt,
 		Now:               assigner.now,
 		RateLimitsIgnored: assigner.config.Admission == AdmissionIgnored,
--- a/assign/endpoint_test.go
+++ b/assign/endpoint_test.go
@@ -84,14 +84,14 @@
 		listed[i%12].Name, listed[i%12].StartedAt = fmt.Sprint("n", i), now-20
 		assigner.Handle(now, []Event{TimerFired{0}, EndpointUpdate{Endpoints: []Endpoint{removed, listed[i%12]}},
 			Acknowledged{Proxy: 1, Sequence: assigner.scheduler.sequence}})
-		if len(assigner.endpointList) > 12+2*membership.Retention || len(assigner.endpoints) != len(assigner.endpointList) {
+		if len(assigner.endpointList) > 12+2*membership.RecordRetention || len(assigner.endpoints) != len(assigner.endpointList) {
 			t.Fatalf("got %d records and %d names, want as many, and at most %g more than the 12 endpoints",
-				len(assigner.endpointList), len(assigner.endpoints), 2*membership.Retention)
+				len(assigner.endpointList), len(assigner.endpoints), 2*membership.RecordRetention)
 		}
 	}
-	assigner.Handle(now+2*membership.Retention, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+	assigner.Handle(now+2*membership.RecordRetention, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
 	attached := false
-	for _, order := range assigner.Handle(now+2*membership.Retention+1, []Event{ProxyConnected{Proxy: 2, Zone: "x", TypicalRate: 5, Fresh: true}}) {
+	for _, order := range assigner.Handle(now+2*membership.RecordRetention+1, []Event{ProxyConnected{Proxy: 2, Zone: "x", TypicalRate: 5, Fresh: true}}) {
 		o, ok := order.(AttachTable)
 		attached = attached || ok && o.Proxy == 2
 	}
--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -214,9 +214,9 @@
 		name            string
 		listed, removed float64 // how long it was listed without an answer, and how long removed, s
 	}{
-		{"before the retention", 1, membership.Retention - 2},
-		{"after the retention", 1, membership.Retention + 1},
-		{"removed for a moment after the retention", membership.Retention + 1, 2},
+		{"before the retention", 1, membership.RecordRetention - 2},
+		{"after the retention", 1, membership.RecordRetention + 1},
+		{"removed for a moment after the retention", membership.RecordRetention + 1, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assigner := New(1, modelConfig())
@@ -266,7 +266,7 @@
 	removed := listed[0]
 	removed.State = Removed
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
-	now += membership.Retention + 1
+	now += membership.RecordRetention + 1
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listed[:1]}, EndpointUpdate{Endpoints: listed[1:]}})
 	if !isReady(assigner, listed[0].Name) {
 		t.Error("got the endpoint not ready after the first update listed it again, want ready")
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -1,9 +1,9 @@
-// Package locality decides whether a zone is overloaded and which fraction of its traffic goes to other zones'
-// endpoints.
+// Package locality decides whether a zone is overloaded and which fraction of its traffic is sent to endpoints of other
+// zones.
 //
-// Summary acts whenever tables are computed, AdjustSpillover once a tick. Inputs are busy fractions (1 is full),
-// listed weights and failure ratios; the results are fractions of the zone's traffic. See docs/design.md, "What was
-// changed", 3 (subsetting and spill-over).
+// ZoneSummary is computed whenever tables are computed, and AdjustSpillover runs once a tick. The inputs are busy
+// fractions (1 means that all capacity is in use), listed weights and failure ratios. The results are fractions of the
+// zone's traffic. See docs/design.md, "What was changed", 3 (subsetting and spill-over).
 package locality
 
 import (
@@ -15,140 +15,157 @@
 	"madderhollow/assign/timing"
 )
 
-// Endpoint is what one endpoint adds to the summary of a zone.
+// Endpoint is the state of one endpoint that is added to the summary of a zone.
 type Endpoint struct {
-	Local        bool // it is in the zone
-	Ready        bool
-	Warming      bool
-	Unverified   bool
-	ListedWeight float64
-	Busy         float64 // fraction of its capacity in use, as it reports; 0 also where it reports none
-	FailureRatio float64 // of the zone's proxies' attempts, 0 to 1
+	Local        bool    // whether the endpoint is in the zone
+	Ready        bool    // whether the endpoint takes requests
+	Warming      bool    // whether the endpoint is still warming up
+	Unverified   bool    // whether the endpoint still has to prove that it serves; see outlier.Unverified
+	ListedWeight float64 // weight in the endpoint list
+	BusyFraction float64 // fraction of the endpoint's capacity in use, as it reports; 0 also if it reports none
+	FailureRatio float64 // fraction of the attempts by the zone's proxies that failed, 0 to 1
 }
 
-// Summary sums up the endpoints for the proxies of one zone. Its zero value has none.
-type Summary struct {
+// ZoneSummary sums up all endpoints as seen by the proxies of one zone. Its zero value contains no endpoints.
+type ZoneSummary struct {
 	ReadyWeight float64 // listed weight of the zone's ready and verified endpoints
 
-	busyWeight  float64 // busy fraction times listed weight of those
-	warmWeight  float64 // listed weight of the warm endpoints of all zones
-	soundWeight float64 // of those, less the fraction that fails
+	weightedBusySum  float64 // sum of busy fraction times listed weight over the zone's ready and verified endpoints
+	warmWeight       float64 // listed weight of the ready warm endpoints of all zones
+	succeedingWeight float64 // warmWeight without the fraction of the attempts that fails at each endpoint
 }
 
-// Add adds an endpoint.
-func (s *Summary) Add(endpoint Endpoint) {
+// Add adds an endpoint to the summary.
+func (s *ZoneSummary) Add(endpoint Endpoint) {
 	if endpoint.Local && endpoint.Ready && !endpoint.Unverified {
-		s.busyWeight += endpoint.Busy * endpoint.ListedWeight
+		s.weightedBusySum += endpoint.BusyFraction * endpoint.ListedWeight
 		s.ReadyWeight += endpoint.ListedWeight
 	}
 	if endpoint.Ready && !endpoint.Warming {
-		s.soundWeight += endpoint.ListedWeight * (1 - endpoint.FailureRatio)
+		s.succeedingWeight += endpoint.ListedWeight * (1 - endpoint.FailureRatio)
 		s.warmWeight += endpoint.ListedWeight
 	}
 }
 
-// Busy returns the mean busy fraction of the zone's ready and verified endpoints.
-func (s *Summary) Busy() float64 { return s.busyWeight / math.Max(s.ReadyWeight, numeric.MinDivisor) }
+// MeanBusyFraction returns the mean busy fraction of the zone's ready and verified endpoints, weighted by listed
+// weight.
+func (s *ZoneSummary) MeanBusyFraction() float64 {
+	return s.weightedBusySum / math.Max(s.ReadyWeight, numeric.MinDivisor)
+}
 
-// MostWarmFail reports whether the ready warm endpoints of all zones fail more than half of their attempts, by the
-// last assessment of each by the zone's proxies and by listed weight.
-func (s *Summary) MostWarmFail() bool { return 2*s.soundWeight < s.warmWeight }
+// MostWarmAttemptsFail reports whether the ready warm endpoints of all zones fail more than half of their attempts. It
+// takes the failure ratio from the last assessment of each endpoint by the zone's proxies and weights it by listed
+// weight.
+func (s *ZoneSummary) MostWarmAttemptsFail() bool { return 2*s.succeedingWeight < s.warmWeight }
 
-// busyRecovered is the mean busy fraction below which a zone is no longer overloaded. The gap to
-// overload.BusyThreshold keeps tables from flapping.
-const busyRecovered = 0.5
+// busyRecoveryThreshold is the mean busy fraction at or below which a zone is no longer overloaded. It is lower than
+// overload.BusyThreshold so that the tables do not flap.
+const busyRecoveryThreshold = 0.5
 
-// Overloaded reports whether a zone with this mean busy fraction is overloaded, given whether it was before.
-func Overloaded(busy float64, before bool) bool {
-	return busy > overload.BusyThreshold || (before && busy > busyRecovered)
+// IsOverloaded reports whether a zone with the given mean busy fraction is overloaded. The result also depends on
+// whether the zone was overloaded before.
+func IsOverloaded(meanBusyFraction float64, wasOverloaded bool) bool {
+	return meanBusyFraction > overload.BusyThreshold || (wasOverloaded && meanBusyFraction > busyRecoveryThreshold)
 }
 
-// Remote sums up the endpoints of other zones. NewRemote returns the first value.
-type Remote struct {
-	busyWeight float64
-	weight     float64
+// RemoteSummary sums up the endpoints of other zones. Use NewRemoteSummary to create one.
+type RemoteSummary struct {
+	weightedBusySum float64 // sum of busy fraction times usable weight over the endpoints that report a busy fraction
+	knownWeight     float64 // usable weight of the endpoints that report a busy fraction
 }
 
-// NewRemote returns the sums without endpoints.
-func NewRemote() Remote { return Remote{weight: numeric.MinDivisor} }
+// NewRemoteSummary returns a summary without endpoints.
+func NewRemoteSummary() RemoteSummary { return RemoteSummary{knownWeight: numeric.MinDivisor} }
 
-// Add adds an endpoint by its busy fraction and the weight that tables may give it. An endpoint that reports no busy
-// fraction is unknown.
-func (r *Remote) Add(busy, usableWeight float64) {
-	if busy > 0 {
-		r.busyWeight += busy * usableWeight
-		r.weight += usableWeight
+// Add adds an endpoint with the given busy fraction and the weight that tables may give it. An endpoint with a busy
+// fraction of 0 is left out, because it may not report any.
+func (r *RemoteSummary) Add(busyFraction, usableWeight float64) {
+	if busyFraction > 0 {
+		r.weightedBusySum += busyFraction * usableWeight
+		r.knownWeight += usableWeight
 	}
 }
 
-// Spillover is the fraction of a zone's traffic that goes to other zones. Its zero value is none.
+// Spillover is the fraction of a zone's traffic that is sent to other zones. Its zero value means that all traffic
+// stays in the zone.
 type Spillover struct {
-	Fraction float64 // 0 to maxSpillover
-	Observed float64 // Fraction as reports show it, estimated: it trails Fraction, and is above it while that falls
+	// Fraction is the fraction of the zone's traffic that the tables send to other zones, 0 to maxSpillover.
+	Fraction float64
+	// ObservedFraction is an estimate of the fraction that the latest reports reflect. It follows Fraction with a delay
+	// and is therefore above Fraction while that decreases.
+	ObservedFraction float64
 }
 
-// Zone is what the spill-over of a zone depends on.
-type Zone struct {
-	Overloaded  bool
-	Busy        float64 // mean busy fraction of its ready and verified endpoints
-	ReadyWeight float64 // their listed weight
-	Remote      Remote  // of the endpoints in other zones; read only while the zone is overloaded
+// ZoneLoad holds the inputs of the adjustment of a zone's spill-over.
+type ZoneLoad struct {
+	Overloaded       bool          // whether the zone is overloaded
+	MeanBusyFraction float64       // mean busy fraction of the zone's ready and verified endpoints
+	ReadyWeight      float64       // listed weight of the zone's ready and verified endpoints
+	Remote           RemoteSummary // endpoints of other zones; read only while the zone is overloaded
 }
 
 const (
-	// spilloverGain is the part of the gap in busy fractions that moves per tick: reports trail by several ticks.
+	// spilloverGain is the fraction of the busy gap by which the spill-over changes per tick. It is below 1 because
+	// reports lag by several ticks.
 	spilloverGain = 0.6
-	// spilloverDecay stands for the gap in busy fractions once the zone is no longer overloaded.
-	spilloverDecay = 0.1
-	// maxSpillover leaves one entry of a full table to the zone itself.
+	// spilloverDecayGap replaces the busy gap while the zone is not overloaded, so that the spill-over decreases by a
+	// constant step per tick.
+	spilloverDecayGap = 0.1
+	// maxSpillover leaves one entry of a full table to the zone's own endpoints.
 	maxSpillover = 1 - 1.0/subset.FullTableSize
 )
 
-// AdjustSpillover returns the spill-over after a tick: it moves by a part of the gap in busy fractions, as the rate
-// split moves unused quota between proxies. An assigner may have no reports of other zones' proxies, but endpoints
-// report how busy all proxies make them.
-func AdjustSpillover(spillover Spillover, zone Zone) Spillover {
-	step := spillover.step(zone)
-	spillover.Observed += (spillover.Fraction - spillover.Observed) * timing.TickInterval / timing.FeedbackDelay
-	spillover.Fraction = math.Max(0, math.Min(maxSpillover, spillover.Fraction+step))
+// AdjustSpillover returns the spill-over after a tick. It changes by a fraction of the gap between the busy fractions
+// of the zone and of other zones, in the same way as the rate split moves unused quota between proxies. The decision
+// uses the busy fractions that the endpoints report, because they include the load from the proxies of all zones. An
+// assigner may have no reports of the proxies in other zones.
+func AdjustSpillover(spillover Spillover, zone ZoneLoad) Spillover {
+	change := spillover.fractionChange(zone)
+	spillover.ObservedFraction += (spillover.Fraction - spillover.ObservedFraction) *
+		timing.TickInterval / timing.FeedbackDelay
+	spillover.Fraction = math.Max(0, math.Min(maxSpillover, spillover.Fraction+change))
 	return spillover
 }
 
 const (
-	// minRemoteKnown is the remote weight, as a fraction of the zone's own, below which too little is known of other
-	// zones.
-	minRemoteKnown = 0.1
-	// exploratoryEntries is the number of entries of a full table that are added to the spill-over per tick then, to
-	// obtain reports on other zones. Above half, so that the first step makes one entry.
-	exploratoryEntries = 0.6
+	// minKnownRemoteFraction is the least usable weight of the remote endpoints that report a busy fraction, as a
+	// fraction of the zone's own ready weight. With less weight, too little is known about the load of other zones.
+	minKnownRemoteFraction = 0.1
+	// exploratoryEntriesPerTick is the number of entries of a full table by which the spill-over increases per tick
+	// while too little is known about other zones. The added traffic yields reports on them. The value is above one
+	// half, so that the first step already rounds up to one entry.
+	exploratoryEntriesPerTick = 0.6
 )
 
-// step returns the change of the spill-over's fraction in one tick.
-func (s Spillover) step(zone Zone) float64 {
+// fractionChange returns the change of Fraction in one tick.
+func (s Spillover) fractionChange(zone ZoneLoad) float64 {
 	switch {
 	case !zone.Overloaded:
-		return -spilloverGain * spilloverDecay
-	case zone.Remote.weight < minRemoteKnown*zone.ReadyWeight:
-		return exploratoryEntries / subset.FullTableSize
+		return -spilloverGain * spilloverDecayGap
+	case zone.Remote.knownWeight < minKnownRemoteFraction*zone.ReadyWeight:
+		return exploratoryEntriesPerTick / subset.FullTableSize
 	}
-	return spilloverGain * s.gap(zone)
+	return spilloverGain * s.busyGap(zone)
 }
 
-// crossZoneCost is the busy fraction that crossing zones has to gain, because it is charged for.
+// crossZoneCost is the least difference of busy fractions at which traffic is sent to other zones. Smaller differences
+// do not justify cross-zone traffic, which is charged for.
 const crossZoneCost = 0.1
 
-// gap returns how much busier the zone's endpoints are than those of other zones. Traffic that was
-// shifted shows in reports only after several ticks. Until then the gap counts it as shifted, away from the zone's
-// endpoints and onto the remote ones, so that it is not shifted again.
-func (s Spillover) gap(zone Zone) float64 {
-	// Reports show Busy for the traffic that stayed, 1 - Observed; Busy / (1 - Observed) is that of the whole
-	// traffic. Shifting is the part of it that was shifted and does not show in reports yet; below 0 while Fraction
-	// falls.
-	shifting := (s.Fraction - s.Observed) * zone.Busy / (1 - s.Observed)
-	// The same load as a busy fraction of the remote endpoints.
-	shiftingRemote := shifting * zone.ReadyWeight / zone.Remote.weight
-	adjustedBusy := zone.Busy - shifting - shiftingRemote - crossZoneCost
-	remoteBusy := zone.Remote.busyWeight / zone.Remote.weight
-	// The cap on the zone's side makes the gap 0 or less where the remote endpoints are above the threshold.
+// busyGap returns the difference between the busy fractions of the zone's endpoints and those of other zones. Shifted
+// traffic becomes visible in reports only after several ticks. Until then, busyGap subtracts its load from the zone's
+// endpoints and adds it to the remote ones, so that the same load is not shifted twice.
+func (s Spillover) busyGap(zone ZoneLoad) float64 {
+	// The reports reflect MeanBusyFraction for the traffic that stays in the zone, which is 1 - ObservedFraction of the
+	// whole. MeanBusyFraction / (1 - ObservedFraction) is therefore the busy fraction that the whole traffic would
+	// cause. The unreported load is the part of it that was shifted and is not yet visible in reports. It is negative
+	// while Fraction decreases.
+	unreportedLoad := (s.Fraction - s.ObservedFraction) * zone.MeanBusyFraction / (1 - s.ObservedFraction)
+	// The unreported load as a busy fraction of the remote endpoints.
+	unreportedRemoteLoad := unreportedLoad * zone.ReadyWeight / zone.Remote.knownWeight
+	adjustedBusy := zone.MeanBusyFraction - unreportedLoad - unreportedRemoteLoad - crossZoneCost
+	remoteBusy := zone.Remote.weightedBusySum / zone.Remote.knownWeight
+	// The upper bound on the zone's busy fraction makes the gap 0 or negative while the remote endpoints themselves are
+	// above the threshold.
 	return math.Min(adjustedBusy, overload.BusyThreshold) - remoteBusy
 }
--- a/assign/membership/membership.go
+++ b/assign/membership/membership.go
@@ -1,20 +1,21 @@
-// Package membership decides whether an endpoint is ready, draining or removed, from the endpoint list and from its
-// own answers, and when the record of a removed endpoint expires.
+// Package membership decides whether an endpoint is ready, draining or removed, from the endpoint list and from the
+// endpoint's own answers. It also decides when the record of a removed endpoint expires.
 //
-// It acts on each entry of an endpoint update, on each endpoint that an update drops, and once a tick on endpoints
-// that the list dropped although their removal is advisory. Times are in seconds. It returns the endpoint's next
-// Status. See docs/design.md, "What was changed", 1.
+// Its functions run for each entry of an endpoint update and for each endpoint that an update no longer lists. They
+// also run once a tick for each delisted endpoint, which is no longer listed but stays in use while it answers, because
+// removal is advisory. Times are in seconds. The result is the next Status of the endpoint. See docs/design.md, "What
+// was changed", 1.
 //
-// The transitions:
+// The transitions are:
 //
-//	any            -- the list names it ready or draining --> that state
-//	any            -- the list names it removed           --> as if the list dropped it
-//	ready          -- dropped, removal binds              --> removed
-//	ready          -- dropped, advisory, has answered     --> ready and delisted
-//	ready          -- dropped, advisory, silent           --> removed and delisted
-//	draining       -- dropped                             --> removed
-//	delisted       -- silent for timing.SilenceTimeout    --> removed and delisted
-//	delisted       -- answers                             --> ready and delisted
+//	any            -- listed as ready or draining               --> the listed state
+//	any            -- listed as removed                         --> as if it were no longer listed
+//	ready          -- no longer listed, removal is binding      --> removed
+//	ready          -- no longer listed, advisory, has answered  --> ready and delisted
+//	ready          -- no longer listed, advisory, silent        --> removed and delisted
+//	draining       -- no longer listed                          --> removed
+//	delisted       -- silent for timing.SilenceTimeout          --> removed and delisted
+//	delisted       -- answers                                   --> ready and delisted
 package membership
 
 import (
@@ -28,49 +29,57 @@
 
 // The states of an endpoint.
 const (
-	Ready    State = iota // takes requests
-	Draining              // takes no new requests; its entries have to go within the drain's grace period
-	Removed               // takes no requests; its entries have to go, and its record expires
+	// Ready means that the endpoint takes requests.
+	Ready State = iota
+	// Draining means that the endpoint takes no new requests. Its entries have to be removed from all tables within the
+	// drain grace period.
+	Draining
+	// Removed means that the endpoint takes no requests. Its entries have to be removed from all tables, and its record
+	// expires.
+	Removed
 )
 
-// Status is the state of an endpoint, and whether its answers decide about it.
+// Status is the state of an endpoint, and whether the endpoint's answers determine that state.
 type Status struct {
-	State    State
-	Delisted bool // the list dropped it while it was ready, and removal is advisory: it is ready while it answers
+	State State
+	// Delisted is whether the endpoint was ready when it disappeared from the list, and removal is advisory. A delisted
+	// endpoint is ready as long as it answers.
+	Delisted bool
 }
 
-// Drop is what the effect of an endpoint's removal from the list depends on.
-type Drop struct {
-	RemovalIsAdvisory bool    // an endpoint that the list drops may still serve
-	LastAnsweredAt    float64 // time of the last report of a successful attempt, s; 0: none
-	Now               float64 // s
+// DropConditions holds the inputs that determine the status of an endpoint that is no longer listed.
+type DropConditions struct {
+	RemovalIsAdvisory bool    // whether an endpoint that is no longer listed may still serve
+	LastAnsweredAt    float64 // time of the last report of a successful attempt, in seconds; 0 if there was none
+	Now               float64 // current time, in seconds
 }
 
-// AfterDrop returns the status of an endpoint that the list no longer names. Where removal is advisory, the list is
-// one of two sources: an endpoint that still answers stays in use, so that a wrong list cannot remove the fleet. Late
-// answers from a dead endpoint can delay its removal by one report interval.
-func AfterDrop(status Status, drop Drop) Status {
-	status.Delisted = status.Delisted || (drop.RemovalIsAdvisory && status.State == Ready)
-	if !status.Delisted || timing.Silent(drop.Now, drop.LastAnsweredAt) {
+// StatusAfterDrop returns the status of an endpoint that the endpoint list no longer contains. If removal is advisory,
+// the list is only one of two sources. An endpoint that still answers then stays in use, so that a wrong list cannot
+// remove all endpoints. Late reports of answers from a failed endpoint can delay its removal by one report interval.
+func StatusAfterDrop(status Status, conditions DropConditions) Status {
+	status.Delisted = status.Delisted || (conditions.RemovalIsAdvisory && status.State == Ready)
+	if !status.Delisted || timing.Silent(conditions.Now, conditions.LastAnsweredAt) {
 		status.State = Removed
 	}
 	return status
 }
 
-// AfterAnswer returns the status of an endpoint that has answered an attempt.
-func AfterAnswer(status Status) Status {
+// StatusAfterAnswer returns the status of an endpoint that has answered an attempt.
+func StatusAfterAnswer(status Status) Status {
 	if status.Delisted {
 		status.State = Ready
 	}
 	return status
 }
 
-// Retention is the time, in seconds, for which a removed endpoint's record is kept: longer than a restart takes.
-const Retention = 60.0
+// RecordRetention is the time, in seconds, for which the record of a removed endpoint is kept. It is longer than an
+// endpoint takes to restart.
+const RecordRetention = 60.0
 
-// Expired reports whether the record of an endpoint may be deleted. Deleting it keeps names that are used once from
-// accumulating.
-func Expired(state State, now, lastAnsweredAt, lastListedAt float64) bool {
+// RecordExpired reports whether the record of an endpoint may be deleted. Times are in seconds. Expired records are
+// deleted so that they do not accumulate where each endpoint name is used only once.
+func RecordExpired(state State, now, lastAnsweredAt, lastListedAt float64) bool {
 	lastSeenAt := math.Max(lastAnsweredAt, lastListedAt)
-	return state == Removed && now-lastSeenAt > Retention
+	return state == Removed && now-lastSeenAt > RecordRetention
 }
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -86,7 +86,7 @@
 	config.MaxTimeWithoutPick = 3
 	config.Channel = ChannelConfig{QueueLimit: 120, MessageOverhead: 5, MessageLimit: modelMessageLimit,
 		MessageWindow: modelMessageWindow, MeanTransit: 0.2}
-	config.WarmUp = WarmUpConfig{InitialFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2.5}
+	config.WarmUp = WarmUpConfig{InitialCapacityFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2.5}
 	config.Reports = ReportConfig{Interval: 1, LoadMetrics: []LoadMetric{MetricBusy}}
 	return config
 }
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -1,8 +1,8 @@
-// Package ordering decides in which order messages go to the proxies, and which of them have to wait because the
-// channel is full or their proxy has received enough messages.
+// Package ordering decides in which order messages are sent to the proxies, and which messages have to wait because the
+// channel is full or their proxy has reached its message limit.
 //
-// It acts in every batch in which tables are computed. Sizes are in lines of the channel, times in seconds. See
-// docs/design.md, "What was changed", 4 (in-flight window).
+// Its functions run in every batch in which tables are computed. Sizes are in lines of the channel, times in seconds.
+// See docs/design.md, "What was changed", 4 (in-flight window).
 package ordering
 
 import (
@@ -14,66 +14,72 @@
 )
 
 const (
-	// ordinaryWindow is the part of the channel's queue limit that ordinary messages may fill.
-	ordinaryWindow = 0.5
-	// urgentWindow is the part that urgent messages may fill, so that they do not wait behind the others.
-	urgentWindow = 0.9
+	// ordinaryInFlightFraction is the fraction of the in-flight limit that ordinary messages may fill.
+	ordinaryInFlightFraction = 0.5
+	// urgentInFlightFraction is the fraction of the in-flight limit that urgent messages may fill. It is greater than
+	// ordinaryInFlightFraction so that urgent messages do not wait behind ordinary ones.
+	urgentInFlightFraction = 0.9
 )
 
-// Channel is what a deployment's settings say of the channel.
+// Channel contains the properties of the channel to the proxies, as configured for the deployment.
 type Channel struct {
-	QueueLimit     float64 // lines that may be queued
-	LinesPerSecond float64 // that it carries, 1/s; 0: not stated
-	MaxTransit     float64 // the longest time of a message after it has left the channel, s
-	UrgentGrace    float64 // time within which urgent orders have to be in force, s; 0: not stated
+	QueueLimit        float64 // maximum number of lines in the channel's queue
+	LinesPerSecond    float64 // throughput of the channel, in lines per second; 0 if not stated
+	MaxTransitTime    float64 // longest time from a message's departure from the channel to its arrival, in seconds
+	UrgentGracePeriod float64 // time within which urgent orders have to be in force, in seconds; 0 if not stated
 }
 
 const (
-	// queuedPart is the part of the time left for urgent orders that the queue may take. A message in the queue cannot
-	// be overtaken, so that the other part is left for those that become due while it is full.
-	queuedPart = 0.5
-	// minQueueTime is the least time that the queue may take, s: acknowledgments arrive later than messages leave, and
-	// meanwhile the channel has to be kept busy.
+	// queueTimeFraction is the fraction of the time available for urgent orders that messages may spend in the queue.
+	// Queued messages cannot be overtaken, so the rest is reserved for orders that become urgent while the queue is
+	// full.
+	queueTimeFraction = 0.5
+	// minQueueTime is the least time, in seconds, that messages may spend in the queue. Acknowledgments arrive some
+	// time after their messages leave the queue, and the channel has to be kept busy until then.
 	minQueueTime = 1.0
 )
 
-// Limit returns the number of lines that the assigner queues at most: the platform's limit, or what the channel carries
-// in a part of the time within which urgent orders have to be in force, if that is less.
-func (c Channel) Limit() float64 {
-	if c.LinesPerSecond == 0 || c.UrgentGrace == 0 {
+// InFlightLimit returns the maximum number of lines that the assigner keeps in flight. It is the platform's queue
+// limit or, if that is less, the number of lines that the channel carries in a fraction of the time within which
+// urgent orders have to be in force.
+func (c Channel) InFlightLimit() float64 {
+	if c.LinesPerSecond == 0 || c.UrgentGracePeriod == 0 {
 		return c.QueueLimit
 	}
-	queueTime := math.Max(queuedPart*(c.UrgentGrace-c.MaxTransit), minQueueTime)
+	queueTime := math.Max(queueTimeFraction*(c.UrgentGracePeriod-c.MaxTransitTime), minQueueTime)
 	return math.Min(c.QueueLimit, c.LinesPerSecond*queueTime)
 }
 
-// Message is what the place of a message in the channel depends on.
+// Message contains the properties of a message that determine when it is sent.
 type Message struct {
-	Lines         float64 // that it occupies in the channel
-	Urgent        bool    // a guarantee depends on its orders
-	UrgentSince   float64 // time from which that guarantee's limit runs, s; read only if Urgent
-	LastMessageAt float64 // time of the last message to the same proxy, s; 0: none since it was last disconnected
+	Lines       float64 // number of lines that the message occupies in the channel
+	Urgent      bool    // whether a guarantee (see docs/design.md) depends on the orders of the message
+	UrgentSince float64 // start of the time limit of that guarantee, in seconds; read only if Urgent is set
+	// LastMessageAt is the time of the last message to the same proxy, in seconds. It is 0 if no message was sent since
+	// the proxy was last disconnected.
+	LastMessageAt float64
 }
 
-// acknowledgmentLines is what the request for an acknowledgment adds to a message.
-const acknowledgmentLines = 1
+// acknowledgmentRequestLines is the number of lines that a request for an acknowledgment adds to a message.
+const acknowledgmentRequestLines = 1
 
-// Lines returns the lines that a message with a number of orders occupies in the channel. Overhead is the channel's
-// own, per message.
-func Lines(orders int, overhead float64) float64 {
-	return float64(orders) + overhead + acknowledgmentLines
+// MessageLines returns the number of lines that a message with the given number of orders occupies in the channel. The
+// argument overheadLines is the number of lines that the channel itself adds to each message.
+func MessageLines(orderCount int, overheadLines float64) float64 {
+	return float64(orderCount) + overheadLines + acknowledgmentRequestLines
 }
 
-// window returns the part of the channel's queue that the message may fill.
-func (m Message) window() float64 {
+// inFlightFraction returns the fraction of the in-flight limit that the message may fill.
+func (m Message) inFlightFraction() float64 {
 	if m.Urgent {
-		return urgentWindow
+		return urgentInFlightFraction
 	}
-	return ordinaryWindow
+	return ordinaryInFlightFraction
 }
 
-// Compare orders messages for slices.SortStableFunc: urgent ones first, of these the one whose limit runs longest, and
-// among equals the proxy that has waited longest, so that none starves.
+// Compare is a comparison function for slices.SortStableFunc that sorts messages in the order in which they are sent.
+// Urgent messages come first, those whose time limit started earliest before the others. Messages that are equal by
+// these criteria are sorted by the time of the last message to their proxy, oldest first, so that no proxy starves.
 func Compare(x, y Message) int {
 	switch {
 	case x.Urgent && !y.Urgent:
@@ -86,55 +92,59 @@
 	return cmp.Compare(x.LastMessageAt, y.LastMessageAt)
 }
 
-// Fits reports whether the channel takes the message. InFlight is the number of lines that have not been
-// acknowledged, queueLimit the number that may be queued (Channel.Limit).
-func Fits(message Message, inFlight, queueLimit float64) bool {
-	return inFlight+message.Lines <= message.window()*queueLimit
+// Fits reports whether the channel has room for the message. The argument inFlight is the number of lines that have
+// not been acknowledged yet. The argument inFlightLimit is the result of Channel.InFlightLimit.
+func Fits(message Message, inFlight, inFlightLimit float64) bool {
+	return inFlight+message.Lines <= message.inFlightFraction()*inFlightLimit
 }
 
-// Crowded reports whether the channel has no room for all urgent messages, whose lines are summed up. They carry their
-// essential part alone then, so that more of them leave in time.
-func Crowded(urgentLines, inFlight, queueLimit float64) bool {
-	return !Fits(Message{Lines: urgentLines, Urgent: true}, inFlight, queueLimit)
+// IsCongested reports whether the channel has no room for all urgent messages together, which occupy urgentLines. The
+// assigner then reduces each urgent message to its essential orders, so that more of the messages are sent in time.
+func IsCongested(urgentLines, inFlight, inFlightLimit float64) bool {
+	return !Fits(Message{Lines: urgentLines, Urgent: true}, inFlight, inFlightLimit)
 }
 
-// minMessageInterval is the least time between two ordinary messages to a proxy, s. Changes within it share a
-// message.
+// minMessageInterval is the least time, in seconds, between two ordinary messages to the same proxy. All changes within
+// that time are combined into one message.
 const minMessageInterval = timing.TickInterval / 2
 
-// ordinaryShare and ordinaryParts divide the message limit: a third is kept for urgent messages.
+// Ordinary messages may use the fraction ordinaryLimitNumerator / ordinaryLimitDenominator of a proxy's message limit.
+// The rest is reserved for urgent messages.
 const (
-	ordinaryShare = 2
-	ordinaryParts = 3
+	ordinaryLimitNumerator   = 2
+	ordinaryLimitDenominator = 3
 )
 
-// History is what a proxy has been sent.
-type History struct {
-	Recent        int     // messages within the message window
-	LastMessageAt float64 // s; read only if Recent is above 0
-	Now           float64 // s
+// MessageHistory contains the messages that were recently sent to a proxy.
+type MessageHistory struct {
+	RecentMessages int     // number of messages sent within the message window
+	LastMessageAt  float64 // time of the last message, in seconds; read only if RecentMessages is above 0
+	Now            float64 // current time, in seconds
 }
 
-// minUrgentMessages is the number of urgent messages that any limit allows within the window: a limit of one message
-// leaves none free, and all of it is for urgent ones.
+// minUrgentMessages is the number of urgent messages that any message limit allows within the message window. It
+// matters for a limit of one message: that message does not remain unused, but is reserved for an urgent one.
 const minUrgentMessages = 1
 
-// Allowed reports whether a proxy may receive another message. MaxMessages is the limit within the message window; 0
-// means none. One message of a limit above one stays free, for what the assigner does not know of.
-func Allowed(history History, urgent bool, maxMessages int) bool {
-	noLimit := maxMessages == 0
-	if urgent && (noLimit || history.Recent < max(minUrgentMessages, maxMessages-1)) {
+// MessageAllowed reports whether another message may be sent to a proxy. The argument maxMessages is the message limit
+// within the message window; 0 means that there is none. If the limit is above one, one message of it remains unused,
+// to allow for messages that the assigner does not know of.
+func MessageAllowed(history MessageHistory, urgent bool, maxMessages int) bool {
+	unlimited := maxMessages == 0
+	if urgent && (unlimited || history.RecentMessages < max(minUrgentMessages, maxMessages-1)) {
 		return true
 	}
-	tooSoon := history.Recent > 0 && history.Now-history.LastMessageAt < minMessageInterval
-	return !tooSoon && (noLimit || history.Recent < maxMessages*ordinaryShare/ordinaryParts)
+	tooSoon := history.RecentMessages > 0 && history.Now-history.LastMessageAt < minMessageInterval
+	return !tooSoon &&
+		(unlimited || history.RecentMessages < maxMessages*ordinaryLimitNumerator/ordinaryLimitDenominator)
 }
 
-// CountRecent returns how many of the times in ascending order lie within a window before now, in seconds.
+// CountRecent returns the number of times that are at or after now minus the window. All arguments are in seconds, and
+// the times are in ascending order.
 func CountRecent(times []float64, now, window float64) int {
 	expired, _ := slices.BinarySearch(times, now-window)
 	return len(times) - expired
 }
 
-// RetryDelay is the time after which deferred messages are tried again, s.
-const RetryDelay = timing.TickInterval / 10
+// DeferredMessageDelay is the time, in seconds, after which the assigner tries again to send deferred messages.
+const DeferredMessageDelay = timing.TickInterval / 10
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -49,9 +49,9 @@
 
 	// Written by connect.
 	zone        string
-	connectedAt float64             // s
-	typicalRate float64             // of requests on a usual day, 1/s
-	contents    assignment.Contents // of the tables that it held when it connected
+	connectedAt float64                  // s
+	typicalRate float64                  // of requests on a usual day, 1/s
+	contents    assignment.TableContents // of the tables that it held when it connected
 
 	connected         bool // written by connect and disconnect
 	hasAssignedTables bool // it uses the tables assigned to it; set by recordOrder, cleared by connect
@@ -66,8 +66,8 @@
 	rateLimit float64 // 1/s; 0: none; the design page calls it level
 
 	// What the proxy holds by the orders sent to it; written by recordOrder, reset by connect.
-	tables      [][]tableEntry     // by table group
-	classLimits []assignment.Limit // by request class; without an order as configured
+	tables      [][]tableEntry          // by table group
+	classLimits []assignment.ClassLimit // by request class; without an order as configured
 
 	urgentWait urgentWait // written by orderScheduler.takeDeliveries; ended by recordSent and connect
 
@@ -136,8 +136,8 @@
 	p.assignQuota(p.quota, 0)
 	p.hasAssignedTables = false
 	p.tables = make([][]tableEntry, len(assigner.groups))
-	unlimited := assignment.Limit{Rate: admission.Unlimited, Retries: assigner.config.Retries}
-	p.classLimits = slices.Repeat([]assignment.Limit{unlimited}, len(assigner.classes))
+	unlimited := assignment.ClassLimit{Rate: admission.Unlimited, Retries: assigner.config.Retries}
+	p.classLimits = slices.Repeat([]assignment.ClassLimit{unlimited}, len(assigner.classes))
 	assigner.zone(p.zone) // a zone may have proxies and no endpoints
 	p.contents = assignment.ContentsAtConnect(event.Fresh, p.supplies(assigner))
 	for i, rate := range p.rates { // until they are reported; the classes' parts are unknown
@@ -149,13 +149,13 @@
 }
 
 // supplies returns what the proxy's zone has for each of its tables.
-func (p *proxy) supplies(assigner *Assigner) []assignment.Supply {
-	supplies := make([]assignment.Supply, len(assigner.groups))
+func (p *proxy) supplies(assigner *Assigner) []assignment.ZoneSupply {
+	supplies := make([]assignment.ZoneSupply, len(assigner.groups))
 	for i, group := range assigner.groups {
 		supplies[i].Closed = group.policy.ClosedIn(p.zone)
 		for _, e := range assigner.endpointList {
 			if e.ready() && e.zone == p.zone && group.policy.Allows(e.zone, p.zone) {
-				supplies[i].Ready++
+				supplies[i].ReadyEndpoints++
 			}
 		}
 	}
@@ -226,17 +226,17 @@
 			*table = append(*table, tableEntry{Endpoint: assigner.endpoints[o.Endpoint], Weight: o.Weight})
 		}
 	case SetRateLimit:
-		p.classLimits[o.RequestClasses[0]] = assignment.Limit{Rate: o.Limit, Retries: o.Retries}
+		p.classLimits[o.RequestClasses[0]] = assignment.ClassLimit{Rate: o.Limit, Retries: o.Retries}
 	case AttachTable:
 		p.hasAssignedTables = true
 	}
 }
 
 // history returns what the proxy has been sent.
-func (p *proxy) history(assigner *Assigner) ordering.History {
-	return ordering.History{
-		Recent:        ordering.CountRecent(p.messageTimes, assigner.now, assigner.config.Channel.MessageWindow),
-		LastMessageAt: p.lastMessageAt(),
-		Now:           assigner.now,
+func (p *proxy) history(assigner *Assigner) ordering.MessageHistory {
+	return ordering.MessageHistory{
+		RecentMessages: ordering.CountRecent(p.messageTimes, assigner.now, assigner.config.Channel.MessageWindow),
+		LastMessageAt:  p.lastMessageAt(),
+		Now:            assigner.now,
 	}
 }
--- a/assign/quota/quota_test.go
+++ b/assign/quota/quota_test.go
@@ -10,7 +10,7 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// tolerance is how far a sum of quotas may be from 1.
+// tolerance is the allowed difference of a sum of quotas from 1.
 const tolerance = 1e-9
 
 func TestJoin(t *testing.T) {
@@ -19,10 +19,10 @@
 		members, joining int
 		want             quota.JoinResult
 	}{
-		{"the first proxy", 0, 1, quota.JoinResult{Scale: 0, Quota: 1}},
-		{"the first proxies at once", 0, 8, quota.JoinResult{Scale: 0, Quota: 0.125}},
-		{"one more", 3, 1, quota.JoinResult{Scale: 0.75, Quota: 0.25}},
-		{"many more", 2, 6, quota.JoinResult{Scale: 0.25, Quota: 0.125}},
+		{"the first proxy", 0, 1, quota.JoinResult{MemberScale: 0, JoiningQuota: 1}},
+		{"the first proxies at once", 0, 8, quota.JoinResult{MemberScale: 0, JoiningQuota: 0.125}},
+		{"one proxy joins", 3, 1, quota.JoinResult{MemberScale: 0.75, JoiningQuota: 0.25}},
+		{"more proxies join than are members", 2, 6, quota.JoinResult{MemberScale: 0.25, JoiningQuota: 0.125}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := quota.Join(test.members, test.joining); got != test.want {
@@ -34,23 +34,23 @@
 
 func TestRedistribute(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		total   float64 // 1/s
-		members []quota.Member
-		want    []float64
+		name      string
+		totalRate float64 // total rate, in requests per second; 0 if none is set
+		members   []quota.Member
+		want      []float64
 	}{
 		{"no members", 100, nil, []float64{}},
-		{"no total: quotas follow the use", 0, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
+		{"no total rate: quotas proportional to the rates", 0, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
 		{"just below full use", 100, []quota.Member{{0.5, 47.4}, {0.5, 50}}, []float64{0.474, 0.526}},
 		{"at full use", 100, []quota.Member{{0.5, 47.5}, {0.5, 50}}, []float64{0.5, 0.5}},
-		{"freed quota in equal pieces", 100, []quota.Member{{0.4, 10}, {0.2, 90}, {0.4, 90}}, []float64{0.1, 0.35, 0.55}},
-		{"all use less: quotas follow the use", 100, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
-		{"all use theirs", 100, []quota.Member{{0.7, 90}, {0.3, 90}}, []float64{0.7, 0.3}},
-		{"no traffic keeps the least quota", 100, []quota.Member{{0.5, 0}, {0.5, 90}}, []float64{1e-6, 1 - 1e-6}},
-		{"no traffic and no total", 0, []quota.Member{{0.5, 0}, {0.5, 40}}, []float64{1e-6 / (1 + 1e-6), 1 / (1 + 1e-6)}},
+		{"freed quota divided equally", 100, []quota.Member{{0.4, 10}, {0.2, 90}, {0.4, 90}}, []float64{0.1, 0.35, 0.55}},
+		{"all below full use: quotas proportional to the rates", 100, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
+		{"all at full use", 100, []quota.Member{{0.7, 90}, {0.3, 90}}, []float64{0.7, 0.3}},
+		{"no traffic: minimum quota", 100, []quota.Member{{0.5, 0}, {0.5, 90}}, []float64{1e-6, 1 - 1e-6}},
+		{"no traffic and no total rate", 0, []quota.Member{{0.5, 0}, {0.5, 40}}, []float64{1e-6 / (1 + 1e-6), 1 / (1 + 1e-6)}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := quota.Redistribute(quota.Split{Total: test.total, Observed: 40}, test.members)
+			got := quota.Redistribute(quota.Split{TotalRate: test.totalRate, ObservedRate: 40}, test.members)
 			equal := slices.EqualFunc(got, test.want, func(x, y float64) bool { return math.Abs(x-y) < 1e-12 })
 			if !equal {
 				t.Errorf("got %v, want %v", got, test.want)
@@ -64,11 +64,11 @@
 		random := rand.New(rand.NewSource(seed))
 		members, joining := random.Intn(1000), 1+random.Intn(1000)
 		result := quota.Join(members, joining)
-		sum := float64(joining) * result.Quota
+		sum := float64(joining) * result.JoiningQuota
 		if members > 0 {
-			sum += result.Scale // of quotas that sum to 1
+			sum += result.MemberScale // the members' quotas summed to 1 before
 		}
-		if result.Scale < 0 || math.Abs(sum-1) > tolerance {
+		if result.MemberScale < 0 || math.Abs(sum-1) > tolerance {
 			t.Errorf("%d members, %d joining: got %+v, which sums to %g, want 1", members, joining, result, sum)
 			return false
 		}
@@ -76,7 +76,7 @@
 	})
 }
 
-// Quotas sum to 1 afterwards, whatever the members bring and whichever total is set.
+// TestRedistributeKeepsSumOfQuotas checks that the new quotas sum to 1 for any observed rates and any total rate.
 func TestRedistributeKeepsSumOfQuotas(t *testing.T) {
 	quickcheck.Seeds(t, 3000, func(seed int64) bool {
 		split, members := drawSplit(rand.New(rand.NewSource(seed)))
@@ -92,7 +92,8 @@
 	})
 }
 
-// No quota is negative, since a proxy with a negative one would be in no split and have no rate limit.
+// TestRedistributeGivesNoNegativeQuota checks that no quota is negative. A proxy with a negative quota would not count
+// as a member of the split and would have no rate limit.
 func TestRedistributeGivesNoNegativeQuota(t *testing.T) {
 	quickcheck.Seeds(t, 3000, func(seed int64) bool {
 		split, members := drawSplit(rand.New(rand.NewSource(seed)))
@@ -106,24 +107,24 @@
 	})
 }
 
-// drawSplit draws members whose quotas sum to 1, many with little traffic or none.
+// drawSplit draws a split and members whose quotas sum to 1. Many of the members have little traffic or none.
 func drawSplit(random *rand.Rand) (quota.Split, []quota.Member) {
 	members := make([]quota.Member, 1+random.Intn(100))
 	sum, split := 0.0, quota.Split{}
 	for i := range members {
 		members[i] = quota.Member{
-			Quota: quickcheck.Magnitude(random, 1e-6, 1),
-			Rate:  quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e6),
+			Quota:        quickcheck.Magnitude(random, 1e-6, 1),
+			ObservedRate: quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e6),
 		}
 		sum += members[i].Quota
-		split.Observed += members[i].Rate
+		split.ObservedRate += members[i].ObservedRate
 	}
 	for i := range members {
 		members[i].Quota /= sum
 	}
-	split.Observed += 1e-6
+	split.ObservedRate += 1e-6
 	if random.Intn(3) > 0 {
-		split.Total = max(0.1, split.Observed*quickcheck.Magnitude(random, 1e-3, 1.2))
+		split.TotalRate = max(0.1, split.ObservedRate*quickcheck.Magnitude(random, 1e-3, 1.2))
 	}
 	return split, members
 }
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -14,7 +14,7 @@
 type orderScheduler struct {
 	// Written by newOrderScheduler only.
 	messageOverhead float64 // lines that a message costs in addition to its orders
-	queueLimit      float64 // lines that may be in flight, see ordering.Channel.Limit
+	queueLimit      float64 // lines that may be in flight, see ordering.Channel.InFlightLimit
 	maxMessages     int     // to one proxy within the channel's message window; 0: no limit
 
 	sequence int      // of the last batch that asked for acknowledgments; written by run
@@ -24,14 +24,14 @@
 
 func newOrderScheduler(config Config) *orderScheduler {
 	channel := ordering.Channel{
-		QueueLimit:     config.Channel.QueueLimit,
-		LinesPerSecond: config.Channel.LinesPerSecond,
-		MaxTransit:     config.Channel.MaxTransit,
-		UrgentGrace:    config.DrainGrace,
+		QueueLimit:        config.Channel.QueueLimit,
+		LinesPerSecond:    config.Channel.LinesPerSecond,
+		MaxTransitTime:    config.Channel.MaxTransit,
+		UrgentGracePeriod: config.DrainGrace,
 	}
 	return &orderScheduler{
 		messageOverhead: config.Channel.MessageOverhead,
-		queueLimit:      channel.Limit(),
+		queueLimit:      channel.InFlightLimit(),
 		maxMessages:     int(config.Channel.MessageLimit),
 	}
 }
@@ -61,7 +61,7 @@
 // reduce drops the orders of an urgent message that are not essential.
 func (d *delivery) reduce(messageOverhead float64) {
 	d.orders = d.essential
-	d.message.Lines = ordering.Lines(len(d.orders), messageOverhead)
+	d.message.Lines = ordering.MessageLines(len(d.orders), messageOverhead)
 }
 
 // run recomputes all zones and sends the orders of the pending proxies as far as the channel takes them; the others stay
@@ -74,13 +74,13 @@
 	inFlight := linesInFlight(assigner.proxies)
 	sequence := (s.sequence + 1) % sequenceCount
 	sent := false
-	crowded := ordering.Crowded(urgentLines(deliveries), inFlight, s.queueLimit)
+	crowded := ordering.IsCongested(urgentLines(deliveries), inFlight, s.queueLimit)
 	for _, delivery := range deliveries {
 		if crowded && delivery.message.Urgent {
 			delivery.reduce(s.messageOverhead)
 		}
 		fits := ordering.Fits(delivery.message, inFlight, s.queueLimit)
-		if !fits || !ordering.Allowed(delivery.proxy.history(assigner), delivery.message.Urgent, s.maxMessages) {
+		if !fits || !ordering.MessageAllowed(delivery.proxy.history(assigner), delivery.message.Urgent, s.maxMessages) {
 			s.pending = append(s.pending, delivery.proxy)
 			continue
 		}
@@ -94,8 +94,8 @@
 		assigner.order(AcknowledgmentRequest{Sequence: sequence})
 	}
 	if len(s.pending) > 0 {
-		s.retryAt = assigner.now + ordering.RetryDelay
-		assigner.order(SetTimer{Delay: ordering.RetryDelay})
+		s.retryAt = assigner.now + ordering.DeferredMessageDelay
+		assigner.order(SetTimer{Delay: ordering.DeferredMessageDelay})
 	}
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		message := ordering.Message{
-			Lines:         ordering.Lines(len(result.orders), s.messageOverhead),
+			Lines:         ordering.MessageLines(len(result.orders), s.messageOverhead),
 			Urgent:        result.urgent,
 			UrgentSince:   pending.urgentWait.since,
 			LastMessageAt: pending.lastMessageAt(),
--- a/assign/slowstart/slowstart.go
+++ b/assign/slowstart/slowstart.go
@@ -1,66 +1,76 @@
-// Package slowstart decides how much an endpoint may be given while it warms up after its start, and how much a proxy
-// may admit while its table holds such endpoints.
+// Package slowstart decides how much load an endpoint may receive while it warms up after its start, and how much load
+// a proxy may admit while its table holds warming endpoints.
 //
-// It acts from the start of an endpoint's process until Config.Duration has passed. Its inputs are times in seconds
-// on the assigner's clock and rates in requests per second. It returns fractions of a listed weight and rate caps.
-// See docs/design.md, "What was changed", 1 (health weights) and 6 (slow-start rate cap).
+// Its rules apply from the start of an endpoint's process until Config.Duration has passed. The inputs are times in
+// seconds on the assigner's clock and rates in requests per second. The results are fractions of a listed weight and
+// rate caps. See docs/design.md, "What was changed", 1 (health weights) and 6 (slow-start rate cap).
 package slowstart
 
 import "math"
 
-// Config describes how an endpoint that has just started reaches its full speed.
+// Config describes how the capacity of an endpoint grows after its start.
 type Config struct {
-	InitialFraction  float64 // of its capacity, right after the start; default 1
-	Duration         float64 // until it is at full speed, s; default 0: there is no warm-up
-	OverloadWindow   float64 // over which an overload of a warming endpoint is measured, s; default 0
-	OverloadMultiple float64 // of its capacity; more within the window overloads it; default 2
+	// InitialCapacityFraction is the fraction of its capacity that an endpoint has right after its start. The default
+	// is 1.
+	InitialCapacityFraction float64
+	// Duration is the time from the start to full capacity, in seconds. The default is 0, which means that there is no
+	// warm-up.
+	Duration float64
+	// OverloadWindow is the window, in seconds, over which an overload of a warming endpoint is measured. The default
+	// is 0.
+	OverloadWindow float64
+	// OverloadMultiple is the load within OverloadWindow, as a multiple of the capacity, above which a warming endpoint
+	// is overloaded. The default is 2.
+	OverloadMultiple float64
 }
 
-// Start is what the capacity of an endpoint depends on.
-type Start struct {
-	StartedAt         float64 // of its process, s; 0: long ago
-	Now               float64 // s
-	RateLimitsIgnored bool    // proxies admit all requests, whatever their rate limit
+// WarmUpState holds the inputs that determine the capacity of a starting endpoint.
+type WarmUpState struct {
+	StartedAt         float64 // start of the endpoint's process, in seconds; 0 means long ago
+	Now               float64 // current time, in seconds
+	RateLimitsIgnored bool    // whether proxies admit all requests regardless of their rate limit
 }
 
-// CapacityFraction returns the fraction of its capacity that an endpoint has for certain: 0 to 1, or above 1 during
-// the warm-up where InitialFraction is above 1. It goes linearly from the initial fraction to 1 over the configured
-// duration. It is 0 within the first overload window, because proxies with outdated tables may have spent that
-// window's budget before the assigner was notified of the start. It stays 0 until the end of the warm-up where rate
-// limits are ignored, because nothing else protects the endpoint from a burst.
-func CapacityFraction(config Config, start Start) float64 {
-	age := start.Now - start.StartedAt
-	if start.StartedAt == 0 || age >= config.Duration {
+// CapacityFraction returns the fraction of its capacity that an endpoint certainly has. It is between 0 and 1, or above
+// 1 during the warm-up if InitialCapacityFraction is above 1. After the first overload window it changes linearly with
+// the endpoint's age, from the initial fraction at the start to 1 at the end of the warm-up. Within the first overload
+// window it is 0, because proxies with outdated tables may already have used up the load that the endpoint tolerates in
+// that window before the assigner learned of the start. If rate limits are ignored, it is 0 until the end of the
+// warm-up, because nothing else protects the endpoint from a burst.
+func CapacityFraction(config Config, state WarmUpState) float64 {
+	age := state.Now - state.StartedAt
+	if state.StartedAt == 0 || age >= config.Duration {
 		return 1
 	}
-	if age < config.OverloadWindow || start.RateLimitsIgnored {
+	if age < config.OverloadWindow || state.RateLimitsIgnored {
 		return 0
 	}
-	gain := (1 - config.InitialFraction) * age / config.Duration
-	return config.InitialFraction + gain
+	gain := (1 - config.InitialCapacityFraction) * age / config.Duration
+	return config.InitialCapacityFraction + gain
 }
 
 const (
-	// burstFraction is the part of the overload multiple that a cap uses, because proxies bring more before a report
-	// shows it.
-	burstFraction = 0.5
-	// deviations is the number of standard deviations that a cap leaves room for: few seconds exceed two.
-	deviations = 2
+	// overloadMultipleFraction is the fraction of the overload multiple that a rate cap uses. It is below 1 because
+	// proxies receive more requests before a report shows the increase.
+	overloadMultipleFraction = 0.5
+	// standardDeviations is the number of standard deviations above the expected rate that a rate cap allows for. The
+	// number of requests exceeds two standard deviations only in few seconds.
+	standardDeviations = 2
 )
 
-// Demand is what one request class brings to a proxy whose table holds warming endpoints.
-type Demand struct {
-	ReportedRate  float64 // 1/s
-	TypicalRate   float64 // of the class at that proxy on a usual day, 1/s
-	TableCapacity float64 // fraction of its usual weight that the table can serve, 0 to 1
+// ClassDemand describes the traffic of one request class at a proxy whose table holds warming endpoints.
+type ClassDemand struct {
+	ObservedRate          float64 // rate of the class in the proxy's reports, in requests per second
+	TypicalRate           float64 // rate of the class at the proxy on a typical day, in requests per second
+	TableCapacityFraction float64 // fraction of the table's usual weight that its endpoints can serve, 0 to 1
 }
 
-// RateCap returns the rate in requests per second that the proxy may admit of the class. Reports arrive too late to
-// stop a burst on a warming endpoint, so the cap acts before one. It leaves room for the standard deviation of the
-// number of requests in one second, a Poisson process, because a rate of one request per second varies by chance
-// alone.
-func RateCap(config Config, demand Demand) float64 {
-	expected := math.Max(demand.ReportedRate, demand.TypicalRate)
-	withDeviations := expected + deviations*math.Sqrt(expected)
-	return demand.TableCapacity * burstFraction * config.OverloadMultiple * withDeviations
+// RateCap returns the rate, in requests per second, that the proxy may admit of the class. It is proportional to
+// TableCapacityFraction. The cap applies before a burst occurs, because reports arrive too late to stop a burst on a
+// warming endpoint. It allows for the standard deviation of the number of requests in one second, taken as Poisson
+// distributed, because even a steady rate of one request per second varies by chance.
+func RateCap(config Config, demand ClassDemand) float64 {
+	expectedRate := math.Max(demand.ObservedRate, demand.TypicalRate)
+	highRate := expectedRate + standardDeviations*math.Sqrt(expectedRate)
+	return demand.TableCapacityFraction * overloadMultipleFraction * config.OverloadMultiple * highRate
 }
--- a/assign/slowstart/slowstart_test.go
+++ b/assign/slowstart/slowstart_test.go
@@ -9,36 +9,36 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// tolerance is the relative error of a few float operations.
+// tolerance is the allowed relative error of a few floating-point operations.
 const tolerance = 1e-12
 
 func TestCapacityFraction(t *testing.T) {
 	const startedAt = 100.0
-	config := slowstart.Config{InitialFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2}
+	config := slowstart.Config{InitialCapacityFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2}
 	for _, test := range []struct {
 		name  string
-		start slowstart.Start
+		state slowstart.WarmUpState
 		want  float64
 	}{
-		{name: "started long ago", start: slowstart.Start{StartedAt: 0, Now: 1}, want: 1},
-		{name: "start in the future", start: slowstart.Start{StartedAt: startedAt, Now: 99}, want: 0},
-		{name: "at the start", start: slowstart.Start{StartedAt: startedAt, Now: 100}, want: 0},
-		{name: "end of the overload window, before", start: slowstart.Start{StartedAt: startedAt, Now: 102.999}, want: 0},
-		{name: "end of the overload window", start: slowstart.Start{StartedAt: startedAt, Now: 103}, want: 0.44},
-		{name: "half of the warm-up", start: slowstart.Start{StartedAt: startedAt, Now: 105}, want: 0.6},
-		{name: "end of the warm-up, before", start: slowstart.Start{StartedAt: startedAt, Now: 109.875}, want: 0.99},
-		{name: "end of the warm-up", start: slowstart.Start{StartedAt: startedAt, Now: 110}, want: 1},
-		{name: "limits ignored, before the end", start: slowstart.Start{StartedAt: startedAt, Now: 109.875, RateLimitsIgnored: true}, want: 0},
-		{name: "limits ignored, at the end", start: slowstart.Start{StartedAt: startedAt, Now: 110, RateLimitsIgnored: true}, want: 1},
+		{name: "started long ago", state: slowstart.WarmUpState{StartedAt: 0, Now: 1}, want: 1},
+		{name: "start in the future", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 99}, want: 0},
+		{name: "at the start", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 100}, want: 0},
+		{name: "just before the end of the overload window", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 102.999}, want: 0},
+		{name: "end of the overload window", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 103}, want: 0.44},
+		{name: "middle of the warm-up", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 105}, want: 0.6},
+		{name: "just before the end of the warm-up", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 109.875}, want: 0.99},
+		{name: "end of the warm-up", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 110}, want: 1},
+		{name: "rate limits ignored, just before the end of the warm-up", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 109.875, RateLimitsIgnored: true}, want: 0},
+		{name: "rate limits ignored, end of the warm-up", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 110, RateLimitsIgnored: true}, want: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := slowstart.CapacityFraction(config, test.start); math.Abs(got-test.want) > tolerance {
+			if got := slowstart.CapacityFraction(config, test.state); math.Abs(got-test.want) > tolerance {
 				t.Errorf("got fraction %g, want %g", got, test.want)
 			}
 		})
 	}
 	t.Run("no warm-up", func(t *testing.T) {
-		got := slowstart.CapacityFraction(slowstart.Config{InitialFraction: 1}, slowstart.Start{StartedAt: startedAt, Now: startedAt})
+		got := slowstart.CapacityFraction(slowstart.Config{InitialCapacityFraction: 1}, slowstart.WarmUpState{StartedAt: startedAt, Now: startedAt})
 		if got != 1 {
 			t.Errorf("got fraction %g, want 1", got)
 		}
@@ -47,20 +47,20 @@
 
 func TestRateCap(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		multiple float64
-		demand   slowstart.Demand
-		want     float64
+		name             string
+		overloadMultiple float64
+		demand           slowstart.ClassDemand
+		want             float64
 	}{
-		{"reported above typical", 2, slowstart.Demand{ReportedRate: 4, TypicalRate: 1, TableCapacity: 1}, 4 + 2*2},
-		{"typical above reported", 2, slowstart.Demand{ReportedRate: 4, TypicalRate: 9, TableCapacity: 1}, 9 + 2*3},
-		{"half of the overload multiple", 5, slowstart.Demand{ReportedRate: 4, TableCapacity: 1}, 2.5 * (4 + 2*2)},
-		{"a quarter of the table's weight", 2, slowstart.Demand{ReportedRate: 4, TableCapacity: 0.25}, 0.25 * (4 + 2*2)},
-		{"no traffic", 2, slowstart.Demand{TableCapacity: 1}, 0},
-		{"no capacity", 2, slowstart.Demand{ReportedRate: 4}, 0},
+		{"observed rate above typical rate", 2, slowstart.ClassDemand{ObservedRate: 4, TypicalRate: 1, TableCapacityFraction: 1}, 4 + 2*2},
+		{"typical rate above observed rate", 2, slowstart.ClassDemand{ObservedRate: 4, TypicalRate: 9, TableCapacityFraction: 1}, 9 + 2*3},
+		{"half of the overload multiple", 5, slowstart.ClassDemand{ObservedRate: 4, TableCapacityFraction: 1}, 2.5 * (4 + 2*2)},
+		{"a quarter of the table's weight", 2, slowstart.ClassDemand{ObservedRate: 4, TableCapacityFraction: 0.25}, 0.25 * (4 + 2*2)},
+		{"no traffic", 2, slowstart.ClassDemand{TableCapacityFraction: 1}, 0},
+		{"no capacity", 2, slowstart.ClassDemand{ObservedRate: 4}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			config := slowstart.Config{OverloadMultiple: test.multiple}
+			config := slowstart.Config{OverloadMultiple: test.overloadMultiple}
 			if got := slowstart.RateCap(config, test.demand); math.Abs(got-test.want) > tolerance*test.want {
 				t.Errorf("got cap %g/s, want %g/s", got, test.want)
 			}
@@ -68,37 +68,38 @@
 	}
 }
 
-// The fraction stays from 0 to 1 and never falls while time passes.
-func TestCapacityFractionRises(t *testing.T) {
+// TestCapacityFractionNeverDecreases checks that the fraction remains between 0 and 1 and never decreases over time.
+func TestCapacityFractionNeverDecreases(t *testing.T) {
 	quickcheck.Seeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		config := drawConfig(random)
-		start := slowstart.Start{StartedAt: quickcheck.Magnitude(random, 1e-3, 1e10), RateLimitsIgnored: random.Intn(4) == 0}
-		last := 0.0
+		state := slowstart.WarmUpState{StartedAt: quickcheck.Magnitude(random, 1e-3, 1e10), RateLimitsIgnored: random.Intn(4) == 0}
+		previous := 0.0
 		for step := range 30 {
-			start.Now = start.StartedAt + config.Duration*float64(step)/25
-			got := slowstart.CapacityFraction(config, start)
-			if !(got >= last && got <= 1) {
-				t.Errorf("%+v, %+v: got fraction %g, want %g to 1", config, start, got, last)
+			state.Now = state.StartedAt + config.Duration*float64(step)/25
+			got := slowstart.CapacityFraction(config, state)
+			if !(got >= previous && got <= 1) {
+				t.Errorf("%+v, %+v: got fraction %g, want %g to 1", config, state, got, previous)
 				return false
 			}
-			last = got
+			previous = got
 		}
 		return true
 	})
 }
 
-// A cap is at most half the overload multiple of the expected rate with two deviations, and grows with the table's capacity.
+// TestRateCapKeepsItsBound checks that a cap is between 0 and half of the overload multiple times the expected rate
+// plus two standard deviations.
 func TestRateCapKeepsItsBound(t *testing.T) {
 	quickcheck.Seeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		config := drawConfig(random)
-		demand := slowstart.Demand{
-			ReportedRate:  quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
-			TypicalRate:   quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
-			TableCapacity: quickcheck.Fraction(random),
+		demand := slowstart.ClassDemand{
+			ObservedRate:          quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
+			TypicalRate:           quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
+			TableCapacityFraction: quickcheck.Fraction(random),
 		}
-		expected := max(demand.ReportedRate, demand.TypicalRate)
+		expected := max(demand.ObservedRate, demand.TypicalRate)
 		bound := 0.5 * config.OverloadMultiple * (expected + 2*math.Sqrt(expected))
 		got := slowstart.RateCap(config, demand)
 		if !(got >= 0 && got <= bound*(1+tolerance)) || math.IsInf(got, 0) {
@@ -112,9 +113,9 @@
 func drawConfig(random *rand.Rand) slowstart.Config {
 	duration := quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e5)
 	return slowstart.Config{
-		InitialFraction:  quickcheck.Fraction(random),
-		Duration:         duration,
-		OverloadWindow:   duration * quickcheck.Fraction(random),
-		OverloadMultiple: quickcheck.Magnitude(random, 1e-3, 1e3),
+		InitialCapacityFraction: quickcheck.Fraction(random),
+		Duration:                duration,
+		OverloadWindow:          duration * quickcheck.Fraction(random),
+		OverloadMultiple:        quickcheck.Magnitude(random, 1e-3, 1e3),
 	}
 }
--- a/assign/tables.go
+++ b/assign/tables.go
@@ -38,20 +38,20 @@
 // tableOrders returns the orders that bring the proxy's tables to what they should be, none if nothing is worth a message.
 func (p *proxy) tableOrders(assigner *Assigner) tableOrders {
 	z := assigner.zone(p.zone)
-	inputs := assignment.Proxy{
-		Connected:        p.connected,
-		TablesByShard:    assigner.config.Shards > 0,
-		HasAssigned:      p.hasAssignedTables,
-		HasUnknown:       p.contents.Unknown,
-		RateLimited:      p.rateLimit != 0,
-		ZoneOverloaded:   z.overloaded,
-		DefaultTableNeed: z.defaultTableNeed(p.contents.Local),
+	inputs := assignment.ProxyState{
+		Connected:         p.connected,
+		TablesByShard:     assigner.config.Shards > 0,
+		HasAssignedTables: p.hasAssignedTables,
+		HasUnknownTables:  p.contents.Unknown,
+		RateLimited:       p.rateLimit != 0,
+		ZoneOverloaded:    z.overloaded,
+		DefaultTableNeed:  z.defaultTableNeed(p.contents.OnlyLocal),
 	}
-	if !assignment.NeedsTables(inputs) {
+	if !assignment.NeedsAssignedTables(inputs) {
 		return tableOrders{}
 	}
 	var result tableOrders
-	if assignment.UrgentAttachment(inputs) {
+	if assignment.AttachmentIsUrgent(inputs) {
 		result.require(p.connectedAt)
 	}
 	for _, group := range assigner.groups {
@@ -80,22 +80,22 @@
 func (p *proxy) addEntries(assigner *Assigner, group *tableGroup, wanted builtTable, result *tableOrders) {
 	table := p.tableNumber(assigner, group)
 	held := p.tables[group.index]
-	changes := assignment.Changes(held, wanted.Entries)
+	changes := assignment.Diff(held, wanted.Entries)
 	entries := make([]assignment.EntryChange, len(changes))
 	for i, change := range changes {
 		entries[i] = assignment.EntryChange{
-			From:    subset.WeightOf(held, change.Endpoint),
-			To:      change.Weight,
-			Ready:   change.Endpoint.ready(),
-			Warming: change.Endpoint.warming(assigner),
+			OldWeight: subset.WeightOf(held, change.Endpoint),
+			NewWeight: change.Weight,
+			Ready:     change.Endpoint.ready(),
+			Warming:   change.Endpoint.warming(assigner),
 		}
 	}
-	allEssential := !p.hasAssignedTables || !assignment.LeavesEntry(len(held), entries)
+	allEssential := !p.hasAssignedTables || !assignment.NonEmptyAfterEssentialChanges(len(held), entries)
 	for i, change := range changes {
-		if assignment.UrgentEntry(entries[i]) {
+		if assignment.EntryChangeIsUrgent(entries[i]) {
 			result.require(p.urgentSince(assigner, change.Endpoint))
 		}
-		result.add(SetWeight{table, change.Endpoint.name, change.Weight}, allEssential || assignment.EssentialEntry(entries[i]))
+		result.add(SetWeight{table, change.Endpoint.name, change.Weight}, allEssential || assignment.EntryChangeIsEssential(entries[i]))
 	}
 }
 
@@ -125,19 +125,19 @@
 func (p *proxy) addLimits(assigner *Assigner, group *tableGroup, wanted builtTable, result *tableOrders) {
 	table := p.tableNumber(assigner, group)
 	budget := admission.NewBudget(p.rateLimit)
-	retries := admission.Retries(assigner.config.Retries, p.rateLimit > 0, wanted.Warming)
+	retries := admission.AllowedRetries(assigner.config.Retries, p.rateLimit > 0, wanted.Warming)
 	for _, class := range assigner.classesByPriority {
-		rate := budget.Limit(admission.Demand{
-			Rate:    p.rates[class.index],
-			Cap:     p.rateCap(assigner, class, wanted),
-			ByRatio: assigner.config.Admission == AdmitByRatio,
+		rate := budget.Allocate(admission.ClassDemand{
+			ObservedRate: p.rates[class.index],
+			SlowStartCap: p.rateCap(assigner, class, wanted),
+			AdmitByRatio: assigner.config.Admission == AdmitByRatio,
 		})
-		limit := assignment.Limit{Rate: rate, Retries: retries}
+		limit := assignment.ClassLimit{Rate: rate, Retries: retries}
 		held := p.classLimits[class.index]
-		if !slices.Contains(group.classes, class.index) || !assignment.LimitWorthSending(held, limit) {
+		if !slices.Contains(group.classes, class.index) || !assignment.IsSignificantLimitChange(held, limit) {
 			continue
 		}
-		urgent := assignment.UrgentLimit(held.Rate, limit.Rate, wanted.Warming)
+		urgent := assignment.LimitChangeIsUrgent(held.Rate, limit.Rate, wanted.Warming)
 		if urgent {
 			result.require(assigner.now)
 		}
@@ -151,9 +151,9 @@
 	if !wanted.Warming {
 		return admission.Unlimited
 	}
-	return slowstart.RateCap(assigner.config.WarmUp, slowstart.Demand{
-		ReportedRate:  p.rates[class.index],
-		TypicalRate:   p.typicalRate * class.trafficFraction,
-		TableCapacity: wanted.WarmingCapacity,
+	return slowstart.RateCap(assigner.config.WarmUp, slowstart.ClassDemand{
+		ObservedRate:          p.rates[class.index],
+		TypicalRate:           p.typicalRate * class.trafficFraction,
+		TableCapacityFraction: wanted.WarmingCapacity,
 	})
 }
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -169,9 +169,9 @@
 func (a *Assigner) redistributeQuotas(members []*proxy, observedRate float64) {
 	inputs := make([]quota.Member, len(members))
 	for i, p := range members {
-		inputs[i] = quota.Member{Quota: p.quota, Rate: p.totalRate()}
+		inputs[i] = quota.Member{Quota: p.quota, ObservedRate: p.totalRate()}
 	}
-	quotas := quota.Redistribute(quota.Split{Total: a.totalRate, Observed: observedRate}, inputs)
+	quotas := quota.Redistribute(quota.Split{TotalRate: a.totalRate, ObservedRate: observedRate}, inputs)
 	for i, p := range members {
 		a.send(quotaAssigned{p, quotas[i], quotas[i] * a.totalRate})
 	}
@@ -194,10 +194,10 @@
 	joining := sortedWithoutQuota(a.joining)
 	result := quota.Join(len(members), len(joining))
 	for _, p := range members {
-		a.send(quotaAssigned{p, p.quota * result.Scale, p.rateLimit})
+		a.send(quotaAssigned{p, p.quota * result.MemberScale, p.rateLimit})
 	}
 	for _, p := range joining {
-		a.send(quotaAssigned{p, result.Quota, 0})
+		a.send(quotaAssigned{p, result.JoiningQuota, 0})
 	}
 	a.joining = nil
 }
--- a/assign/timing/timing.go
+++ b/assign/timing/timing.go
@@ -1,16 +1,17 @@
-// Package timing has the durations that several rules share. All are in seconds.
+// Package timing contains the durations that several packages share. All durations are in seconds.
 package timing
 
 const (
-	// TickInterval is the time between two ticks: the period of the rate split and of health assessment, s. The
-	// design page calls it period.
+	// TickInterval is the time between two ticks, in seconds. Each tick updates the rate split and assesses the health
+	// of the endpoints. The design page calls this interval the period.
 	TickInterval = 1.0
-	// FeedbackDelay is the time for which reports may still describe the state before a change, s.
+	// FeedbackDelay is the time after a change, in seconds, for which reports may still describe the state before it.
 	FeedbackDelay = 3.0
-	// SilenceTimeout is the time without a report or a successful answer after which a proxy or an endpoint counts as
-	// silent, s.
+	// SilenceTimeout is the time, in seconds, without a report from a proxy or a successful answer from an endpoint
+	// after which the proxy or endpoint counts as silent.
 	SilenceTimeout = 10.0
 )
 
-// Silent reports whether the last report, at a time in seconds, is older than SilenceTimeout.
+// Silent reports whether more than SilenceTimeout has passed since a proxy or endpoint was last seen. Both times are in
+// seconds.
 func Silent(now, lastSeenAt float64) bool { return now-lastSeenAt > SilenceTimeout }
--- a/assign/timing/timing_test.go
+++ b/assign/timing/timing_test.go
@@ -8,16 +8,16 @@
 
 func TestSilent(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		since float64 // the last report, s
-		want  bool
+		name          string
+		sinceLastSeen float64 // time since the proxy or endpoint was last seen, in seconds
+		want          bool
 	}{
-		{"now", 0, false},
-		{"for the timeout", 10, false},
-		{"for longer than the timeout", 10.001, true},
+		{"seen now", 0, false},
+		{"silent for the timeout", 10, false},
+		{"silent for longer than the timeout", 10.001, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := timing.Silent(100, 100-test.since); got != test.want {
+			if got := timing.Silent(100, 100-test.sinceLastSeen); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
--- a/assign/warming_test.go
+++ b/assign/warming_test.go
@@ -12,7 +12,7 @@
 	for mode, want := range map[AdmissionMode]bool{AdmitByRate: true, AdmitByRatio: true, AdmissionIgnored: false} {
 		config := DefaultConfig()
 		config.Admission = mode
-		config.WarmUp = WarmUpConfig{InitialFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2}
+		config.WarmUp = WarmUpConfig{InitialCapacityFraction: 0.2, Duration: 10, OverloadWindow: 3, OverloadMultiple: 2}
 		a := New(1, config)
 		a.Handle(5, []Event{EndpointUpdate{Full: true, Endpoints: []Endpoint{{Name: "a", Zone: "x", StartedAt: 1}}}})
 		if got := a.endpoints["a"].conditionIn(a, "x").usableWeight > 0; got != want {
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -16,12 +16,12 @@
 
 	// Written by recompute.
 	overloaded     bool
-	excludeWarming bool            // see subset.ExcludeWarming
-	busy           float64         // mean busy fraction of its ready and verified endpoints; 1 is full
-	readyWeight    float64         // listed weight of its ready and verified endpoints
-	peakWeight     float64         // the highest readyWeight so far
-	needAnywhere   assignment.Need // of a default table that may hold any endpoint
-	needLocal      assignment.Need // of a default table that holds only endpoints of the zone
+	excludeWarming bool                       // see subset.ExcludeWarming
+	busy           float64                    // mean busy fraction of its ready and verified endpoints; 1 is full
+	readyWeight    float64                    // listed weight of its ready and verified endpoints
+	peakWeight     float64                    // the highest readyWeight so far
+	needAnywhere   assignment.ReplacementNeed // of a default table that may hold any endpoint
+	needLocal      assignment.ReplacementNeed // of a default table that holds only endpoints of the zone
 
 	plans map[*tableGroup]*tablePlan // written by plan, discarded by recompute
 
@@ -47,10 +47,10 @@
 	z.plans = map[*tableGroup]*tablePlan{}
 	z.needAnywhere = assignment.KeepDefault
 	if assigner.expiredEndpoints {
-		z.needAnywhere = assignment.ReplaceUrgently
+		z.needAnywhere = assignment.ReplaceDefaultUrgently
 	}
 	z.needLocal = z.needAnywhere
-	var summary locality.Summary
+	var summary locality.ZoneSummary
 	for _, record := range assigner.endpointList {
 		condition := record.conditionIn(assigner, z.name)
 		local := record.zone == z.name
@@ -60,10 +60,10 @@
 			Warming:      condition.warming,
 			Unverified:   condition.unverified,
 			ListedWeight: record.listedWeight,
-			Busy:         record.busy,
+			BusyFraction: record.busy,
 			FailureRatio: condition.health.FailureRatio,
 		})
-		need := assignment.NeedFor(record.ready(), condition.warming, condition.health.Weight)
+		need := assignment.ReplacementNeedFor(record.ready(), condition.warming, condition.health.Weight)
 		z.needAnywhere = max(z.needAnywhere, need)
 		if local {
 			z.needLocal = max(z.needLocal, need)
@@ -71,13 +71,13 @@
 	}
 	z.readyWeight = summary.ReadyWeight
 	z.peakWeight = math.Max(z.peakWeight, summary.ReadyWeight)
-	z.busy = summary.Busy()
-	z.overloaded = locality.Overloaded(z.busy, z.overloaded)
-	z.excludeWarming = subset.ExcludeWarming(summary.MostWarmFail(), assigner.tableSize.Entries)
+	z.busy = summary.MeanBusyFraction()
+	z.overloaded = locality.IsOverloaded(z.busy, z.overloaded)
+	z.excludeWarming = subset.ExcludeWarming(summary.MostWarmAttemptsFail(), assigner.tableSize.Entries)
 }
 
 // defaultTableNeed returns what a default table needs, local if it holds only endpoints of the zone.
-func (z *zone) defaultTableNeed(local bool) assignment.Need {
+func (z *zone) defaultTableNeed(local bool) assignment.ReplacementNeed {
 	if local {
 		return z.needLocal
 	}
@@ -86,7 +86,7 @@
 
 // adjustSpillover moves the zone's spill-over by a step.
 func (z *zone) adjustSpillover(assigner *Assigner) {
-	inputs := locality.Zone{Overloaded: z.overloaded, Busy: z.busy, ReadyWeight: z.readyWeight}
+	inputs := locality.ZoneLoad{Overloaded: z.overloaded, MeanBusyFraction: z.busy, ReadyWeight: z.readyWeight}
 	if z.overloaded {
 		inputs.Remote = z.sumRemote(assigner)
 	}
@@ -94,8 +94,8 @@
 }
 
 // sumRemote sums up all endpoints of other zones, also those that no request class may use from here.
-func (z *zone) sumRemote(assigner *Assigner) locality.Remote {
-	remote := locality.NewRemote()
+func (z *zone) sumRemote(assigner *Assigner) locality.RemoteSummary {
+	remote := locality.NewRemoteSummary()
 	for _, e := range assigner.endpointList {
 		if e.zone != z.name {
 			remote.Add(e.busy, e.conditionIn(assigner, z.name).usableWeight)
--- a/internal/settings/mappings.go
+++ b/internal/settings/mappings.go
@@ -33,7 +33,7 @@
 		{"familyInfo.proxyCount", number(&config.ProxyCount)},
 		{"familyInfo.usualHow", count(&config.Retries)},
 		{"familyInfo.worstTransitMs", milliseconds(&config.Channel.MaxTransit)},
-		{"obligations.coldFrom", number(&config.WarmUp.InitialFraction)}, // fraction of the capacity
+		{"obligations.coldFrom", number(&config.WarmUp.InitialCapacityFraction)}, // fraction of the capacity
 		{"obligations.coldMs", milliseconds(&config.WarmUp.Duration)},
 		{"obligations.drainGraceMs", milliseconds(&config.DrainGrace)},
 		{"obligations.droppedStayOpen", flag(&config.RemovalIsAdvisory)},
