--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -36,8 +36,8 @@
 	// for a new process.
 	health []*zoneHealth
 
-	reported   overload.Attempts // since the last tick; written by recordLoad, reset by closePeriod
-	lastPeriod overload.Attempts // of the period before the last tick, per second; written by closePeriod
+	reported   overload.AttemptStats // since the last tick; written by recordLoad, reset by closePeriod
+	lastPeriod overload.AttemptStats // of the period before the last tick, per second; written by closePeriod
 }
 
 // zoneHealth is an endpoint's health as the proxies of one zone observe it.
@@ -108,7 +108,7 @@
 		status:         membership.Status{State: Removed},
 		notReadySince:  a.now,
 		lastListedAt:   a.now,
-		lastAnsweredAt: outlier.AssumedAnswer(firstUpdate, a.now),
+		lastAnsweredAt: outlier.InitialAnswerTime(firstUpdate, a.now),
 	}
 }
 
@@ -160,12 +160,12 @@
 	if assigner.busyColumn >= 0 && assigner.busyColumn < len(report.Load) {
 		e.busy = report.Load[assigner.busyColumn]
 	}
-	e.healthIn(report.Zone).Record(report.Attempts, report.Failed, report.MeanLatency)
+	e.healthIn(report.Zone).RecordAttempts(report.Attempts, report.Failed, report.MeanLatency)
 	successful := float64(report.Attempts - report.Failed)
-	e.reported.Add(overload.Attempts{
+	e.reported.Add(overload.AttemptStats{
 		Total:  float64(report.Attempts),
 		Failed: float64(report.Failed),
-		InTime: successful * outlier.InTimeCredit(report.MeanLatency, assigner.lateThreshold()),
+		InTime: successful * outlier.InTimeFraction(report.MeanLatency, assigner.lateThreshold()),
 	})
 	if report.Attempts > report.Failed {
 		e.lastAnsweredAt = assigner.now
@@ -175,18 +175,18 @@
 
 // lateThreshold returns the mean latency above which answers count as late, over all request classes, s.
 func (a *Assigner) lateThreshold() float64 {
-	var mean outlier.ObjectiveMean
+	var mean outlier.LatencyObjectiveMean
 	for _, class := range a.classes {
 		mean.Add(class.LatencyObjective, class.trafficFraction)
 	}
-	return outlier.LateThreshold(mean.Objective())
+	return outlier.LateThreshold(mean.Value())
 }
 
 // closePeriod closes the sums of the period and assesses the endpoint's health in each zone. The rates are those of a period
 // of one tick interval; after a late tick they are too high. LateThreshold is the result of Assigner.lateThreshold.
 func (e *endpoint) closePeriod(assigner *Assigner, lateThreshold float64) {
 	e.lastPeriod = e.reported.PerSecond(timing.TickInterval)
-	e.reported = overload.Attempts{}
+	e.reported = overload.AttemptStats{}
 	if e.status.Delisted { // it may have fallen silent since
 		assigner.send(endpointDropped{e})
 	}
@@ -197,7 +197,7 @@
 
 // decreaseWeight decreases the health weight of an endpoint that the proxies of a zone found unhealthy.
 func (e *endpoint) decreaseWeight(assigner *Assigner, health *zoneHealth) {
-	next, probation := outlier.Decrease(health.Health, assigner.meanFailureRatio, assigner.now)
+	next, probation := outlier.DecreaseWeight(health.Health, assigner.meanFailureRatio, assigner.now)
 	health.Health = next
 	if probation {
 		assigner.log("endpoint put on probation", LogField{"endpoint", e.name}, LogField{"zone", health.zone},
@@ -230,7 +230,7 @@
 	health := e.healthIn(zone)
 	capacityFraction := e.capacityFraction(assigner)
 	result := condition{health: health, warming: capacityFraction < 1}
-	result.unverified = outlier.Unverified(outlier.Proof{
+	result.unverified = outlier.Unverified(outlier.VerificationInput{
 		LastAnsweredAt: e.lastAnsweredAt,
 		Now:            assigner.now,
 		Warming:        capacityFraction != 1, // also above 1, where the settings let it start above its full capacity
--- a/assign/endpoint_test.go
+++ b/assign/endpoint_test.go
@@ -35,7 +35,7 @@
 		e.recordLoad(sim.assigner, EndpointLoadReport{Zone: "x", Endpoint: "t0", Interval: 1, MeanLatency: test.meanLatency, Attempts: 40, Failed: test.failed})
 		health.Health = outlier.Assess(health.Health, sim.assigner.lateThreshold(), sim.now)
 		sim.assigner.meanFailureRatio = test.meanFailureRatio
-		health.NextChange = 0
+		health.NextChangeAt = 0
 		e.decreaseWeight(sim.assigner, health)
 		if health.Weight < test.minWeight || health.Weight > test.maxWeight {
 			t.Errorf("%+v: got weight %v, want %v to %v", test, health.Weight, test.minWeight, test.maxWeight)
--- a/assign/outlier/latency.go
+++ b/assign/outlier/latency.go
@@ -2,51 +2,53 @@
 
 import "math"
 
-// lateFraction of the latency objective is the most that a mean latency may be. Above it, answers that are slower
-// than the mean miss the objective.
-const lateFraction = 0.4
+// lateThresholdFraction is the highest acceptable mean latency, as a fraction of the latency objective. If the mean
+// is higher, the answers that are slower than the mean miss the objective.
+const lateThresholdFraction = 0.4
 
-// LateThreshold returns the mean latency in seconds above which answers are late. Objective is the latency objective
-// in seconds; 0 stands for none, without which no answer is late: the threshold is infinite.
+// LateThreshold returns the mean latency in seconds above which answers count as late. The objective is the latency
+// objective in seconds. An objective of 0 means that there is no objective: the threshold is then infinite, so that
+// no answer is late.
 func LateThreshold(objective float64) float64 {
 	if objective == 0 {
 		return math.Inf(1)
 	}
-	return lateFraction * objective
+	return lateThresholdFraction * objective
 }
 
-// ObjectiveMean is the latency objective of the request classes that state one, averaged by their rate. Its zero value
-// is the mean of no class.
-type ObjectiveMean struct {
-	weighted float64 // sum of the objectives in seconds, each times its class's fraction of the rate
-	fraction float64 // sum of those fractions
-	partial  bool    // some class states no objective; otherwise the fractions sum to 1
+// LatencyObjectiveMean accumulates the mean latency objective of the request classes that state an objective, weighted
+// by the request rate of each class. Its zero value is the mean over no request classes.
+type LatencyObjectiveMean struct {
+	weightedSum          float64 // sum of each class's objective, in seconds, times its rate fraction
+	fractionSum          float64 // sum of the rate fractions of the classes that state an objective
+	someWithoutObjective bool    // at least one class states no objective; otherwise fractionSum is 1
 }
 
-// Add adds a class by its objective in seconds, 0 if it states none, and by its fraction of the rate of all classes,
-// which is above 0. A class without an objective does not tell when the answers of the others are late.
-func (m *ObjectiveMean) Add(objective, trafficFraction float64) {
+// Add adds a request class to the mean. The objective is in seconds, or 0 if the class states none. The
+// trafficFraction is the class's fraction of the request rate of all classes and must be above 0. A class without an
+// objective is left out of the mean, because it does not tell when the answers of the other classes are late.
+func (m *LatencyObjectiveMean) Add(objective, trafficFraction float64) {
 	if objective == 0 {
-		m.partial = true
+		m.someWithoutObjective = true
 		return
 	}
-	m.weighted += objective * trafficFraction
-	m.fraction += trafficFraction
+	m.weightedSum += objective * trafficFraction
+	m.fractionSum += trafficFraction
 }
 
-// Objective returns the mean in seconds, 0 if no class states an objective.
-func (m *ObjectiveMean) Objective() float64 {
-	if !m.partial || m.fraction == 0 {
-		return m.weighted
+// Value returns the mean latency objective in seconds, or 0 if no class states an objective.
+func (m *LatencyObjectiveMean) Value() float64 {
+	if !m.someWithoutObjective || m.fractionSum == 0 {
+		return m.weightedSum
 	}
-	return m.weighted / m.fraction
+	return m.weightedSum / m.fractionSum
 }
 
-// MinInTimeCredit is the least part of late answers that counts as in time, because a late endpoint still works.
-const MinInTimeCredit = 0.8
+// MinInTimeFraction is the lower bound of InTimeFraction. It is above 0 because a late endpoint still serves requests.
+const MinInTimeFraction = 0.8
 
-// InTimeCredit returns the fraction of a report's successful attempts that counts as in time, by their mean latency,
-// MinInTimeCredit to 1. Both inputs are in seconds.
-func InTimeCredit(meanLatency, lateThreshold float64) float64 {
-	return math.Min(1, math.Max(MinInTimeCredit, lateThreshold/meanLatency))
+// InTimeFraction returns the fraction of the successful attempts in a load report that counts as answered in time,
+// from MinInTimeFraction to 1. Both inputs are in seconds; meanLatency is the mean latency of the successful attempts.
+func InTimeFraction(meanLatency, lateThreshold float64) float64 {
+	return math.Min(1, math.Max(MinInTimeFraction, lateThreshold/meanLatency))
 }
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -1,11 +1,12 @@
 // Package outlier assesses endpoints by the attempts that the proxies of one zone report, and decides the health
-// weight of each: a factor from ProbationWeight to 1 on its listed weight.
+// weight of each endpoint. The health weight is a factor from ProbationWeight to 1 that multiplies the endpoint's
+// listed weight.
 //
-// Assess acts once a tick on every endpoint; Decrease acts once a tick on unhealthy endpoints while there is no
-// overload. Unverified acts whenever tables are computed, InTimeCredit on each report (latency.go). Inputs are counts
-// of attempts, latencies and times in seconds, and ratios from 0 to 1. Assess and Decrease return the next Health.
-// Each zone has a Health of its own, because a network partition between zones is no fault of the endpoint. See
-// docs/design.md, "What was changed", 1 (health weights).
+// Assess is called once per tick for every endpoint. DecreaseWeight is called once per tick for unhealthy endpoints
+// while there is no overload. Unverified is called whenever tables are computed, and InTimeFraction (latency.go) for
+// each load report. Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Assess and
+// DecreaseWeight return the next Health. An endpoint has a separate Health for each zone, because a network partition
+// between zones is not a fault of the endpoint. See docs/design.md, "What was changed", 1 (health weights).
 package outlier
 
 import (
@@ -14,125 +15,135 @@
 	"madderhollow/assign/timing"
 )
 
-// neverAssessed, in seconds, is the time of the last assessment of an endpoint that had none: before the start of any
-// clock.
-const neverAssessed = -10.0
+// neverAssessedAt is the value of Health.AssessedAt, in seconds, for an endpoint that has never been assessed. It lies
+// before the start of any clock.
+const neverAssessedAt = -10.0
 
-// Health is what the proxies of one zone observe of an endpoint. NewHealth returns the first value.
+// Health is the health of one endpoint as observed by the proxies of one zone. NewHealth returns its initial value.
 type Health struct {
-	// Sums since the last assessment.
-	Attempts   float64
-	Failed     float64
-	LatencySum float64 // of the successful attempts, s
+	// Sums over the load reports since the last assessment.
+	Attempts       float64 // number of attempts
+	FailedAttempts float64 // number of failed attempts
+	LatencySum     float64 // sum of the latencies of the successful attempts, in seconds
 
 	// Results of the last assessment.
-	AssessedAt   float64 // s
-	FailureRatio float64 // of all attempts, 0 to 1
-	Late         bool    // successful attempts took too long
+	AssessedAt   float64 // time of the assessment, in seconds
+	FailureRatio float64 // failed attempts divided by all attempts, from 0 to 1
+	Late         bool    // the mean latency of the successful attempts was above the late threshold
 
-	Weight     float64 // factor on the listed weight, ProbationWeight to 1
-	NextChange float64 // earliest time at which Weight may change again, except to probation, s
+	Weight       float64 // health weight: factor on the listed weight, from ProbationWeight to 1
+	NextChangeAt float64 // earliest time at which Weight may change again, except to ProbationWeight, in seconds
 }
 
-// NewHealth returns the health of an endpoint without reports.
-func NewHealth() Health { return Health{Weight: 1, AssessedAt: neverAssessed} }
+// NewHealth returns the health of an endpoint for which there are no load reports yet.
+func NewHealth() Health { return Health{Weight: 1, AssessedAt: neverAssessedAt} }
 
-// Record adds the attempts of one report; meanLatency is that of the successful ones in seconds.
-func (h *Health) Record(attempts, failed int, meanLatency float64) {
+// RecordAttempts adds the attempts of one load report to the sums. The meanLatency is the mean latency of the
+// successful attempts in seconds.
+func (h *Health) RecordAttempts(attempts, failed int, meanLatency float64) {
 	h.Attempts += float64(attempts)
-	h.Failed += float64(failed)
+	h.FailedAttempts += float64(failed)
 	h.LatencySum += meanLatency * float64(attempts-failed)
 }
 
 const (
-	// minAttempts is the number of attempts that make an assessment; the outcome of fewer is chance.
+	// minAttempts is the minimum number of attempts for an assessment. The failure ratio of fewer attempts would be
+	// dominated by chance.
 	minAttempts = 4.0
-	// minAttemptsAtLowWeight replaces minAttempts below lowWeight, where tables bring few attempts.
+	// minAttemptsAtLowWeight replaces minAttempts for an endpoint whose health weight is below lowWeightThreshold,
+	// because tables send few attempts to such an endpoint.
 	minAttemptsAtLowWeight = minAttempts / 2
-	lowWeight              = 0.5 // health weight
-	// weightGain is added to the health weight of a healthy endpoint, at most once a tick.
-	weightGain = 0.1
+	// lowWeightThreshold is the health weight below which minAttemptsAtLowWeight applies.
+	lowWeightThreshold = 0.5
+	// weightRecoveryStep is the amount by which the health weight of a healthy endpoint rises, at most once per tick.
+	weightRecoveryStep = 0.1
 )
 
-// Assess returns the health after an assessment at a time in seconds, or the same health while there are too few
-// attempts. LateThreshold is the mean latency in seconds above which answers are late. A healthy endpoint regains
-// weight.
+// Assess assesses an endpoint at the time now, in seconds, and returns its next health. The lateThreshold is the mean
+// latency in seconds above which answers count as late. The assessment resets the sums and raises the health weight
+// of a healthy endpoint. While there are too few attempts for an assessment, Assess returns the health unchanged.
 func Assess(health Health, lateThreshold, now float64) Health {
-	needed := minAttempts
-	if health.Weight < lowWeight {
-		needed = minAttemptsAtLowWeight
+	requiredAttempts := minAttempts
+	if health.Weight < lowWeightThreshold {
+		requiredAttempts = minAttemptsAtLowWeight
 	}
-	if health.Attempts < needed {
+	if health.Attempts < requiredAttempts {
 		return health
 	}
-	successful := math.Max(health.Attempts-health.Failed, 1)
-	meanLatency := health.LatencySum / successful // 0, not late, if every attempt failed
-	health.FailureRatio = health.Failed / health.Attempts
+	successfulAttempts := math.Max(health.Attempts-health.FailedAttempts, 1)
+	meanLatency := health.LatencySum / successfulAttempts // 0 if every attempt failed, so that the endpoint is not late
+	health.FailureRatio = health.FailedAttempts / health.Attempts
 	health.Late = meanLatency > lateThreshold
 	health.AssessedAt = now
 	health.Attempts = 0
-	health.Failed = 0
+	health.FailedAttempts = 0
 	health.LatencySum = 0
-	return regain(health, now)
+	return recoverWeight(health, now)
 }
 
-// regain returns the health after a healthy endpoint has regained weight, at most once per tick.
-func regain(health Health, now float64) Health {
-	if health.Unhealthy() || now < health.NextChange {
+// recoverWeight returns the health with the weight of a healthy endpoint raised by weightRecoveryStep, at most once
+// per tick. It returns the health of an unhealthy endpoint unchanged.
+func recoverWeight(health Health, now float64) Health {
+	if health.Unhealthy() || now < health.NextChangeAt {
 		return health
 	}
-	health.Weight = math.Min(1, health.Weight+weightGain)
-	health.NextChange = now + timing.TickInterval
+	health.Weight = math.Min(1, health.Weight+weightRecoveryStep)
+	health.NextChangeAt = now + timing.TickInterval
 	return health
 }
 
-// FailureThreshold is the failure ratio from which an endpoint is unhealthy. It is above the fraction that an
-// endpoint rejects only because it is busy.
+// FailureThreshold is the lowest failure ratio at which an endpoint is unhealthy. It is above the fraction of attempts
+// that an endpoint rejects merely because it is busy.
 const FailureThreshold = 0.4
 
 // Failing reports whether the failure ratio of the last assessment reached FailureThreshold.
 func (h *Health) Failing() bool { return h.FailureRatio >= FailureThreshold }
 
-// Unhealthy reports whether the endpoint failed or answered late at the last assessment.
+// Unhealthy reports whether the endpoint was failing or late at the last assessment.
 func (h *Health) Unhealthy() bool { return h.Late || h.Failing() }
 
-// assessmentValidity is the time for which an assessment counts in sums over all endpoints, s.
+// assessmentValidity is how long an assessment is included in the sums over all endpoints, in seconds.
 const assessmentValidity = 2 * timing.TickInterval
 
-// Current reports whether the last assessment still counts in sums over all endpoints.
-func (h *Health) Current(now float64) bool { return now-h.AssessedAt <= assessmentValidity }
+// AssessmentValid reports whether the last assessment is recent enough at the time now, in seconds, to be included in
+// the sums over all endpoints.
+func (h *Health) AssessmentValid(now float64) bool { return now-h.AssessedAt <= assessmentValidity }
 
-// AssessedWithinTick reports whether the last assessment is at most one tick interval old. Where ticks are exactly on
-// time, that includes the assessment of the tick before.
+// AssessedWithinTick reports whether the last assessment is at most one tick interval old at the time now, in seconds.
+// If ticks are exactly on time, the assessment made at the previous tick satisfies this, too.
 func (h *Health) AssessedWithinTick(now float64) bool { return now-h.AssessedAt <= timing.TickInterval }
 
 const (
-	// ProbationWeight is the health weight of an endpoint on probation: a few attempts, little harm.
+	// ProbationWeight is the health weight of an endpoint on probation. It lets enough attempts through to detect that
+	// the endpoint has recovered, while few requests fail if it has not.
 	ProbationWeight = 0.1
-	// outlierFactor is how many times the mean failure ratio of all endpoints marks an outlier.
+	// outlierFactor is the multiple of the mean failure ratio of all endpoints above which an endpoint is an outlier.
 	outlierFactor = 2
-	// weightDecay is the factor on the weight of an unhealthy endpoint that is no outlier.
-	weightDecay = 0.8
+	// weightDecayFactor is the factor by which each decrease reduces the health weight of an unhealthy endpoint that is
+	// not an outlier.
+	weightDecayFactor = 0.8
 )
 
-// Decrease returns the health after an unhealthy assessment, and whether it was put on probation now. The mean
-// failure ratio is that of the current assessments of all ready endpoints.
+// DecreaseWeight decreases the health weight of an endpoint that was unhealthy at its last assessment. It returns the
+// next health, and whether this call put the endpoint on probation. The meanFailureRatio is the mean over the current
+// assessments of all ready endpoints. Now is in seconds.
 //
-// An endpoint that fails without late answers, and more than the others, is an outlier: it is dead or partitioned
-// off, and is put on probation at once. Any other unhealthy endpoint, late or failing about as much as the rest,
-// counts as overloaded: its weight decays step by step, because moving all its load would overload the next endpoint.
-// Decrease waits for the feedback delay between two steps. It is wrong where the reporting proxies are at fault.
-func Decrease(health Health, meanFailureRatio, now float64) (next Health, probation bool) {
+// An endpoint is an outlier if it is failing, its answers are not late, and its failure ratio is above outlierFactor
+// times the mean. Such an endpoint is down or partitioned from the network, so it is put on probation at once. Any
+// other unhealthy endpoint, which is late or fails about as much as the rest, counts as overloaded. Its weight decays
+// step by step, because moving all its load at once would overload other endpoints. DecreaseWeight waits for the
+// feedback delay between two steps of the decay. Its decision is wrong if the fault lies with the reporting proxies.
+func DecreaseWeight(health Health, meanFailureRatio, now float64) (next Health, putOnProbation bool) {
 	isOutlier := health.Failing() && !health.Late && health.FailureRatio > outlierFactor*meanFailureRatio
 	switch {
 	case isOutlier:
-		probation = health.Weight > ProbationWeight
+		putOnProbation = health.Weight > ProbationWeight
 		health.Weight = ProbationWeight
-	case now >= health.NextChange:
-		health.Weight = math.Max(ProbationWeight, health.Weight*weightDecay)
+	case now >= health.NextChangeAt:
+		health.Weight = math.Max(ProbationWeight, health.Weight*weightDecayFactor)
 	default:
 		return health, false
 	}
-	health.NextChange = now + timing.FeedbackDelay
-	return health, probation
+	health.NextChangeAt = now + timing.FeedbackDelay
+	return health, putOnProbation
 }
--- a/assign/outlier/outlier_test.go
+++ b/assign/outlier/outlier_test.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	now           = 100.0 // s
-	lateThreshold = 0.4   // s
+	now           = 100.0 // time of the calls under test, in seconds
+	lateThreshold = 0.4   // mean latency above which answers count as late, in seconds
 	tolerance     = 1e-12
 )
 
-// healthOf returns a health with attempts of a mean latency since the last assessment.
+// healthOf returns a health with the given attempts since the last assessment. The meanLatency is the mean latency of
+// the successful attempts in seconds.
 func healthOf(attempts, failed int, meanLatency, weight float64) outlier.Health {
 	health := outlier.NewHealth()
 	health.Weight = weight
-	health.Record(attempts, failed, meanLatency)
+	health.RecordAttempts(attempts, failed, meanLatency)
 	return health
 }
 
-func TestAssessNeedsAttempts(t *testing.T) {
+func TestAssessRequiresMinimumAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		attempts int
@@ -44,14 +45,14 @@
 			if !test.assessed && got != before {
 				t.Errorf("got %+v, want no change of %+v", got, before)
 			}
-			if test.assessed && (got.AssessedAt != now || got.Attempts != 0 || got.Failed != 0 || got.LatencySum != 0) {
+			if test.assessed && (got.AssessedAt != now || got.Attempts != 0 || got.FailedAttempts != 0 || got.LatencySum != 0) {
 				t.Errorf("got %+v, want an assessment at %g s and empty sums", got, now)
 			}
 		})
 	}
 }
 
-func TestAssessFindsUnhealthy(t *testing.T) {
+func TestAssessDetectsUnhealthy(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		attempts, failed int
@@ -81,62 +82,62 @@
 	}
 }
 
-func TestAssessRestoresWeight(t *testing.T) {
+func TestAssessRecoversWeight(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		weight     float64
-		failed     int
-		nextChange float64
-		want       float64
-		wantNext   float64
+		name             string
+		weight           float64
+		failed           int
+		nextChangeAt     float64
+		want             float64
+		wantNextChangeAt float64
 	}{
 		{"healthy", 0.5, 0, 0, 0.6, now + 1},
-		{"healthy, almost whole", 0.95, 0, 0, 1, now + 1},
-		{"healthy, whole", 1, 0, 0, 1, now + 1},
+		{"healthy, almost full weight", 0.95, 0, 0, 1, now + 1},
+		{"healthy, full weight", 1, 0, 0, 1, now + 1},
 		{"healthy, at the next change", 0.5, 0, now, 0.6, now + 1},
 		{"healthy, before the next change", 0.5, 0, now + 0.01, 0.5, now + 0.01},
 		{"unhealthy", 0.5, 4, 0, 0.5, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			health := healthOf(10, test.failed, 0.1, test.weight)
-			health.NextChange = test.nextChange
+			health.NextChangeAt = test.nextChangeAt
 			got := outlier.Assess(health, lateThreshold, now)
-			if math.Abs(got.Weight-test.want) > tolerance || got.NextChange != test.wantNext {
-				t.Errorf("got weight %g until %g s, want %g until %g s", got.Weight, got.NextChange, test.want, test.wantNext)
+			if math.Abs(got.Weight-test.want) > tolerance || got.NextChangeAt != test.wantNextChangeAt {
+				t.Errorf("got weight %g until %g s, want %g until %g s", got.Weight, got.NextChangeAt, test.want, test.wantNextChangeAt)
 			}
 		})
 	}
 }
 
-func TestDecrease(t *testing.T) {
+func TestDecreaseWeight(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		health     outlier.Health
-		mean       float64 // failure ratio of all endpoints
-		wantWeight float64
-		probation  bool
+		name             string
+		health           outlier.Health
+		meanFailureRatio float64 // mean failure ratio of all endpoints
+		wantWeight       float64
+		wantProbation    bool
 	}{
 		{"outlier", outlier.Health{FailureRatio: 0.4, Weight: 1}, 0.19, 0.1, true},
-		{"outlier before the next change", outlier.Health{FailureRatio: 0.4, Weight: 1, NextChange: now + 1}, 0.19, 0.1, true},
+		{"outlier before the next change", outlier.Health{FailureRatio: 0.4, Weight: 1, NextChangeAt: now + 1}, 0.19, 0.1, true},
 		{"outlier on probation already", outlier.Health{FailureRatio: 1, Weight: 0.1}, 0.19, 0.1, false},
 		{"twice the mean is no outlier", outlier.Health{FailureRatio: 0.4, Weight: 1}, 0.2, 0.8, false},
 		{"failing and late is no outlier", outlier.Health{FailureRatio: 0.9, Late: true, Weight: 1}, 0.1, 0.8, false},
 		{"below the failure threshold is no outlier", outlier.Health{FailureRatio: 0.39, Weight: 1}, 0, 0.8, false},
-		{"late at the next change", outlier.Health{Late: true, Weight: 1, NextChange: now}, 0, 0.8, false},
-		{"late before the next change", outlier.Health{Late: true, Weight: 1, NextChange: now + 0.01}, 0, 1, false},
-		{"decay stops at probation's weight", outlier.Health{Late: true, Weight: 0.12}, 0, 0.1, false},
+		{"late at the next change", outlier.Health{Late: true, Weight: 1, NextChangeAt: now}, 0, 0.8, false},
+		{"late before the next change", outlier.Health{Late: true, Weight: 1, NextChangeAt: now + 0.01}, 0, 1, false},
+		{"decay stops at the probation weight", outlier.Health{Late: true, Weight: 0.12}, 0, 0.1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got, probation := outlier.Decrease(test.health, test.mean, now)
-			if math.Abs(got.Weight-test.wantWeight) > tolerance || probation != test.probation {
-				t.Errorf("got weight %g, probation %t, want %g, %t", got.Weight, probation, test.wantWeight, test.probation)
+			got, putOnProbation := outlier.DecreaseWeight(test.health, test.meanFailureRatio, now)
+			if math.Abs(got.Weight-test.wantWeight) > tolerance || putOnProbation != test.wantProbation {
+				t.Errorf("got weight %g, probation %t, want %g, %t", got.Weight, putOnProbation, test.wantWeight, test.wantProbation)
 			}
-			wantNext := now + 3
-			if got.Weight == test.health.Weight && test.health.NextChange > now {
-				wantNext = test.health.NextChange
+			wantNextChangeAt := now + 3
+			if got.Weight == test.health.Weight && test.health.NextChangeAt > now {
+				wantNextChangeAt = test.health.NextChangeAt
 			}
-			if got.NextChange != wantNext {
-				t.Errorf("got next change at %g s, want %g s", got.NextChange, wantNext)
+			if got.NextChangeAt != wantNextChangeAt {
+				t.Errorf("got next change at %g s, want %g s", got.NextChangeAt, wantNextChangeAt)
 			}
 		})
 	}
@@ -144,9 +145,9 @@
 
 func TestAssessmentExpires(t *testing.T) {
 	for _, test := range []struct {
-		name              string
-		age               float64 // s
-		current, thisTick bool
+		name                string
+		age                 float64 // time since the assessment, in seconds
+		current, withinTick bool
 	}{
 		{"now", 0, true, true},
 		{"one tick", 1, true, true},
@@ -156,17 +157,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			health := outlier.Health{AssessedAt: now - test.age}
-			if got := health.Current(now); got != test.current {
+			if got := health.AssessmentValid(now); got != test.current {
 				t.Errorf("got current %t, want %t", got, test.current)
 			}
-			if got := health.AssessedWithinTick(now); got != test.thisTick {
-				t.Errorf("got assessed this tick %t, want %t", got, test.thisTick)
+			if got := health.AssessedWithinTick(now); got != test.withinTick {
+				t.Errorf("got assessed within a tick %t, want %t", got, test.withinTick)
 			}
 		})
 	}
 	t.Run("never assessed, at the start of the clock", func(t *testing.T) {
 		health := outlier.NewHealth()
-		if health.Current(0) {
+		if health.AssessmentValid(0) {
 			t.Error("got current, want not")
 		}
 	})
@@ -175,27 +176,27 @@
 func TestUnverified(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		proof outlier.Proof
+		input outlier.VerificationInput
 		want  bool
 	}{
-		{"never answered", outlier.Proof{Now: now}, true},
-		{"never answered, still warming", outlier.Proof{Now: now, Warming: true}, false},
-		{"never answered, at the start of the clock", outlier.Proof{Now: 10}, false},
-		{"never answered, after the silence timeout", outlier.Proof{Now: 10.001}, true},
-		{"failing, silent for the timeout", outlier.Proof{LastAnsweredAt: now - 10, Now: now, Failing: true}, false},
-		{"failing, silent for longer", outlier.Proof{LastAnsweredAt: now - 10.001, Now: now, Failing: true}, true},
-		{"silent for longer without failures", outlier.Proof{LastAnsweredAt: now - 60, Now: now}, false},
-		{"failing and warming", outlier.Proof{LastAnsweredAt: now - 60, Now: now, Failing: true, Warming: true}, false},
+		{"never answered", outlier.VerificationInput{Now: now}, true},
+		{"never answered, still warming", outlier.VerificationInput{Now: now, Warming: true}, false},
+		{"never answered, at the start of the clock", outlier.VerificationInput{Now: 10}, false},
+		{"never answered, after the silence timeout", outlier.VerificationInput{Now: 10.001}, true},
+		{"failing, silent for the timeout", outlier.VerificationInput{LastAnsweredAt: now - 10, Now: now, Failing: true}, false},
+		{"failing, silent for longer", outlier.VerificationInput{LastAnsweredAt: now - 10.001, Now: now, Failing: true}, true},
+		{"silent for longer without failures", outlier.VerificationInput{LastAnsweredAt: now - 60, Now: now}, false},
+		{"failing and warming", outlier.VerificationInput{LastAnsweredAt: now - 60, Now: now, Failing: true, Warming: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := outlier.Unverified(test.proof); got != test.want {
+			if got := outlier.Unverified(test.input); got != test.want {
 				t.Errorf("got %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
-func TestFailureMean(t *testing.T) {
+func TestFailureRatioMean(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		ratios []float64
@@ -207,18 +208,18 @@
 		{"all fail", []float64{1, 1}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			mean := outlier.NewFailureMean()
+			mean := outlier.NewFailureRatioMean()
 			for _, ratio := range test.ratios {
 				mean.Add(ratio)
 			}
-			if got := mean.Ratio(); math.Abs(got-test.want) > 1e-8 {
+			if got := mean.Value(); math.Abs(got-test.want) > 1e-8 {
 				t.Errorf("got %g, want %g", got, test.want)
 			}
 		})
 	}
 }
 
-func TestInTimeCredit(t *testing.T) {
+func TestInTimeFraction(t *testing.T) {
 	if got := outlier.LateThreshold(1); got != lateThreshold {
 		t.Errorf("got a late threshold of %g s for an objective of 1 s, want %g s", got, lateThreshold)
 	}
@@ -235,20 +236,21 @@
 		{"far above the threshold", 40, 0.8},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := outlier.InTimeCredit(test.meanLatency, lateThreshold); math.Abs(got-test.want) > tolerance {
+			if got := outlier.InTimeFraction(test.meanLatency, lateThreshold); math.Abs(got-test.want) > tolerance {
 				t.Errorf("got %g, want %g", got, test.want)
 			}
 		})
 	}
 }
 
-// A request class without a latency objective has the objective 0: its answers are never late, so all of them count.
+// A request class without a latency objective has an objective of 0. Its answers are never late, so all of them count
+// as answered in time.
 func TestAnswersWithoutObjectiveAreNeverLate(t *testing.T) {
 	threshold := outlier.LateThreshold(0)
 	for name, meanLatency := range map[string]float64{"no answers": 0, "answers": 0.2} {
 		t.Run(name, func(t *testing.T) {
-			if got := outlier.InTimeCredit(meanLatency, threshold); got != 1 {
-				t.Errorf("got credit %g, want 1", got)
+			if got := outlier.InTimeFraction(meanLatency, threshold); got != 1 {
+				t.Errorf("got in-time fraction %g, want 1", got)
 			}
 			if got := outlier.Assess(healthOf(10, 0, meanLatency, 1), threshold, now); got.Late {
 				t.Errorf("got late at a mean latency of %g s, want not", meanLatency)
@@ -257,8 +259,8 @@
 	}
 }
 
-// A class without an objective does not lower the objective of the others.
-func TestObjectiveMeanLeavesOutClassesWithoutObjective(t *testing.T) {
+// A request class without a latency objective must not lower the mean latency objective of the other classes.
+func TestLatencyObjectiveMeanLeavesOutClassesWithoutObjective(t *testing.T) {
 	type class struct{ objective, fraction float64 }
 	for _, test := range []struct {
 		name    string
@@ -266,25 +268,26 @@
 		want    float64
 	}{
 		{"no class", nil, 0},
-		{"none states one", []class{{0, 0.5}, {0, 0.5}}, 0},
-		{"all state one", []class{{1, 0.25}, {2, 0.75}}, 1.75},
-		{"one of two states one", []class{{1, 0.25}, {0, 0.75}}, 1},
-		{"two of three state one", []class{{1, 0.25}, {0, 0.5}, {2, 0.25}}, 1.5},
-		{"hardly any traffic of the one that states one", []class{{1, 1e-15}, {0, 1}}, 1},
+		{"no class states an objective", []class{{0, 0.5}, {0, 0.5}}, 0},
+		{"all classes state an objective", []class{{1, 0.25}, {2, 0.75}}, 1.75},
+		{"one of two classes states an objective", []class{{1, 0.25}, {0, 0.75}}, 1},
+		{"two of three classes state an objective", []class{{1, 0.25}, {0, 0.5}, {2, 0.25}}, 1.5},
+		{"hardly any traffic for the class that states an objective", []class{{1, 1e-15}, {0, 1}}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var mean outlier.ObjectiveMean
+			var mean outlier.LatencyObjectiveMean
 			for _, c := range test.classes {
 				mean.Add(c.objective, c.fraction)
 			}
-			if got := mean.Objective(); math.Abs(got-test.want) > tolerance {
+			if got := mean.Value(); math.Abs(got-test.want) > tolerance {
 				t.Errorf("got objective %g s, want %g s", got, test.want)
 			}
 		})
 	}
 }
 
-// Whatever is reported, a health weight stays from probation's to 1, and every figure is finite.
+// Whatever is reported, the health weight stays between ProbationWeight and 1, the failure ratio between 0 and 1, and
+// all results are finite.
 func TestHealthStaysInBounds(t *testing.T) {
 	quickcheck.Seeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -293,18 +296,18 @@
 		for tick := range 50 {
 			attempts := int(quickcheck.Magnitude(random, 1, 1e9)) - 1
 			failed := int(float64(attempts) * quickcheck.Fraction(random))
-			health.Record(attempts, failed, quickcheck.Magnitude(random, 1e-6, 1e6))
+			health.RecordAttempts(attempts, failed, quickcheck.Magnitude(random, 1e-6, 1e6))
 			health = outlier.Assess(health, threshold, float64(tick))
 			if health.Unhealthy() && random.Intn(2) == 0 {
-				health, _ = outlier.Decrease(health, quickcheck.Fraction(random), float64(tick))
+				health, _ = outlier.DecreaseWeight(health, quickcheck.Fraction(random), float64(tick))
 			}
-			credit := outlier.InTimeCredit(quickcheck.Magnitude(random, 1e-6, 1e6)*quickcheck.Fraction(random), threshold)
+			inTimeFraction := outlier.InTimeFraction(quickcheck.Magnitude(random, 1e-6, 1e6)*quickcheck.Fraction(random), threshold)
 			inBounds := health.Weight >= outlier.ProbationWeight && health.Weight <= 1 &&
 				health.FailureRatio >= 0 && health.FailureRatio <= 1 &&
-				credit >= outlier.MinInTimeCredit && credit <= 1
+				inTimeFraction >= outlier.MinInTimeFraction && inTimeFraction <= 1
 			if !inBounds {
-				t.Errorf("seed %d, tick %d: got %+v, credit %g, want weight %g to 1, failure ratio 0 to 1, credit %g to 1",
-					seed, tick, health, credit, outlier.ProbationWeight, outlier.MinInTimeCredit)
+				t.Errorf("seed %d, tick %d: got %+v, in-time fraction %g, want weight %g to 1, failure ratio 0 to 1, in-time fraction %g to 1",
+					seed, tick, health, inTimeFraction, outlier.ProbationWeight, outlier.MinInTimeFraction)
 				return false
 			}
 		}
--- a/assign/outlier/unverified.go
+++ b/assign/outlier/unverified.go
@@ -2,29 +2,32 @@
 
 import "madderhollow/assign/timing"
 
-// Proof is what shows that a listed endpoint serves.
-type Proof struct {
-	LastAnsweredAt float64 // time of the last report of a successful attempt, s; 0: none
-	Now            float64 // s
-	Warming        bool    // it warms up, and may not have answered yet
-	Failing        bool    // see Health.Failing
+// VerificationInput is the input of Unverified: the evidence that a listed endpoint serves requests.
+type VerificationInput struct {
+	LastAnsweredAt float64 // time of the last report of a successful attempt, in seconds; 0 if there was none
+	Now            float64 // current time, in seconds
+	Warming        bool    // the endpoint is warming up and may not have answered yet
+	Failing        bool    // result of Health.Failing
 }
 
-// Unverified reports whether an endpoint has to prove itself: it is not warming up and has never answered, or it
-// fails and has not answered for timing.SilenceTimeout. Lists may be wrong, so it counts as on probation until it
-// answers. An assigner that starts with a list which lacks most endpoints takes the rest for unverified at first.
-func Unverified(proof Proof) bool {
-	// An endpoint that never answered is silent, too, once the clock is past timing.SilenceTimeout.
-	if !timing.Silent(proof.Now, proof.LastAnsweredAt) || proof.Warming {
+// Unverified reports whether an endpoint still has to prove that it serves requests. That is the case if it is not
+// warming up and has never answered, or if it is failing and has not answered for timing.SilenceTimeout. Endpoint
+// lists may be wrong, so an unverified endpoint counts as on probation until it answers. If an assigner starts with a
+// list that lacks most endpoints, the missing endpoints are unverified at first when a later update lists them.
+func Unverified(input VerificationInput) bool {
+	// This also covers an endpoint that never answered: its last answer is at 0, so that it is silent as soon as the
+	// clock is past timing.SilenceTimeout.
+	if !timing.Silent(input.Now, input.LastAnsweredAt) || input.Warming {
 		return false
 	}
-	return proof.LastAnsweredAt == 0 || proof.Failing
+	return input.LastAnsweredAt == 0 || input.Failing
 }
 
-// AssumedAnswer returns the time in seconds at which a newly listed endpoint counts as having answered. Endpoints of
-// the first update count as verified, because the assigner cannot know which endpoints served before its own start;
-// others have never answered, which is 0. Now must be above 0.
-func AssumedAnswer(firstUpdate bool, now float64) float64 {
+// InitialAnswerTime returns the time in seconds at which a newly listed endpoint is assumed to have last answered.
+// For endpoints of the first list update it returns now, which makes them verified: the assigner cannot know which
+// endpoints served requests before the assigner started. For later endpoints it returns 0, which means that they have
+// never answered. Now must be above 0.
+func InitialAnswerTime(firstUpdate bool, now float64) float64 {
 	if firstUpdate {
 		return now
 	}
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -1,9 +1,10 @@
-// Package overload decides whether the endpoints as a whole are overloaded, which total rate the proxies may admit
-// then, and how many entries tables hold while connections are scarce.
+// Package overload decides whether the endpoints as a whole are overloaded, which total request rate the proxies may
+// admit during and after an overload, and how many entries tables hold while connections are scarce.
 //
-// It acts once a tick on the sums of the last period. Inputs are attempts per second, busy fractions (1 is full) and
-// rates in requests per second. It returns a total rate, or 0 for none, and a table size in entries. See
-// docs/design.md, "How the page was read where it is open" and "What was changed", 5 (narrow tables).
+// The decisions are made once per tick from the sums of the last period. Inputs are attempts per second, busy
+// fractions (1 means fully busy) and rates in requests per second. The results are a total rate, where 0 means that
+// no total rate is set, and a table size in entries. See docs/design.md, "How the page was read where it is open" and
+// "What was changed", 5 (narrow tables).
 package overload
 
 import (
@@ -13,148 +14,160 @@
 	"madderhollow/assign/timing"
 )
 
-// Attempts are sums of attempts in a period, or rates per second after PerSecond; each field of this type says which.
-type Attempts struct {
-	Total  float64
-	Failed float64
-	InTime float64 // successful ones; late ones count in part, see outlier.InTimeCredit
+// AttemptStats holds sums of attempts over a period, or attempts per second if it was returned by PerSecond. Each
+// variable or field of this type documents which of the two it holds.
+type AttemptStats struct {
+	Total  float64 // all attempts
+	Failed float64 // failed attempts
+	InTime float64 // successful attempts answered in time; late attempts count in part, see outlier.InTimeFraction
 }
 
-// Add adds other attempts.
-func (a *Attempts) Add(other Attempts) {
+// Add adds the other attempts to a, field by field.
+func (a *AttemptStats) Add(other AttemptStats) {
 	a.Total += other.Total
 	a.Failed += other.Failed
 	a.InTime += other.InTime
 }
 
-// PerSecond returns the attempts of an interval in seconds as rates.
-func (a Attempts) PerSecond(interval float64) Attempts {
-	return Attempts{a.Total / interval, a.Failed / interval, a.InTime / interval}
+// PerSecond converts sums of attempts over an interval, in seconds, to attempts per second.
+func (a AttemptStats) PerSecond(interval float64) AttemptStats {
+	return AttemptStats{a.Total / interval, a.Failed / interval, a.InTime / interval}
 }
 
-// Endpoint is what one endpoint adds to a period.
-type Endpoint struct {
-	Ready          bool
-	Assessed       bool     // recently, by the proxies of any zone
-	Unhealthy      bool     // at one of those assessments
-	Attempts       Attempts // per second
-	Busy           float64  // fraction of its capacity in use, as it reports; 0: it reports none
-	ListedWeight   float64
-	LastAnsweredAt float64 // s
+// EndpointStats describes what one endpoint contributes to the sums of a period.
+type EndpointStats struct {
+	Ready          bool         // the endpoint accepts requests
+	Assessed       bool         // the proxies of at least one zone have a current assessment of the endpoint
+	Unhealthy      bool         // the endpoint was unhealthy in at least one of its current assessments
+	Attempts       AttemptStats // attempts per second during the period
+	BusyFraction   float64      // reported fraction of its capacity in use, 1 is full; 0 if not reported
+	ListedWeight   float64      // weight in the endpoint list
+	LastAnsweredAt float64      // time of the last report of a successful attempt, in seconds
 }
 
-// Period sums up what the reports of one period show of all endpoints. Use NewPeriod.
-type Period struct {
-	Assessed  int // endpoints assessed recently
-	Unhealthy int // of those
-
-	now            float64  // s
-	ready          Attempts // at ready endpoints, per second
-	reported       float64  // attempts at all endpoints, 1/s
-	successful     float64  // of those, 1/s
-	busyWeight     float64  // busy fraction times listed weight of the endpoints that answered recently
-	reportedWeight float64  // their listed weight
+// PeriodStats holds sums over all endpoints, from the load reports of one period. Use NewPeriodStats to create it.
+type PeriodStats struct {
+	AssessedEndpoints  int // number of endpoints with a current assessment
+	UnhealthyEndpoints int // number of the assessed endpoints that are unhealthy
+
+	now                float64      // end of the period, in seconds
+	readyAttempts      AttemptStats // attempts per second at ready endpoints
+	attemptRate        float64      // attempts per second at all endpoints
+	successfulRate     float64      // successful attempts per second at all endpoints
+	weightedBusySum    float64      // sum of busy fraction times listed weight, over recently answering ready endpoints
+	busyReportedWeight float64      // sum of the listed weights of the endpoints included in weightedBusySum
 }
 
-// NewPeriod returns the sums without endpoints, at a time in seconds. Where no endpoint reports a busy fraction the
-// mean is 1, full; otherwise those that report none are left out. Package locality counts them as idle.
-func NewPeriod(now float64) *Period {
-	return &Period{
-		now:            now,
-		ready:          Attempts{Total: numeric.MinDivisor},
-		busyWeight:     numeric.MinDivisor,
-		reportedWeight: numeric.MinDivisor,
+// NewPeriodStats returns the sums over no endpoints for a period that ends at the time now, in seconds. If no
+// endpoint reports a busy fraction, the mean busy fraction is 1, which means fully busy. Otherwise the mean leaves
+// out endpoints that report none, whereas package locality counts such endpoints as idle.
+func NewPeriodStats(now float64) *PeriodStats {
+	return &PeriodStats{
+		now:                now,
+		readyAttempts:      AttemptStats{Total: numeric.MinDivisor},
+		weightedBusySum:    numeric.MinDivisor,
+		busyReportedWeight: numeric.MinDivisor,
 	}
 }
 
-// Add adds an endpoint. The busy fraction counts only while the endpoint answers: an older one describes a former
-// overload.
-func (p *Period) Add(endpoint Endpoint) {
+// Add adds an endpoint to the sums. Its busy fraction is included only if the endpoint answered within the feedback
+// delay, because an older busy fraction may describe an overload that is over.
+func (p *PeriodStats) Add(endpoint EndpointStats) {
 	if endpoint.Assessed {
-		p.Assessed++
+		p.AssessedEndpoints++
 	}
 	if endpoint.Unhealthy {
-		p.Unhealthy++
+		p.UnhealthyEndpoints++
 	}
-	// In two steps: the order of float operations is part of the recorded decisions.
-	p.successful += endpoint.Attempts.Total
-	p.successful -= endpoint.Attempts.Failed
-	p.reported += endpoint.Attempts.Total
+	// The subtraction is a separate step because the order of the floating-point operations affects the decisions
+	// recorded as test data.
+	p.successfulRate += endpoint.Attempts.Total
+	p.successfulRate -= endpoint.Attempts.Failed
+	p.attemptRate += endpoint.Attempts.Total
 	if !endpoint.Ready {
 		return
 	}
-	p.ready.Add(endpoint.Attempts)
+	p.readyAttempts.Add(endpoint.Attempts)
 	answeredRecently := p.now-endpoint.LastAnsweredAt <= timing.FeedbackDelay
-	if endpoint.Busy > 0 && answeredRecently {
-		p.busyWeight += endpoint.Busy * endpoint.ListedWeight
-		p.reportedWeight += endpoint.ListedWeight
+	if endpoint.BusyFraction > 0 && answeredRecently {
+		p.weightedBusySum += endpoint.BusyFraction * endpoint.ListedWeight
+		p.busyReportedWeight += endpoint.ListedWeight
 	}
 }
 
-// BusyThreshold is the mean busy fraction above which endpoints are overloaded.
+// BusyThreshold is the mean busy fraction above which endpoints count as overloaded.
 const BusyThreshold = 0.75
 
-// Traffic is what the proxies bring.
+// Traffic describes the requests that the proxies receive and may admit.
 type Traffic struct {
-	Observed     float64 // rate of the requests that reach the proxies, 1/s
-	Total        float64 // that they may admit, 1/s; 0: no total is set
-	BusyReported bool    // endpoints report how busy they are
+	ObservedRate         float64 // rate of requests that arrive at the proxies, per second
+	TotalRate            float64 // rate of requests that the proxies may admit, per second; 0 if no total rate is set
+	BusyFractionReported bool    // the configured load report of the endpoints includes a busy fraction
 }
 
-// nearlyFull reports whether the endpoints are busy on the whole, or report nothing of it. Late or failed answers of
-// idle endpoints come from uneven tables, connections or errors: a lower rate mends none of these and leaves fewer
-// attempts from which to set a total.
-func (p *Period) nearlyFull(busyReported bool) bool {
-	return p.busyWeight > BusyThreshold*p.reportedWeight || !busyReported
+// nearCapacity reports whether the mean busy fraction of the endpoints is above BusyThreshold, or endpoints do not
+// report busy fractions. Late or failed answers of idle endpoints are caused by unbalanced tables, connection
+// problems or errors. A lower request rate would not remedy any of these causes, and would leave fewer attempts from
+// which to determine a total rate.
+func (p *PeriodStats) nearCapacity(busyFractionReported bool) bool {
+	return p.weightedBusySum > BusyThreshold*p.busyReportedWeight || !busyFractionReported
 }
 
-// Detected reports whether there is an overload: the endpoints are nearly full, most of those assessed are unhealthy,
-// and the reported attempts are over half of what the proxies admit. The last condition holds back an assigner that
-// has just started and has few reports.
-func (p *Period) Detected(traffic Traffic) bool {
-	admitted := traffic.Observed
-	if traffic.Total != 0 {
-		admitted = math.Min(traffic.Observed, traffic.Total)
+// OverloadDetected reports whether the endpoints as a whole are overloaded. That is the case if the endpoints are
+// near capacity, most of the assessed endpoints are unhealthy, and the reported attempts exceed half of the rate that
+// the proxies admit. The last condition prevents false detection by an assigner that has just started and has
+// received few reports.
+func (p *PeriodStats) OverloadDetected(traffic Traffic) bool {
+	admittedRate := traffic.ObservedRate
+	if traffic.TotalRate != 0 {
+		admittedRate = math.Min(traffic.ObservedRate, traffic.TotalRate)
 	}
-	mostUnhealthy := 2*p.Unhealthy > p.Assessed
-	halfReported := 2*p.reported > admitted
-	return p.nearlyFull(traffic.BusyReported) && mostUnhealthy && halfReported
+	mostUnhealthy := 2*p.UnhealthyEndpoints > p.AssessedEndpoints
+	mostReported := 2*p.attemptRate > admittedRate
+	return p.nearCapacity(traffic.BusyFractionReported) && mostUnhealthy && mostReported
 }
 
 const (
-	// minTotal, in requests per second, replaces a total of 0, which would mean that none is set.
-	minTotal = 0.1
-	// totalGrowth is the factor on the total in each period without an overload.
-	totalGrowth = 1.1
-	// limitRemovalFactor is the total, as a multiple of the observed rate, above which the rate limits are removed.
+	// minTotalRate is the lowest total rate set during an overload, in requests per second. A total rate of 0 would
+	// mean that none is set.
+	minTotalRate = 0.1
+	// totalRateGrowth is the factor by which the total rate grows at least in each period without an overload.
+	totalRateGrowth = 1.1
+	// limitRemovalFactor is the multiple of the observed rate above which a total rate is no longer needed and the
+	// rate limits are removed.
 	limitRemovalFactor = 1.2
 )
 
-// TotalDuring returns the total rate during an overload: the rate that is answered in time, 1/s.
-func (p *Period) TotalDuring() float64 { return math.Max(p.ready.InTime, minTotal) }
+// TotalRateDuringOverload returns the total rate to admit during an overload, in requests per second. It is the rate
+// of attempts at ready endpoints that are answered in time, but at least minTotalRate.
+func (p *PeriodStats) TotalRateDuringOverload() float64 {
+	return math.Max(p.readyAttempts.InTime, minTotalRate)
+}
 
-// Decision is what follows from a period.
+// Decision is the outcome of one period.
 type Decision struct {
-	Overloaded bool
-	Total      float64 // rate that the proxies may admit, 1/s; 0: none is set; if Removed, for the log line only
-	Removed    bool    // Total exceeds the observed rate by enough that no total is needed any more
+	Overloaded        bool    // an overload was detected
+	TotalRate         float64 // total rate that the proxies may admit, in requests per second; 0 if none is set
+	RateLimitsRemoved bool    // TotalRate exceeds the observed rate so far that it is logged but not applied
 }
 
-// Next returns the decision of a period: an overload sets the total, a period without one raises or removes it.
-func (p *Period) Next(traffic Traffic) Decision {
+// Decide returns the decision for a period. An overload sets the total rate. A period without an overload raises the
+// total rate that is set, or removes the rate limits.
+func (p *PeriodStats) Decide(traffic Traffic) Decision {
 	switch {
-	case p.Detected(traffic):
-		return Decision{Overloaded: true, Total: p.TotalDuring()}
-	case traffic.Total > 0:
-		return p.TotalAfter(traffic)
+	case p.OverloadDetected(traffic):
+		return Decision{Overloaded: true, TotalRate: p.TotalRateDuringOverload()}
+	case traffic.TotalRate > 0:
+		return p.DecideWithoutOverload(traffic)
 	}
 	return Decision{}
 }
 
-// TotalAfter returns the decision of a period without an overload. The total that was set during an overload can
-// be far too low for steps of a tenth, so that the endpoints' busy fraction shows how far it may rise.
-func (p *Period) TotalAfter(traffic Traffic) Decision {
-	byBusy := p.successful * BusyThreshold * p.reportedWeight / p.busyWeight
-	total := math.Max(traffic.Total*totalGrowth, byBusy)
-	return Decision{Total: total, Removed: total > limitRemovalFactor*traffic.Observed}
+// DecideWithoutOverload returns the decision for a period without an overload while a total rate is set. The total
+// rate rises by totalRateGrowth at least. Because the rate set during an overload can be far too low to recover in
+// such steps, it rises further at once if the busy fraction of the endpoints leaves room for it.
+func (p *PeriodStats) DecideWithoutOverload(traffic Traffic) Decision {
+	totalByBusyFraction := p.successfulRate * BusyThreshold * p.busyReportedWeight / p.weightedBusySum
+	totalRate := math.Max(traffic.TotalRate*totalRateGrowth, totalByBusyFraction)
+	return Decision{TotalRate: totalRate, RateLimitsRemoved: totalRate > limitRemovalFactor*traffic.ObservedRate}
 }
--- a/assign/overload/tablesize.go
+++ b/assign/overload/tablesize.go
@@ -9,41 +9,43 @@
 )
 
 const (
-	// minTableSize is the least number of entries, however scarce connections are.
+	// minTableSize is the minimum number of entries of a table, however scarce connections are.
 	minTableSize = 2
 	// recoveredFailureRatio is the failure ratio below which tables grow again.
 	recoveredFailureRatio = 0.1
 )
 
-// TableSize is the number of entries of assigned tables. NewTableSize returns the first value.
+// TableSize is the number of entries that assigned tables hold. NewTableSize returns its initial value.
 type TableSize struct {
-	Entries    float64 // minTableSize to subset.FullTableSize; tables round it
-	NextChange float64 // earliest time at which it may change again, s
+	Entries      float64 // number of entries, from minTableSize to subset.FullTableSize; rounded when a table is built
+	NextChangeAt float64 // earliest time at which Entries may change again, in seconds
 }
 
 // NewTableSize returns the size of a full table.
 func NewTableSize() TableSize { return TableSize{Entries: subset.FullTableSize} }
 
-// Adjust returns the table size after a period. Tables shrink by the failure ratio while connections are scarce:
-// endpoints that are idle on the whole fail many attempts and answer the others quickly. They grow by an entry at a
-// time once few attempts fail.
-func (s TableSize) Adjust(period *Period, busyReported bool) TableSize {
-	if period.now < s.NextChange {
+// Adjust returns the table size after a period. It shrinks tables in proportion to the failure ratio while
+// connections are scarce, which shows in endpoints that have spare capacity, fail many attempts and answer the others
+// quickly. It grows tables by one entry at a time once few attempts fail. The size changes at most once per feedback
+// delay.
+func (s TableSize) Adjust(period *PeriodStats, busyFractionReported bool) TableSize {
+	if period.now < s.NextChangeAt {
 		return s
 	}
-	failureRatio := period.ready.Failed / period.ready.Total
-	successful := period.ready.Total - period.ready.Failed
-	// The mean credit of successful attempts is above the middle of MinInTimeCredit and 1.
-	quick := 2*period.ready.InTime > (1+outlier.MinInTimeCredit)*successful
-	scarce := failureRatio > outlier.FailureThreshold && quick && !period.nearlyFull(busyReported)
+	failureRatio := period.readyAttempts.Failed / period.readyAttempts.Total
+	successfulRate := period.readyAttempts.Total - period.readyAttempts.Failed
+	// Answers are quick if the mean in-time fraction of the successful attempts is above the midpoint between
+	// MinInTimeFraction and 1.
+	quick := 2*period.readyAttempts.InTime > (1+outlier.MinInTimeFraction)*successfulRate
+	connectionsScarce := failureRatio > outlier.FailureThreshold && quick && !period.nearCapacity(busyFractionReported)
 	switch {
-	case scarce:
+	case connectionsScarce:
 		s.Entries = math.Max(s.Entries*(1-failureRatio), minTableSize)
 	case failureRatio < recoveredFailureRatio && s.Entries < subset.FullTableSize:
 		s.Entries = math.Min(s.Entries+1, subset.FullTableSize)
 	default:
 		return s
 	}
-	s.NextChange = period.now + timing.FeedbackDelay
+	s.NextChangeAt = period.now + timing.FeedbackDelay
 	return s
 }
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -152,7 +152,7 @@
 func (p *proxy) supplies(assigner *Assigner) []assignment.ZoneSupply {
 	supplies := make([]assignment.ZoneSupply, len(assigner.groups))
 	for i, group := range assigner.groups {
-		supplies[i].Closed = group.policy.ClosedIn(p.zone)
+		supplies[i].Closed = group.policy.DisallowsZone(p.zone)
 		for _, e := range assigner.endpointList {
 			if e.ready() && e.zone == p.zone && group.policy.Allows(e.zone, p.zone) {
 				supplies[i].ReadyEndpoints++
--- a/assign/subset/candidate.go
+++ b/assign/subset/candidate.go
@@ -7,35 +7,38 @@
 	"madderhollow/assign/outlier"
 )
 
-// UsableWeight returns the weight that tables may give a ready endpoint: its listed weight times the lower of its
-// health weight and of the capacity fraction that it has while it warms up.
+// UsableWeight returns the weight that tables may give to a ready endpoint. It is the endpoint's listed weight times
+// the lower of two factors: its health weight, and the fraction of its capacity that it has while it warms up.
 func UsableWeight(listedWeight, healthWeight, capacityFraction float64) float64 {
 	return listedWeight * math.Min(healthWeight, capacityFraction)
 }
 
-// TieBreak returns what orders endpoints of equal rank, the lowest first: a draw from an exponential distribution,
-// divided by the weight, so that heavier endpoints tend to come first.
-func TieBreak(draw, listedWeight float64) float64 {
-	return draw / math.Max(listedWeight, numeric.MinDivisor)
+// TieBreak returns the key that orders candidates of equal rank; the candidate with the lowest key comes first. The
+// exponentialDraw is a random number from an exponential distribution. It is divided by the listed weight, so that
+// heavier endpoints tend to come first.
+func TieBreak(exponentialDraw, listedWeight float64) float64 {
+	return exponentialDraw / math.Max(listedWeight, numeric.MinDivisor)
 }
 
-// Candidate is an endpoint that a table may hold. E identifies it for the caller.
+// Candidate is an endpoint that a table may hold. The type parameter E is the type by which the caller identifies
+// endpoints.
 type Candidate[E comparable] struct {
 	Endpoint     E
-	Weight       float64 // see UsableWeight; above 0
-	ListedWeight float64
-	Remote       bool    // in another zone than the proxies
-	Warming      bool    // not yet at full speed
-	Unverified   bool    // still has to prove itself
-	FailureRatio float64 // of the zone's proxies' attempts, 0 to 1
-	TieBreak     float64 // see TieBreak
-
-	load float64 // rate that the tables held and those built so far bring, per unit of the entry's weight, 1/s
-	rank float64 // for the next table; the lowest is chosen first
+	Weight       float64 // weight that tables may give to the endpoint, see UsableWeight; above 0
+	ListedWeight float64 // weight in the endpoint list
+	Remote       bool    // the endpoint is in another zone than the proxies
+	Warming      bool    // the endpoint is warming up
+	Unverified   bool    // the endpoint has yet to prove that it serves requests, see outlier.Unverified
+	FailureRatio float64 // failure ratio of the attempts of the zone's proxies at the endpoint, from 0 to 1
+	TieBreak     float64 // result of the function TieBreak
+
+	loadPerWeight float64 // request rate that tables send to the endpoint, divided by the weight of its entries, 1/s
+	rank          float64 // rank for the table that is built next; the lowest rank is chosen first
 }
 
-// penalizeWeight limits the weight of an unverified candidate to the square root of ProbationWeight, as a fraction of
-// its listed weight. With penalizeRank, which divides the rank by that root, the penalty is about that of probation.
+// penalizeWeight limits the weight of an unverified candidate to its listed weight times the square root of
+// outlier.ProbationWeight. Together with penalizeRank, which divides the rank by the same square root, it reduces the
+// load of the candidate about as much as probation does.
 func (c *Candidate[E]) penalizeWeight() {
 	if c.Unverified {
 		c.Weight = math.Min(c.Weight, math.Sqrt(outlier.ProbationWeight)*c.ListedWeight)
@@ -49,7 +52,7 @@
 	}
 }
 
-// before reports whether the candidate is chosen before another.
-func (c *Candidate[E]) before(other *Candidate[E]) bool {
+// ranksBefore reports whether tables choose the candidate in preference to the other candidate.
+func (c *Candidate[E]) ranksBefore(other *Candidate[E]) bool {
 	return c.rank < other.rank || (c.rank == other.rank && c.TieBreak < other.TieBreak)
 }
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -1,10 +1,11 @@
-// Package subset decides which endpoints the assigned tables of a zone's proxies hold, and at which weights.
+// Package subset decides which endpoints the assigned tables of a zone's proxies hold, and the weights of these
+// endpoints.
 //
-// NewPlan acts once for each zone and set of request classes whenever tables are computed, Plan.Build for each proxy
-// whose table is computed. Inputs are candidates with their weights, sums of weights over zones, and rates in
-// requests per second. The results are the entries of a table and the fraction of its usual weight that the table can
-// serve. The plan keeps the load that its tables bring, so that the order of the calls matters. See docs/design.md,
-// "What was changed", 3 (subsetting and spill-over).
+// NewPlan is called once for each zone and set of request classes whenever tables are computed. Plan.Build is called
+// for each proxy whose table is computed. Inputs are candidates with their weights, sums of weights over zones, and
+// rates in requests per second. The results are the entries of a table, and the fraction of its usual weight that the
+// table can serve. A plan tracks the load that tables send to each endpoint, so the result of Build depends on the
+// calls before it. See docs/design.md, "What was changed", 3 (subsetting and spill-over).
 package subset
 
 import (
@@ -13,136 +14,147 @@
 	"madderhollow/assign/numeric"
 )
 
-// FullTableSize is the number of entries of an assigned table, unless connections are scarce.
+// FullTableSize is the number of entries of an assigned table unless connections are scarce.
 const FullTableSize = 10
 
-// Zone is what a plan needs to know of the zone whose proxies it serves.
-type Zone struct {
-	Overloaded       bool
-	PeakWeight       float64 // the highest listed weight of its ready and verified endpoints so far
-	UsablePeakWeight float64 // sum over the zones whose endpoints the request classes may use
-	Spillover        float64 // fraction of its traffic that goes to other zones
-	TrafficFraction  float64 // of the rate of all reporting proxies
-	ReportingProxies float64 // above 0
-	ExcludeWarming   bool    // see ExcludeWarming
-	Closed           bool    // the request classes may use no endpoint of the zone
+// ZoneState is the input of a plan about the zone whose proxies the plan serves.
+type ZoneState struct {
+	Overloaded        bool    // the endpoints of the zone are overloaded
+	PeakWeight        float64 // highest sum so far of the listed weights of the zone's ready and verified endpoints
+	UsablePeakWeight  float64 // sum of PeakWeight over the zones whose endpoints the request classes may use
+	SpilloverFraction float64 // fraction of the zone's traffic that is sent to endpoints of other zones
+	TrafficFraction   float64 // the zone's fraction of the request rate of all reporting proxies
+	ReportingProxies  float64 // number of the zone's proxies that send load reports; above 0, because it is a divisor
+	ExcludeWarming    bool    // tables hold no warming endpoints, see the function ExcludeWarming
+	Disallowed        bool    // the request classes may use no endpoint of the zone
 }
 
-// Deployment is what a plan needs to know of all zones.
-type Deployment struct {
-	PeakWeight        float64 // sum over the zones
-	Zones             int
-	ReportingProxies  float64 // sum over the zones
-	ConfiguredProxies float64 // proxies of the deployment; negative if not stated
+// DeploymentState is the input of a plan about all zones together.
+type DeploymentState struct {
+	PeakWeight        float64 // sum of ZoneState.PeakWeight over the zones
+	ZoneCount         int     // number of zones
+	ReportingProxies  float64 // sum of ZoneState.ReportingProxies over the zones
+	ConfiguredProxies float64 // number of proxies of the deployment according to the settings; negative if not stated
 }
 
-// ExcludeWarming reports whether warming endpoints get no entries in a zone: while its warm endpoints fail most
-// attempts, or tables are narrow. Proxies avoid what fails, so that all their load would go to the few warming
-// endpoints.
+// ExcludeWarming reports whether the tables of a zone's proxies hold no warming endpoints. That is the case while the
+// warm endpoints fail most attempts, or while tables are narrower than a full table. In both cases, proxies avoid the
+// endpoints that fail, so that they would send all their load to the few warming endpoints.
 func ExcludeWarming(mostWarmFail bool, tableSize float64) bool {
 	return mostWarmFail || tableSize < FullTableSize
 }
 
-// Plan builds the tables of a zone for the request classes that share them. It is made once for each state of the
-// zone and serves all its proxies, because a large fleet would cost too much CPU otherwise.
+// Plan builds the tables of a zone's proxies for the request classes that share them. One plan is made for each state
+// of the zone and serves all its proxies, because a plan for each proxy would cost too much CPU time in a large
+// fleet.
 type Plan[E comparable] struct {
-	candidates        []*Candidate[E]
-	byEndpoint        map[E]*Candidate[E]
-	remoteCandidates  int     // number of those in other zones
-	remoteFraction    float64 // of a table's entries and weight; below 1 if there are local candidates
-	remainingCapacity float64 // weight of all usable endpoints, as a fraction of the deployment's peak in all zones
-	maxWeight         float64 // the most that a table carries
+	candidates                []*Candidate[E]     // candidates that tables may hold
+	byEndpoint                map[E]*Candidate[E] // the same candidates by endpoint
+	remoteCandidateCount      int                 // number of the candidates that are in other zones
+	remoteFraction            float64             // remote part of a table; below 1 if there are local candidates
+	remainingCapacityFraction float64             // usable weight divided by the deployment's peak weight
+	usualTableWeight          float64             // weight of a table in normal operation, see computeUsualTableWeight
 }
 
-// wholeZoneFraction is the part of the mean peak weight of all zones above which a zone has been seen whole. Below
-// it, the zone is returning after a loss, and the mean stands for its usual weight.
-const wholeZoneFraction = 0.5
+// completeZoneFraction is the fraction of the mean peak weight of all zones above which a zone's own peak weight
+// counts as its usual weight. Below it, the zone has never been seen complete, because it is returning after a loss.
+// The mean peak weight of all zones then serves as its usual weight.
+const completeZoneFraction = 0.5
 
-// maxRemoteFraction leaves the zone's own candidates a part of each table, however light they are. The weights of
-// remote entries are scaled by the fraction over its difference to 1.
+// maxRemoteFraction is the highest remote fraction of a table that holds local candidates. It is below 1 for two
+// reasons: the zone's own candidates keep a part of the table, however light they are, and remoteWeightScale, which
+// divides by 1 minus the remote fraction, stays finite.
 const maxRemoteFraction = 1 - numeric.MinDivisor
 
-// NewPlan returns the plan for the candidates that the request classes may use, in a fixed order. It modifies them.
-func NewPlan[E comparable](zone Zone, deployment Deployment, usable []Candidate[E]) *Plan[E] {
-	plan := &Plan[E]{remoteFraction: 1, byEndpoint: make(map[E]*Candidate[E], len(usable))}
-	supply := plan.choose(zone, usable)
-	plan.remainingCapacity = supply.total / math.Max(deployment.PeakWeight, numeric.MinDivisor)
-	usualWeight := deployment.PeakWeight / math.Max(1, float64(deployment.Zones))
-	if supply.local > 0 {
-		if zone.PeakWeight > wholeZoneFraction*usualWeight {
+// NewPlan returns the plan for the candidates that the request classes may use. The order of the candidates must not
+// vary between calls, because results depend on it. The plan keeps the elements of the slice and modifies them.
+func NewPlan[E comparable](zone ZoneState, deployment DeploymentState, usableCandidates []Candidate[E]) *Plan[E] {
+	plan := &Plan[E]{remoteFraction: 1, byEndpoint: make(map[E]*Candidate[E], len(usableCandidates))}
+	available := plan.selectCandidates(zone, usableCandidates)
+	plan.remainingCapacityFraction = available.totalWeight / math.Max(deployment.PeakWeight, numeric.MinDivisor)
+	usualWeight := deployment.PeakWeight / math.Max(1, float64(deployment.ZoneCount))
+	if available.localWeight > 0 {
+		if zone.PeakWeight > completeZoneFraction*usualWeight {
 			usualWeight = zone.PeakWeight
 		}
-		demand := plan.demand(zone, deployment, supply, usualWeight)
-		missing := 1 - supply.local/demand
-		plan.remoteFraction = math.Min(maxRemoteFraction, math.Max(zone.Spillover, missing))
+		demand := plan.demand(zone, deployment, available, usualWeight)
+		missingFraction := 1 - available.localWeight/demand
+		plan.remoteFraction = math.Min(maxRemoteFraction, math.Max(zone.SpilloverFraction, missingFraction))
 	}
-	plan.maxWeight = plan.maxTableWeight(usualWeight)
+	plan.usualTableWeight = plan.computeUsualTableWeight(usualWeight)
 	for _, c := range plan.candidates {
 		plan.byEndpoint[c.Endpoint] = c
 		if c.Remote {
-			plan.remoteCandidates++
+			plan.remoteCandidateCount++
 		}
 	}
 	return plan
 }
 
-// supply is the weight that a zone's proxies can use.
+// supply is the weight of the candidates that a zone's proxies can use.
 type supply struct {
-	total   float64 // of all usable candidates
-	local   float64 // of the zone's own candidates that tables may hold
-	warming bool    // some of those are warming up
+	totalWeight  float64 // weight of all usable candidates
+	localWeight  float64 // weight of the zone's own candidates that tables may hold
+	localWarming bool    // at least one of the zone's own candidates that tables may hold is warming up
 }
 
-// choose keeps the candidates that tables may hold. A warming endpoint serves only proxies of its own zone, which
-// know what they bring to it, except where the classes may use no endpoint of the proxies' zone. None is used where
-// Zone.ExcludeWarming holds. Those set aside are used where there is nothing else.
-func (plan *Plan[E]) choose(zone Zone, usable []Candidate[E]) (found supply) {
-	var lastResort []*Candidate[E]
-	for i := range usable {
-		option := &usable[i]
-		option.penalizeWeight()
-		found.total += option.Weight
-		remoteWarming := option.Warming && option.Remote && !zone.Closed
-		if remoteWarming || (option.Warming && zone.ExcludeWarming) {
-			lastResort = append(lastResort, option)
+// selectCandidates sets the candidates that tables may hold, and returns their supply. Warming endpoints are subject
+// to two restrictions. A warming endpoint is used only by proxies of its own zone, because these proxies know the
+// load that they send to it; this does not apply if the request classes may use no endpoint of the proxies' zone. No
+// warming endpoint is used if ZoneState.ExcludeWarming is set. If these restrictions leave no candidate, the
+// candidates that they rule out are used after all.
+func (plan *Plan[E]) selectCandidates(zone ZoneState, usableCandidates []Candidate[E]) (available supply) {
+	var fallbackCandidates []*Candidate[E]
+	for i := range usableCandidates {
+		candidate := &usableCandidates[i]
+		candidate.penalizeWeight()
+		available.totalWeight += candidate.Weight
+		remoteWarming := candidate.Warming && candidate.Remote && !zone.Disallowed
+		if remoteWarming || (candidate.Warming && zone.ExcludeWarming) {
+			fallbackCandidates = append(fallbackCandidates, candidate)
 			continue
 		}
-		plan.candidates = append(plan.candidates, option)
+		plan.candidates = append(plan.candidates, candidate)
 	}
 	if len(plan.candidates) == 0 {
-		plan.candidates = lastResort
+		plan.candidates = fallbackCandidates
 	}
 	for _, c := range plan.candidates {
 		if !c.Remote {
-			found.local += c.Weight
-			found.warming = found.warming || c.Warming
+			available.localWeight += c.Weight
+			available.localWarming = available.localWarming || c.Warming
 		}
 	}
-	return found
+	return available
 }
 
-// demand returns the weight that the zone's proxies need: what they usually have, less what the zones that their
-// classes may use have lost; in an overloaded zone at least what its traffic takes. Where warming endpoints are in use
-// the loss does not count, because warm endpoints have to carry the load next to them, however unhealthy. It assumes
-// that proxies which do not report here bring as much as those that do, and that zones have equally many.
-func (plan *Plan[E]) demand(zone Zone, deployment Deployment, found supply, usualWeight float64) float64 {
+// demand returns the weight that the zone's proxies need. It starts from the usual weight of the zone, reduced by
+// the fraction of weight that is lost in the zones whose endpoints the request classes may use. While the zone's own
+// candidates include warming endpoints, it is not reduced, because the warm endpoints have to carry the load beside
+// the warming ones, however unhealthy they are. In an overloaded zone, the demand is at least the weight that the
+// zone's traffic needs.
+//
+// The calculation for an overloaded zone assumes that proxies which do not report to this assigner send as much load
+// as those which do, and that all zones have equally many proxies.
+func (plan *Plan[E]) demand(zone ZoneState, deployment DeploymentState, available supply, usualWeight float64) float64 {
 	demand := usualWeight
-	if !found.warming {
-		demand *= math.Min(1, found.total/math.Max(zone.UsablePeakWeight, numeric.MinDivisor))
+	if !available.localWarming {
+		demand *= math.Min(1, available.totalWeight/math.Max(zone.UsablePeakWeight, numeric.MinDivisor))
 	}
 	if !zone.Overloaded {
 		return demand
 	}
 	proxies := math.Max(deployment.ReportingProxies, deployment.ConfiguredProxies)
-	proxiesPerZone := proxies / float64(deployment.Zones)
-	proxiesPerReporting := math.Max(1, proxiesPerZone/zone.ReportingProxies)
-	reportedDemand := found.total * zone.TrafficFraction * deployment.ReportingProxies / proxies
-	return math.Max(demand, reportedDemand*proxiesPerReporting)
+	proxiesPerZone := proxies / float64(deployment.ZoneCount)
+	proxiesPerReportingProxy := math.Max(1, proxiesPerZone/zone.ReportingProxies)
+	reportedDemand := available.totalWeight * zone.TrafficFraction * deployment.ReportingProxies / proxies
+	return math.Max(demand, reportedDemand*proxiesPerReportingProxy)
 }
 
-// maxTableWeight returns the most that a table carries: the zone's usual weight, or that of a full table where there
-// are more endpoints.
-func (plan *Plan[E]) maxTableWeight(usualWeight float64) float64 {
+// computeUsualTableWeight returns the weight that a table has in normal operation, which is also the most that a
+// table carries. It is the lower of two weights: the usual weight of the zone, and the weight of a full table of
+// candidates with average listed weight.
+func (plan *Plan[E]) computeUsualTableWeight(usualWeight float64) float64 {
 	fullTableWeight := 0.0
 	for _, c := range plan.candidates {
 		fullTableWeight += c.ListedWeight * FullTableSize / float64(len(plan.candidates))
@@ -150,8 +162,8 @@
 	return math.Min(usualWeight, fullTableWeight)
 }
 
-// AddLoad adds the load that a table with a rate in requests per second brings to its endpoints; a negative rate
-// removes it.
+// AddLoad adds the load that a proxy with the given table and rate, in requests per second, sends to the endpoints of
+// the table. A negative rate removes load that was added before.
 func (plan *Plan[E]) AddLoad(table []Entry[E], rate float64) {
 	sum := 0.0
 	for _, entry := range table {
@@ -159,7 +171,7 @@
 	}
 	for _, entry := range table {
 		if c := plan.byEndpoint[entry.Endpoint]; c != nil {
-			c.load += rate / sum // the entry's part of the rate, per unit of its weight
+			c.loadPerWeight += rate / sum // rate of the entry divided by the weight of the entry
 		}
 	}
 }
--- a/assign/subset/property_test.go
+++ b/assign/subset/property_test.go
@@ -11,74 +11,75 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// world is what the tables of a zone are built from.
-type world struct {
-	zone       subset.Zone
-	deployment subset.Deployment
+// scenario is the input from which the tables of a zone are built.
+type scenario struct {
+	zone       subset.ZoneState
+	deployment subset.DeploymentState
 	candidates []candidate
 }
 
-// drawWorld draws a zone with any mix of endpoints: of weights from the least to the most that a list allows, some of which
-// fail every attempt.
-func drawWorld(random *rand.Rand) world {
-	drawn := world{zone: subset.Zone{Closed: random.Intn(5) == 0}}
-	peak := 0.0
+// drawScenario draws a random zone with a random mix of endpoints. Their listed weights range from the lowest to the
+// highest that an endpoint list allows, and some of the endpoints fail every attempt.
+func drawScenario(random *rand.Rand) scenario {
+	input := scenario{zone: subset.ZoneState{Disallowed: random.Intn(5) == 0}}
+	peakWeight := 0.0
 	for i := range random.Intn(40) {
-		c := drawCandidate(random, fmt.Sprint("endpoint", i), drawn.zone.Closed)
+		c := drawCandidate(random, fmt.Sprint("endpoint", i), input.zone.Disallowed)
 		if !c.Remote && !c.Unverified {
-			peak += c.ListedWeight
+			peakWeight += c.ListedWeight
 		}
 		if c.Weight > 0 {
-			drawn.candidates = append(drawn.candidates, c)
+			input.candidates = append(input.candidates, c)
 		}
 	}
-	reporting := 1e-9 + float64(random.Intn(100))
-	drawn.zone.Overloaded = random.Intn(2) == 0
-	drawn.zone.PeakWeight = peak * (1 + quickcheck.Fraction(random))
-	drawn.zone.Spillover = 0.9 * quickcheck.Fraction(random)
-	drawn.zone.TrafficFraction = quickcheck.Fraction(random)
-	drawn.zone.ReportingProxies = reporting
-	drawn.zone.ExcludeWarming = random.Intn(3) == 0
-	drawn.deployment = subset.Deployment{
-		PeakWeight:        drawn.zone.PeakWeight + quickcheck.Fraction(random)*quickcheck.Magnitude(random, 1e-3, 1e4),
-		Zones:             1 + random.Intn(5),
-		ReportingProxies:  reporting + float64(random.Intn(1000)),
+	reportingProxies := 1e-9 + float64(random.Intn(100))
+	input.zone.Overloaded = random.Intn(2) == 0
+	input.zone.PeakWeight = peakWeight * (1 + quickcheck.Fraction(random))
+	input.zone.SpilloverFraction = 0.9 * quickcheck.Fraction(random)
+	input.zone.TrafficFraction = quickcheck.Fraction(random)
+	input.zone.ReportingProxies = reportingProxies
+	input.zone.ExcludeWarming = random.Intn(3) == 0
+	input.deployment = subset.DeploymentState{
+		PeakWeight:        input.zone.PeakWeight + quickcheck.Fraction(random)*quickcheck.Magnitude(random, 1e-3, 1e4),
+		ZoneCount:         1 + random.Intn(5),
+		ReportingProxies:  reportingProxies + float64(random.Intn(1000)),
 		ConfiguredProxies: quickcheck.Fraction(random)*3000 - 1,
 	}
-	drawn.zone.UsablePeakWeight = drawn.deployment.PeakWeight * quickcheck.Fraction(random)
-	return drawn
+	input.zone.UsablePeakWeight = input.deployment.PeakWeight * quickcheck.Fraction(random)
+	return input
 }
 
-// drawCandidate draws an endpoint; in a closed zone it is remote.
-func drawCandidate(random *rand.Rand, name string, closed bool) candidate {
-	capacity := 1.0
+// drawCandidate draws a random candidate with the given name. It is always remote if the request classes may use no
+// endpoint of the zone.
+func drawCandidate(random *rand.Rand, name string, zoneDisallowed bool) candidate {
+	capacityFraction := 1.0
 	if random.Intn(3) == 0 {
-		capacity = quickcheck.Fraction(random)
+		capacityFraction = quickcheck.Fraction(random)
 	}
-	listed := quickcheck.Magnitude(random, 1e-9, 1e9)
+	listedWeight := quickcheck.Magnitude(random, 1e-9, 1e9)
 	return candidate{
 		Endpoint:     name,
-		ListedWeight: listed,
-		Weight:       subset.UsableWeight(listed, 0.1+0.9*quickcheck.Fraction(random), capacity),
-		Remote:       closed || random.Intn(2) == 0,
-		Warming:      capacity < 1,
-		Unverified:   capacity == 1 && random.Intn(5) == 0,
+		ListedWeight: listedWeight,
+		Weight:       subset.UsableWeight(listedWeight, 0.1+0.9*quickcheck.Fraction(random), capacityFraction),
+		Remote:       zoneDisallowed || random.Intn(2) == 0,
+		Warming:      capacityFraction < 1,
+		Unverified:   capacityFraction == 1 && random.Intn(5) == 0,
 		FailureRatio: math.Min(1, 1.2*quickcheck.Fraction(random)),
 		TieBreak:     random.ExpFloat64(),
 	}
 }
 
-// isWarming reports whether the candidate of an entry is warming up.
-func (w *world) isWarming(entry subset.Entry[string]) bool {
-	return slices.ContainsFunc(w.candidates, func(c candidate) bool { return c.Endpoint == entry.Endpoint && c.Warming })
+// isWarming reports whether the endpoint of a table entry is warming up.
+func (s *scenario) isWarming(entry subset.Entry[string]) bool {
+	return slices.ContainsFunc(s.candidates, func(c candidate) bool { return c.Endpoint == entry.Endpoint && c.Warming })
 }
 
-// warmingShare returns the part of a table's weight that warming endpoints have, 0 for an empty table.
-func (w *world) warmingShare(table subset.Table[string]) float64 {
+// warmingFraction returns the fraction of a table's weight that warming endpoints have, or 0 for an empty table.
+func (s *scenario) warmingFraction(table subset.Table[string]) float64 {
 	sum, warming := 0.0, 0.0
 	for _, entry := range table.Entries {
 		sum += entry.Weight
-		if w.isWarming(entry) {
+		if s.isWarming(entry) {
 			warming += entry.Weight
 		}
 	}
@@ -88,9 +89,10 @@
 	return warming / sum
 }
 
-// check returns what is wrong with a table of the zone, nothing if it keeps the invariants.
-func (w *world) check(table subset.Table[string], size float64) string {
-	if len(table.Entries) == 0 && len(w.candidates) > 0 {
+// invariantViolation describes the first invariant that a table of the zone violates. It returns an empty string if
+// the table keeps all invariants.
+func (s *scenario) invariantViolation(table subset.Table[string], size float64) string {
+	if len(table.Entries) == 0 && len(s.candidates) > 0 {
 		return "no entry although there are candidates"
 	}
 	if len(table.Entries) > int(math.Round(size)) {
@@ -103,30 +105,31 @@
 		}
 		names[entry.Endpoint] = true
 	}
-	share := w.warmingShare(table)
-	hasWarm := share < 1-1e-6 // a millionth of the weight cannot carry a tenth of the load
-	if hasWarm && share > 0.9*(1+tolerance) {
+	fraction := s.warmingFraction(table)
+	hasWarm := fraction < 1-1e-6 // warm entries below a millionth of the weight cannot carry a tenth of the load
+	if hasWarm && fraction > 0.9*(1+tolerance) {
 		return "over nine tenths for warming endpoints next to warm ones"
 	}
-	if !(table.WarmingCapacity >= 0 && table.WarmingCapacity <= 1) || (share > 0) != (table.WarmingCapacity > 0) || (share > 0) != table.Warming {
+	if !(table.WarmingCapacity >= 0 && table.WarmingCapacity <= 1) || (fraction > 0) != (table.WarmingCapacity > 0) || (fraction > 0) != table.Warming {
 		return "a warming capacity that is not above 0 and at most 1 just while entries are warming up"
 	}
 	return ""
 }
 
-// Any table has an entry while there is a candidate, finite weights, and a warming capacity while entries are warming up.
+// Every table has at least one entry while there is a candidate, and all its weights are finite. It has a warming
+// capacity exactly while entries are warming up.
 func TestTablesKeepInvariants(t *testing.T) {
 	quickcheck.Seeds(t, 5000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		drawn := drawWorld(random)
-		plan := subset.NewPlan(drawn.zone, drawn.deployment, slices.Clone(drawn.candidates))
+		input := drawScenario(random)
+		plan := subset.NewPlan(input.zone, input.deployment, slices.Clone(input.candidates))
 		size := 2 + 8*quickcheck.Fraction(random)
 		held := make([][]subset.Entry[string], 4)
 		for i := range 3 * len(held) {
 			proxy := i % len(held)
 			table := plan.Build(held[proxy], 1e3*quickcheck.Fraction(random), size)
-			if wrong := drawn.check(table, size); wrong != "" {
-				t.Errorf("seed %d, table %d: got %+v, want none with %s", seed, i, table, wrong)
+			if violation := input.invariantViolation(table, size); violation != "" {
+				t.Errorf("seed %d, table %d: got %+v, want none with %s", seed, i, table, violation)
 				return false
 			}
 			held[proxy] = table.Entries
@@ -135,7 +138,7 @@
 	})
 }
 
-// checkFinite checks that each entry has a finite weight above 0.
+// checkFinite fails the test unless each entry has a finite weight above 0.
 func checkFinite(t *testing.T, table subset.Table[string]) {
 	t.Helper()
 	for _, entry := range table.Entries {
@@ -145,13 +148,14 @@
 	}
 }
 
-// Where warming endpoints are excluded and nothing else is there, local and remote ones share the table.
+// If warming endpoints are excluded but there are no others, local and remote warming endpoints share the table. Its
+// weights must be finite.
 func TestTableOfExcludedWarmingEndpointsIsFinite(t *testing.T) {
 	candidates := slices.Concat(localCandidates(4), remoteCandidates(8))
 	for i := range candidates {
 		candidates[i].Warming, candidates[i].Weight = true, 0.3
 	}
-	zone, deployment := usualZone()
+	zone, deployment := defaultZone()
 	zone.ExcludeWarming = true
 	table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 2)
 	checkFinite(t, table)
@@ -160,29 +164,29 @@
 	}
 }
 
-// The endpoint list allows weights of any positive size up to 1e9. The lightest endpoint of a zone that usually has the
-// heaviest still shares a table with remote ones.
+// The endpoint list allows any positive weight up to 1e9. A zone whose usual weight is the highest may be left with a
+// single endpoint of weight 1e-9. The table that this endpoint shares with remote endpoints must have finite weights.
 func TestTableOfLightestEndpointIsFinite(t *testing.T) {
 	candidates := slices.Concat(localCandidates(1), remoteCandidates(8))
 	candidates[0].Weight, candidates[0].ListedWeight = 1e-9, 1e-9
 	for i := range candidates[1:] {
 		candidates[1+i].Weight, candidates[1+i].ListedWeight = 1e9, 1e9
 	}
-	zone, deployment := usualZone()
+	zone, deployment := defaultZone()
 	zone.PeakWeight, deployment.PeakWeight = 1e9, 9e9
 	table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 10)
 	checkFinite(t, table)
 }
 
-// Warming endpoints next to warm ones that fail every attempt leave the table a capacity above 0, which stands for a rate
-// cap: 0 means that no entry is warming up.
+// A table may hold warming endpoints next to warm ones that fail every attempt. Its warming capacity must stay above
+// 0, because a rate cap is computed from it, and 0 stands for a table without warming entries.
 func TestWarmingCapacityNextToFailingEndpointsIsAboveZero(t *testing.T) {
 	candidates := localCandidates(4)
 	for i := range candidates {
 		candidates[i].FailureRatio = 1
 	}
 	candidates[0].Warming, candidates[0].Weight, candidates[0].FailureRatio = true, 0.5, 0
-	zone, deployment := usualZone()
+	zone, deployment := defaultZone()
 	table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 10)
 	if subset.WeightOf(table.Entries, "local0") == 0 {
 		t.Fatalf("got table %+v, want the warming endpoint in it", table)
--- a/assign/subset/subset_test.go
+++ b/assign/subset/subset_test.go
@@ -13,7 +13,8 @@
 
 type candidate = subset.Candidate[string]
 
-// localCandidates returns warm candidates of the zone, of weight 1, named local0 and so on. The first are preferred.
+// localCandidates returns the given number of warm candidates of the zone, with weight 1 and the names local0, local1
+// and so on. Their tie breaks make tables prefer those with lower numbers.
 func localCandidates(count int) (candidates []candidate) {
 	for i := range count {
 		candidates = append(candidates, candidate{Endpoint: fmt.Sprint("local", i), Weight: 1, ListedWeight: 1, TieBreak: float64(i)})
@@ -21,7 +22,8 @@
 	return candidates
 }
 
-// remoteCandidates returns the same of other zones, named remote0 and so on.
+// remoteCandidates returns the given number of warm candidates of other zones, with weight 1 and the names remote0,
+// remote1 and so on.
 func remoteCandidates(count int) (candidates []candidate) {
 	for i, c := range localCandidates(count) {
 		c.Endpoint, c.Remote = fmt.Sprint("remote", i), true
@@ -30,14 +32,14 @@
 	return candidates
 }
 
-// usualZone is a zone that usually has a weight of 10, in a deployment of three such zones.
-func usualZone() (subset.Zone, subset.Deployment) {
-	return subset.Zone{PeakWeight: 10, UsablePeakWeight: 30, TrafficFraction: 1.0 / 3, ReportingProxies: 4},
-		subset.Deployment{PeakWeight: 30, Zones: 3, ReportingProxies: 12, ConfiguredProxies: -1}
+// defaultZone returns a zone whose usual weight is 10, and its deployment of three such zones.
+func defaultZone() (subset.ZoneState, subset.DeploymentState) {
+	return subset.ZoneState{PeakWeight: 10, UsablePeakWeight: 30, TrafficFraction: 1.0 / 3, ReportingProxies: 4},
+		subset.DeploymentState{PeakWeight: 30, ZoneCount: 3, ReportingProxies: 12, ConfiguredProxies: -1}
 }
 
-// weightOf sums up the weights of the entries whose names start with a prefix, and counts them.
-func weightOf(table subset.Table[string], prefix string) (sum float64, count int) {
+// sumWeights returns the sum of the weights of the entries whose endpoint names start with a prefix, and their number.
+func sumWeights(table subset.Table[string], prefix string) (sum float64, count int) {
 	for _, entry := range table.Entries {
 		if len(entry.Endpoint) >= len(prefix) && entry.Endpoint[:len(prefix)] == prefix {
 			sum += entry.Weight
@@ -92,7 +94,7 @@
 		name                    string
 		policy                  subset.ZonePolicy
 		endpointZone, proxyZone string
-		allows, closed          bool // closed in the proxy's zone
+		allows, disallowed      bool // disallowed: the policy disallows the proxy's zone
 	}{
 		{"all zones, the same", all, "x", "x", true, false},
 		{"all zones, another", all, "y", "x", true, false},
@@ -101,14 +103,14 @@
 		{"allowed zone, the same", two, "x", "x", true, false},
 		{"allowed zone, another", two, "y", "x", true, false},
 		{"other zone, the same", two, "z", "z", false, true},
-		{"allowed zone from a closed one", two, "y", "z", true, true},
+		{"allowed zone from a disallowed one", two, "y", "z", true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.policy.Allows(test.endpointZone, test.proxyZone); got != test.allows {
 				t.Errorf("got allowed %t, want %t", got, test.allows)
 			}
-			if got := test.policy.ClosedIn(test.proxyZone); got != test.closed {
-				t.Errorf("got closed %t, want %t", got, test.closed)
+			if got := test.policy.DisallowsZone(test.proxyZone); got != test.disallowed {
+				t.Errorf("got disallowed %t, want %t", got, test.disallowed)
 			}
 		})
 	}
@@ -125,61 +127,63 @@
 
 func TestBuildTakesLocalEndpointsFirst(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		local, remote int
-		size          float64
-		change        func(zone *subset.Zone, deployment *subset.Deployment)
-		wantLocal     int
-		wantRemote    int
-		remoteShare   float64 // of the table's weight
+		name           string
+		local, remote  int
+		size           float64
+		change         func(zone *subset.ZoneState, deployment *subset.DeploymentState)
+		wantLocal      int
+		wantRemote     int
+		remoteFraction float64 // remote part of the table's weight
 	}{
 		{name: "the zone has its usual weight", local: 10, remote: 20, size: 10, wantLocal: 10},
 		{name: "the zone has more", local: 14, remote: 20, size: 10, wantLocal: 10},
-		{name: "the zone lost half", local: 5, remote: 20, size: 10, // the deployment has 25 of 30, a full table 8.33
-			wantLocal: 5, wantRemote: 4, remoteShare: 0.4},
+		{name: "the zone lost half", local: 5, remote: 20, size: 10, // 25 of 30 remain, so the demand is 8.33
+			wantLocal: 5, wantRemote: 4, remoteFraction: 0.4},
 		{name: "all zones lost half", local: 5, remote: 10, size: 10, wantLocal: 5},
-		{name: "the zone has none", local: 0, remote: 20, size: 10, wantRemote: 9, remoteShare: 1},
+		{name: "the zone has none", local: 0, remote: 20, size: 10, wantRemote: 9, remoteFraction: 1},
 		{name: "others have none", local: 5, remote: 0, size: 10, wantLocal: 5},
-		{name: "spill-over", local: 10, remote: 20, size: 10, wantLocal: 7, wantRemote: 3, remoteShare: 0.3,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.Spillover = 0.3 }},
+		{name: "spill-over", local: 10, remote: 20, size: 10, wantLocal: 7, wantRemote: 3, remoteFraction: 0.3,
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.SpilloverFraction = 0.3 }},
 		{name: "spill-over below half an entry", local: 10, remote: 20, size: 10, wantLocal: 10,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.Spillover = 0.049 }},
-		{name: "spill-over of half an entry", local: 10, remote: 20, size: 10, wantLocal: 9, wantRemote: 1, remoteShare: 0.05,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.Spillover = 0.05 }},
-		{name: "narrow table keeps a local entry", local: 10, remote: 20, size: 2, wantLocal: 1, wantRemote: 1, remoteShare: 0.9,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.Spillover = 0.9 }},
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.SpilloverFraction = 0.049 }},
+		{name: "spill-over of half an entry", local: 10, remote: 20, size: 10, wantLocal: 9, wantRemote: 1, remoteFraction: 0.05,
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.SpilloverFraction = 0.05 }},
+		{name: "narrow table keeps a local entry", local: 10, remote: 20, size: 2, wantLocal: 1, wantRemote: 1, remoteFraction: 0.9,
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.SpilloverFraction = 0.9 }},
 		{name: "size is rounded", local: 10, remote: 20, size: 4.5, wantLocal: 5},
 		{name: "overloaded: weight for the zone's traffic", local: 10, remote: 20, size: 10,
-			wantLocal: 7, wantRemote: 3, remoteShare: 1.0 / 3, // half of the traffic needs 15 of 30
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.Overloaded, zone.TrafficFraction = true, 0.5 }},
+			wantLocal: 7, wantRemote: 3, remoteFraction: 1.0 / 3, // half of the traffic needs a weight of 15 out of 30
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) {
+				zone.Overloaded, zone.TrafficFraction = true, 0.5
+			}},
 		{name: "overloaded: as much for proxies that do not report", local: 10, remote: 20, size: 10,
-			wantLocal: 5, wantRemote: 5, remoteShare: 0.5, // a third of the traffic from half of the proxies
-			change: func(zone *subset.Zone, deployment *subset.Deployment) {
+			wantLocal: 5, wantRemote: 5, remoteFraction: 0.5, // half of the zone's proxies send a third of the traffic
+			change: func(zone *subset.ZoneState, deployment *subset.DeploymentState) {
 				zone.Overloaded, zone.ReportingProxies = true, 2
 				deployment.ReportingProxies = 12
 			}},
 		{name: "not overloaded: traffic does not count", local: 10, remote: 20, size: 10, wantLocal: 10,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.TrafficFraction = 0.5 }},
-		{name: "peak of half the mean: the zone was never seen whole", local: 5, remote: 25, size: 10,
-			wantLocal: 5, wantRemote: 5, remoteShare: 0.5,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.PeakWeight = 5 }},
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.TrafficFraction = 0.5 }},
+		{name: "peak of half the mean: the zone was never seen complete", local: 5, remote: 25, size: 10,
+			wantLocal: 5, wantRemote: 5, remoteFraction: 0.5,
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.PeakWeight = 5 }},
 		{name: "peak above half the mean: the zone is small", local: 6, remote: 24, size: 10, wantLocal: 6,
-			change: func(zone *subset.Zone, _ *subset.Deployment) { zone.PeakWeight = 6 }},
+			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.PeakWeight = 6 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			zone, deployment := usualZone()
+			zone, deployment := defaultZone()
 			if test.change != nil {
 				test.change(&zone, &deployment)
 			}
 			plan := subset.NewPlan(zone, deployment, slices.Concat(localCandidates(test.local), remoteCandidates(test.remote)))
 			table := plan.Build(nil, 10, test.size)
-			localWeight, local := weightOf(table, "local")
-			remoteWeight, remote := weightOf(table, "remote")
+			localWeight, local := sumWeights(table, "local")
+			remoteWeight, remote := sumWeights(table, "remote")
 			if local != test.wantLocal || remote != test.wantRemote {
 				t.Errorf("got %d local and %d remote entries, want %d and %d", local, remote, test.wantLocal, test.wantRemote)
 			}
-			if got := remoteWeight / (localWeight + remoteWeight); math.Abs(got-test.remoteShare) > tolerance {
-				t.Errorf("got remote share %g, want %g", got, test.remoteShare)
+			if got := remoteWeight / (localWeight + remoteWeight); math.Abs(got-test.remoteFraction) > tolerance {
+				t.Errorf("got remote fraction %g, want %g", got, test.remoteFraction)
 			}
 			if table.WarmingCapacity != 0 {
 				t.Errorf("got warming capacity %g, want 0", table.WarmingCapacity)
@@ -188,7 +192,7 @@
 	}
 }
 
-// endpointsOf returns the endpoints of a table by name.
+// endpointsOf returns the names of the endpoints in a table, sorted.
 func endpointsOf(table subset.Table[string]) (names []string) {
 	for _, entry := range table.Entries {
 		names = append(names, entry.Endpoint)
@@ -198,7 +202,7 @@
 }
 
 func TestBuildChoosesLeastLoad(t *testing.T) {
-	zone, deployment := usualZone()
+	zone, deployment := defaultZone()
 	plan := subset.NewPlan(zone, deployment, localCandidates(4))
 	for i, want := range [][]string{{"local0", "local1"}, {"local2", "local3"}, {"local0", "local1"}} {
 		if got := endpointsOf(plan.Build(nil, 10, 2)); !slices.Equal(got, want) {
@@ -210,14 +214,14 @@
 func TestBuildKeepsEntryUntilThreeTimesTheLoad(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		load float64 // at the held endpoint from other proxies; another endpoint has 10
+		load float64 // load of the held endpoint from other proxies; local2 has a load of 10
 		want []string
 	}{
 		{"just below three times", 29.9, []string{"local0", "local1"}},
 		{"just above three times", 30.1, []string{"local1", "local2"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			zone, deployment := usualZone()
+			zone, deployment := defaultZone()
 			plan := subset.NewPlan(zone, deployment, localCandidates(3))
 			held := []subset.Entry[string]{{Endpoint: "local0", Weight: 1}, {Endpoint: "local1", Weight: 1}}
 			plan.AddLoad(held, 5)
@@ -230,13 +234,14 @@
 	}
 }
 
-// An unverified endpoint has the square root of probation's tenth by a lower weight, and the other by fewer tables.
+// The penalty for an unverified endpoint is split in two equal factors. Its weight is multiplied by the square root
+// of the probation weight of 0.1, and its rank is divided by the same number, so that fewer tables hold the endpoint.
 func TestBuildPenalizesUnverified(t *testing.T) {
 	penalty := math.Sqrt(0.1)
 	for _, test := range []struct {
 		name string
-		load float64 // at each of the other endpoints; the unverified one has 10
-		want bool    // it is in the table
+		load float64 // load of each verified endpoint; the unverified endpoint has a load of 10
+		want bool    // the table holds the unverified endpoint
 	}{
 		{"others just below the penalty", 10/penalty - 0.1, false},
 		{"others just above the penalty", 10/penalty + 0.1, true},
@@ -244,7 +249,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			candidates := localCandidates(3)
 			candidates[0].Unverified = true
-			zone, deployment := usualZone()
+			zone, deployment := defaultZone()
 			plan := subset.NewPlan(zone, deployment, candidates)
 			plan.AddLoad([]subset.Entry[string]{{Endpoint: "local0", Weight: 1}}, 10)
 			plan.AddLoad([]subset.Entry[string]{{Endpoint: "local1", Weight: 1}}, test.load)
@@ -264,17 +269,17 @@
 func TestBuildPlacesWarmingEndpoints(t *testing.T) {
 	for _, test := range []struct {
 		name                    string
-		zone                    func(zone *subset.Zone)
-		localWarming            bool // one local endpoint
-		remoteWarming           bool // one remote endpoint
+		zone                    func(zone *subset.ZoneState)
+		localWarming            bool // the endpoint local0 is warming up
+		remoteWarming           bool // the endpoint remote0 is warming up
 		allWarming              bool
 		wantLocal0, wantRemote0 bool
 	}{
 		{name: "local", localWarming: true, wantLocal0: true, wantRemote0: true},
 		{name: "remote", remoteWarming: true, wantLocal0: true},
-		{name: "remote, classes closed in the zone", remoteWarming: true, wantLocal0: true, wantRemote0: true,
-			zone: func(zone *subset.Zone) { zone.Closed = true }},
-		{name: "excluded", localWarming: true, wantRemote0: true, zone: func(zone *subset.Zone) { zone.ExcludeWarming = true }},
+		{name: "remote, classes may use no endpoint of the zone", remoteWarming: true, wantLocal0: true, wantRemote0: true,
+			zone: func(zone *subset.ZoneState) { zone.Disallowed = true }},
+		{name: "excluded", localWarming: true, wantRemote0: true, zone: func(zone *subset.ZoneState) { zone.ExcludeWarming = true }},
 		{name: "nothing else, without exclusion", allWarming: true, wantLocal0: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -285,8 +290,8 @@
 				local[i].Warming = local[i].Warming || test.allWarming
 				remote[i].Warming = remote[i].Warming || test.allWarming
 			}
-			zone, deployment := usualZone()
-			zone.Spillover = 0.5
+			zone, deployment := defaultZone()
+			zone.SpilloverFraction = 0.5
 			if test.zone != nil {
 				test.zone(&zone)
 			}
@@ -301,23 +306,25 @@
 	}
 }
 
-func TestBuildCapsWarmingShare(t *testing.T) {
+func TestBuildCapsWarmingFraction(t *testing.T) {
 	for _, test := range []struct {
-		name          string
-		warming       int     // of eleven local endpoints
-		weight        float64 // of each of those
-		failureRatio  float64 // of the others
-		wantShare     float64
-		wantCapacity  float64
-		deploymentHas float64 // peak weight
+		name           string
+		warming        int     // number of warming endpoints among eleven local ones
+		weight         float64 // weight of each warming endpoint
+		failureRatio   float64 // failure ratio of each warm endpoint
+		wantFraction   float64
+		wantCapacity   float64
+		deploymentPeak float64 // peak weight of the deployment
 	}{
-		// A full table weighs 10. One warming endpoint of half its weight may have a twentieth, next to nine warm ones.
+		// A full table weighs 10. Next to nine warm endpoints, a warming endpoint at half its listed weight may have a
+		// twentieth of the table.
 		{"one warming", 1, 0.5, 0, 0.05, 9 / 0.95 / 10, 30},
 		{"one warming, the others fail half", 1, 0.5, 0.5, 0.05, 4.5 / 0.95 / 10, 30},
-		{"one warming, below its share", 1, 0.01, 0, 0.001, 9 / 0.999 / 10, 30},
+		{"one warming, below its limit", 1, 0.01, 0, 0.001, 9 / 0.999 / 10, 30},
 		{"nine warming at full weight", 9, 1, 0, 0.9, 1, 30},
 		{"none", 0, 0, 0, 0, 0, 30},
-		// Eleven endpoints at nine tenths: ten of them have 9 of 10, while the deployment has 9.9 of 30 or of 10.
+		// All eleven endpoints are at nine tenths of their listed weight. The ten in the table weigh 9 out of 10. All
+		// endpoints of the deployment weigh 9.9 out of 30 or out of 10.
 		{"all warming, little remains of the deployment", 11, 0.9, 0, 1, 0.33, 30},
 		{"all warming, most remains of the deployment", 11, 0.9, 0, 1, 0.9, 10},
 	} {
@@ -329,12 +336,12 @@
 					candidates[i].Warming, candidates[i].Weight, candidates[i].FailureRatio = true, test.weight, 0
 				}
 			}
-			zone, deployment := usualZone()
-			deployment.PeakWeight = test.deploymentHas
+			zone, deployment := defaultZone()
+			deployment.PeakWeight = test.deploymentPeak
 			table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 10)
-			drawn := world{candidates: candidates}
-			if got := drawn.warmingShare(table); math.Abs(got-test.wantShare) > 1e-4 {
-				t.Errorf("got share %g of warming endpoints, want %g", got, test.wantShare)
+			input := scenario{candidates: candidates}
+			if got := input.warmingFraction(table); math.Abs(got-test.wantFraction) > 1e-4 {
+				t.Errorf("got fraction %g of warming endpoints, want %g", got, test.wantFraction)
 			}
 			if got := table.WarmingCapacity; math.Abs(got-test.wantCapacity) > tolerance {
 				t.Errorf("got capacity %g, want %g", got, test.wantCapacity)
@@ -343,18 +350,19 @@
 	}
 }
 
-// Without remote candidates a table holds the zone's endpoints, up to its size, whatever part should go to other zones.
+// Without remote candidates, a table holds the zone's own endpoints up to its size, whatever fraction of the traffic
+// should go to other zones.
 func TestBuildFillsTableWithoutRemoteCandidates(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		warming bool // one of the endpoints, which have half of the zone's usual weight
-		change  func(zone *subset.Zone)
+		warming bool // one of the endpoints is warming up; all five have half of the zone's usual weight
+		change  func(zone *subset.ZoneState)
 	}{
-		{"spill-over", false, func(zone *subset.Zone) { zone.Overloaded, zone.Spillover = true, 0.9 }},
-		{"loss while an endpoint warms up", true, func(*subset.Zone) {}},
+		{"spill-over", false, func(zone *subset.ZoneState) { zone.Overloaded, zone.SpilloverFraction = true, 0.9 }},
+		{"loss while an endpoint warms up", true, func(*subset.ZoneState) {}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			zone, deployment := usualZone()
+			zone, deployment := defaultZone()
 			test.change(&zone)
 			candidates := localCandidates(5)
 			candidates[0].Warming = test.warming
@@ -366,20 +374,21 @@
 	}
 }
 
-// With fewer remote candidates than entries reserved for them, the zone's endpoints fill the table up to its size.
+// If there are fewer remote candidates than the spill-over calls for, the zone's own endpoints take the other entries
+// up to the table size.
 func TestBuildFillsTableWithFewRemoteCandidates(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		local, remote int
-		want          int // entries
+		want          int // number of entries
 	}{
 		{"one remote", 5, 1, 5},
 		{"two remote", 2, 2, 4},
 		{"all reserved", 5, 4, 5},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			zone, deployment := usualZone()
-			zone.Overloaded, zone.Spillover = true, 0.9
+			zone, deployment := defaultZone()
+			zone.Overloaded, zone.SpilloverFraction = true, 0.9
 			candidates := slices.Concat(localCandidates(test.local), remoteCandidates(test.remote))
 			table := subset.NewPlan(zone, deployment, candidates).Build(nil, 10, 5)
 			if got := len(table.Entries); got != test.want {
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -7,13 +7,13 @@
 	"madderhollow/assign/numeric"
 )
 
-// Entry is one weighted endpoint of a routing table.
+// Entry is an endpoint of a routing table with its weight.
 type Entry[E comparable] struct {
 	Endpoint E
 	Weight   float64
 }
 
-// WeightOf returns the weight of an endpoint in a table, 0 if the table does not hold it.
+// WeightOf returns the weight of an endpoint in a table, or 0 if the table does not hold the endpoint.
 func WeightOf[E comparable](table []Entry[E], endpoint E) float64 {
 	i := slices.IndexFunc(table, func(entry Entry[E]) bool { return entry.Endpoint == endpoint })
 	if i < 0 {
@@ -22,125 +22,131 @@
 	return table[i].Weight
 }
 
-// Table is a routing table that a proxy should hold.
+// Table is the routing table that a proxy should hold.
 type Table[E comparable] struct {
 	Entries []Entry[E]
-	Warming bool // some of its entries are warming up
-	// WarmingCapacity is the fraction of its usual weight that the table can serve meanwhile, above 0 and at most 1.
-	// It is read only if Warming is set.
+	Warming bool // at least one endpoint of the table is warming up
+	// WarmingCapacity is the fraction of its usual weight that the table can serve while endpoints of it are warming
+	// up, above 0 and at most 1. It is valid only if Warming is set.
 	WarmingCapacity float64
 }
 
-// draft is a table under construction.
-type draft[E comparable] struct {
-	entries []Entry[E]
-	weight  float64 // of all entries
-	warming float64 // of the entries that are warming up
-	healthy float64 // of the warm entries, less the fraction of attempts that fails; remote ones before remoteScale
+// tableBuilder is a table under construction.
+type tableBuilder[E comparable] struct {
+	entries       []Entry[E]
+	weight        float64 // sum of the weights of all entries
+	warmingWeight float64 // sum of the weights of the warming entries
+	healthyWeight float64 // weight times success ratio, summed over the warm entries; remote ones before scaling
 }
 
-// part sums up the entries that were added to a table together.
-type part struct {
-	weight  float64 // usable
-	listed  float64 // weight as listed
-	warming float64 // usable weight of those that are warming up
+// entrySums holds sums over the entries that one call of tableBuilder.add adds to a table.
+type entrySums struct {
+	weight        float64 // usable weight of all added entries
+	listedWeight  float64 // listed weight of all added entries
+	warmingWeight float64 // usable weight of the added entries whose endpoints are warming up
 }
 
 // scale multiplies the usable weights by a factor.
-func (p *part) scale(factor float64) {
-	p.weight *= factor
-	p.warming *= factor
+func (s *entrySums) scale(factor float64) {
+	s.weight *= factor
+	s.warmingWeight *= factor
 }
 
-// add appends candidates and returns their sums.
-func (d *draft[E]) add(chosen []*Candidate[E]) (added part) {
+// add appends an entry for each of the chosen candidates and returns the sums over these entries.
+func (b *tableBuilder[E]) add(chosen []*Candidate[E]) (added entrySums) {
 	for _, c := range chosen {
-		d.entries = append(d.entries, Entry[E]{c.Endpoint, c.Weight})
+		b.entries = append(b.entries, Entry[E]{c.Endpoint, c.Weight})
 		added.weight += c.Weight
-		added.listed += c.ListedWeight
+		added.listedWeight += c.ListedWeight
 		if c.Warming {
-			added.warming += c.Weight
+			added.warmingWeight += c.Weight
 		} else {
-			d.healthy += c.Weight * (1 - c.FailureRatio)
+			b.healthyWeight += c.Weight * (1 - c.FailureRatio)
 		}
 	}
 	return added
 }
 
-// Build returns the table that a proxy should hold, given the one that it holds, the rate in requests per second that
-// it brings, and the table size in entries. It prefers endpoints of the proxy's zone, because crossing zones is
-// charged for, and adds the plan's fraction of remote ones.
+// Build returns the table that a proxy should hold. Its inputs are the table that the proxy holds now, the rate in
+// requests per second that the proxy sends through this table, and the table size in entries. Build prefers endpoints
+// of the proxy's zone, because traffic between zones is charged for, and adds remote endpoints up to the plan's
+// remote fraction. It updates the load that the plan tracks, from the held table to the new one.
 func (plan *Plan[E]) Build(held []Entry[E], rate, tableSize float64) Table[E] {
 	plan.AddLoad(held, -rate)
-	plan.rank(held)
+	plan.rankCandidates(held)
 	size := int(math.Round(tableSize))
 	remoteSize := plan.remoteSize(size)
-	table := &draft[E]{}
-	local := table.add(plan.lowestRanked(false, size-remoteSize))
+	table := &tableBuilder[E]{}
+	local := table.add(plan.lowestRankedCandidates(false, size-remoteSize))
 	localEntries := len(table.entries)
-	remote := table.add(plan.lowestRanked(true, remoteSize))
+	remote := table.add(plan.lowestRankedCandidates(true, remoteSize))
 	if local.weight > 0 && remote.weight > 0 {
-		scale := plan.remoteScale(local.weight, remote.listed)
-		table.scaleFrom(localEntries, scale)
+		scale := plan.remoteWeightScale(local.weight, remote.listedWeight)
+		table.scaleWeightsFrom(localEntries, scale)
 		remote.scale(scale)
 	}
 	table.weight = local.weight + remote.weight
-	table.warming = local.warming + remote.warming
+	table.warmingWeight = local.warmingWeight + remote.warmingWeight
 
-	plan.AddLoad(table.entries, rate) // by the weights before the cap on warming endpoints
-	if table.warming == 0 {
+	plan.AddLoad(table.entries, rate) // with the weights before the cap on warming endpoints
+	if table.warmingWeight == 0 {
 		return Table[E]{Entries: table.entries}
 	}
-	capacity := plan.capWarming(table)
+	capacity := plan.capWarmingWeight(table)
 	return Table[E]{Entries: table.entries, Warming: true, WarmingCapacity: capacity}
 }
 
-// remoteSize returns how many entries of a table of a size are for remote candidates: the plan's fraction, as far as
-// there are that many. One entry is kept for the zone's own, also where it has none.
+// remoteSize returns the number of entries reserved for remote candidates in a table of the given size. It is the
+// plan's remote fraction of the table, but at most the number of remote candidates. One entry is always left for the
+// zone's own candidates, even if the zone has none.
 func (plan *Plan[E]) remoteSize(size int) int {
 	wanted := int(math.Round(plan.remoteFraction * float64(size)))
-	return min(wanted, size-1, plan.remoteCandidates)
+	return min(wanted, size-1, plan.remoteCandidateCount)
 }
 
-// remoteScale returns the factor on the weights of remote entries that gives them, at their listed weights, their
-// fraction of the table, however few they are. Entries below their listed weight get less.
-func (plan *Plan[E]) remoteScale(localWeight, remoteListed float64) float64 {
-	perListedWeight := localWeight / remoteListed
+// remoteWeightScale returns the factor for the weights of the remote entries. With this factor, entries at their full
+// listed weight make up the plan's remote fraction of the table's weight, however few they are. Entries below their
+// listed weight make up correspondingly less.
+func (plan *Plan[E]) remoteWeightScale(localWeight, remoteListedWeight float64) float64 {
+	perListedWeight := localWeight / remoteListedWeight
 	return perListedWeight * plan.remoteFraction / (1 - plan.remoteFraction)
 }
 
-// scaleFrom multiplies the weights of the entries from an index on by a factor.
-func (d *draft[E]) scaleFrom(first int, factor float64) {
-	for i := range d.entries[first:] {
-		d.entries[first+i].Weight *= factor
+// scaleWeightsFrom multiplies the weights of the entries with index first and higher by a factor.
+func (b *tableBuilder[E]) scaleWeightsFrom(first int, factor float64) {
+	for i := range b.entries[first:] {
+		b.entries[first+i].Weight *= factor
 	}
 }
 
 const (
-	// ReassignmentRatio is how many times the load of another endpoint an entry's endpoint may carry before the entry
-	// moves: a new connection is expensive.
+	// ReassignmentRatio is the ratio of load above which a proxy replaces an endpoint of its table by a less loaded
+	// one. A lower ratio would replace endpoints more often, and a new connection is expensive.
 	ReassignmentRatio = 3.0
-	// stickinessMargin keeps an entry among candidates of equal rank; 1/s per unit of weight, as ranks are.
+	// stickinessMargin is subtracted from the rank of an endpoint that the proxy already holds, so that it is
+	// preferred to candidates of equal rank. Like a rank, it is in requests per second per unit of weight.
 	stickinessMargin = 1e-9
 )
 
-// rank ranks the candidates for a proxy by load. One that the proxy holds ranks by its load over ReassignmentRatio,
-// without the penalty of penalizeRank.
-func (plan *Plan[E]) rank(held []Entry[E]) {
+// rankCandidates sets the rank of each candidate for a proxy that holds the given table. The rank of a candidate is
+// its load per weight, with the penalty of penalizeRank. The rank of a candidate that the proxy holds is its load per
+// weight divided by ReassignmentRatio, without that penalty.
+func (plan *Plan[E]) rankCandidates(held []Entry[E]) {
 	for _, c := range plan.candidates {
-		c.rank = c.load
+		c.rank = c.loadPerWeight
 		c.penalizeRank()
 	}
 	for _, entry := range held {
 		if c := plan.byEndpoint[entry.Endpoint]; c != nil && entry.Weight > 0 {
-			c.rank = c.load/ReassignmentRatio - stickinessMargin
+			c.rank = c.loadPerWeight/ReassignmentRatio - stickinessMargin
 		}
 	}
 }
 
-// lowestRanked returns the local or remote candidates of lowest rank, as many as the size says. Sorting all of them
-// for each proxy would cost too much CPU in a large fleet.
-func (plan *Plan[E]) lowestRanked(remote bool, size int) []*Candidate[E] {
+// lowestRankedCandidates returns the remote or the local candidates of lowest rank in ascending order, at most as
+// many as size. It does not sort all candidates, because sorting them for each proxy would cost too much CPU time in
+// a large fleet.
+func (plan *Plan[E]) lowestRankedCandidates(remote bool, size int) []*Candidate[E] {
 	chosen := make([]*Candidate[E], 0, size+1)
 	if size <= 0 {
 		return chosen
@@ -150,7 +156,7 @@
 			continue
 		}
 		i := len(chosen)
-		for i > 0 && c.before(chosen[i-1]) {
+		for i > 0 && c.ranksBefore(chosen[i-1]) {
 			i--
 		}
 		if i < size {
@@ -162,34 +168,37 @@
 }
 
 const (
-	// maxWarmingShare is the most that warming endpoints may have of a table's weight.
-	maxWarmingShare = 0.9
-	// negligibleShare is the part of a table's weight below which its warm or its healthy entries count as missing.
-	negligibleShare = 1e-6
+	// maxWarmingFraction is the highest fraction of a table's weight that warming endpoints may have next to warm
+	// ones.
+	maxWarmingFraction = 0.9
+	// negligibleFraction is the fraction of a table's weight below which its warm entries, or its healthy entries,
+	// are treated as missing.
+	negligibleFraction = 1e-6
 )
 
-// capWarming limits the warming endpoints of a table that has some to the part that a full table would give them, even
-// if warm ones are missing. It returns the table's WarmingCapacity.
-func (plan *Plan[E]) capWarming(table *draft[E]) float64 {
-	maxWeight := math.Max(plan.maxWeight, numeric.MinDivisor)
-	maxShare := math.Min(maxWarmingShare, table.warming/maxWeight)
-	warm := table.weight - table.warming
-	if warm >= negligibleShare*table.weight && table.warming > maxShare*table.weight {
-		// The factor for which factor*warming is maxShare of warm + factor*warming.
-		factor := maxShare / (1 - maxShare) * warm / table.warming
-		plan.scaleWarming(table, factor)
+// capWarmingWeight limits the weight of the warming entries in a table that has at least one such entry. The limit is
+// the fraction that the warming entries would have of a table of usual weight, even if the table lacks warm entries
+// and weighs less. It returns the table's WarmingCapacity.
+func (plan *Plan[E]) capWarmingWeight(table *tableBuilder[E]) float64 {
+	usualWeight := math.Max(plan.usualTableWeight, numeric.MinDivisor)
+	maxFraction := math.Min(maxWarmingFraction, table.warmingWeight/usualWeight)
+	warmWeight := table.weight - table.warmingWeight
+	if warmWeight >= negligibleFraction*table.weight && table.warmingWeight > maxFraction*table.weight {
+		// With this factor, factor*warmingWeight is maxFraction of warmWeight + factor*warmingWeight.
+		factor := maxFraction / (1 - maxFraction) * warmWeight / table.warmingWeight
+		plan.scaleWarmingWeights(table, factor)
 	}
-	if table.healthy < negligibleShare*table.weight {
-		// Warm entries are missing, or fail every attempt and are avoided: only the warming endpoints serve, and the
-		// proxies of all zones may use the same few.
-		return math.Min(plan.remainingCapacity, maxShare)
+	if table.healthyWeight < negligibleFraction*table.weight {
+		// Warm entries are missing, or the proxy avoids them because they fail every attempt. Only the warming
+		// endpoints serve requests then, and the proxies of all zones may use the same few warming endpoints.
+		return math.Min(plan.remainingCapacityFraction, maxFraction)
 	}
-	servableWeight := table.healthy / (1 - maxShare) // of a table whose warm part is the healthy weight
-	return math.Min(1, servableWeight/maxWeight)
+	servableWeight := table.healthyWeight / (1 - maxFraction) // with healthyWeight as the weight of the warm entries
+	return math.Min(1, servableWeight/usualWeight)
 }
 
-// scaleWarming multiplies the weights of the warming entries by a factor.
-func (plan *Plan[E]) scaleWarming(table *draft[E], factor float64) {
+// scaleWarmingWeights multiplies the weights of the warming entries by a factor.
+func (plan *Plan[E]) scaleWarmingWeights(table *tableBuilder[E], factor float64) {
 	for i, entry := range table.entries {
 		if plan.byEndpoint[entry.Endpoint].Warming {
 			table.entries[i].Weight *= factor
--- a/assign/subset/zonepolicy.go
+++ b/assign/subset/zonepolicy.go
@@ -2,26 +2,28 @@
 
 import "slices"
 
-// ZonePolicy says which zones' endpoints a request class may use.
+// ZonePolicy states the zones whose endpoints a request class may use.
 type ZonePolicy struct {
-	AllowedZones []string // none: all zones
-	OwnZoneOnly  bool     // only endpoints of the proxy's own zone
+	AllowedZones []string // zones whose endpoints may be used; empty if all zones are allowed
+	OwnZoneOnly  bool     // a proxy may use only endpoints of its own zone
 }
 
-// ClosedIn reports whether the class may not use endpoints of a zone.
-func (p ZonePolicy) ClosedIn(zone string) bool {
+// DisallowsZone reports whether the request class may not use endpoints of the given zone, whatever the zone of the
+// proxy.
+func (p ZonePolicy) DisallowsZone(zone string) bool {
 	return len(p.AllowedZones) > 0 && !slices.Contains(p.AllowedZones, zone)
 }
 
-// Allows reports whether the class may use an endpoint of one zone from a proxy in another or the same.
+// Allows reports whether the request class may use an endpoint in endpointZone from a proxy in proxyZone.
 func (p ZonePolicy) Allows(endpointZone, proxyZone string) bool {
-	if p.ClosedIn(endpointZone) {
+	if p.DisallowsZone(endpointZone) {
 		return false
 	}
 	return endpointZone == proxyZone || !p.OwnZoneOnly
 }
 
-// Equal reports whether both policies allow the same endpoints, so that their classes can share a table.
+// Equal reports whether both policies allow the same endpoints, so that request classes with these policies can share
+// a table.
 func (p ZonePolicy) Equal(other ZonePolicy) bool {
 	return p.OwnZoneOnly == other.OwnZoneOnly && slices.Equal(p.AllowedZones, other.AllowedZones)
 }
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -93,29 +93,29 @@
 }
 
 // measurePeriod returns the sums of the endpoints' last period and their mean failure ratio.
-func (a *Assigner) measurePeriod() (period *overload.Period, meanFailureRatio float64) {
-	period = overload.NewPeriod(a.now)
-	failures := outlier.NewFailureMean()
+func (a *Assigner) measurePeriod() (period *overload.PeriodStats, meanFailureRatio float64) {
+	period = overload.NewPeriodStats(a.now)
+	failures := outlier.NewFailureRatioMean()
 	for _, record := range a.endpointList {
 		assessed, unhealthy := false, false
 		for _, health := range record.health {
-			if record.ready() && health.Current(a.now) {
+			if record.ready() && health.AssessmentValid(a.now) {
 				assessed = true
 				unhealthy = unhealthy || health.Unhealthy()
 				failures.Add(health.FailureRatio)
 			}
 		}
-		period.Add(overload.Endpoint{
+		period.Add(overload.EndpointStats{
 			Ready:          record.ready(),
 			Assessed:       assessed,
 			Unhealthy:      unhealthy,
 			Attempts:       record.lastPeriod,
-			Busy:           record.busy,
+			BusyFraction:   record.busy,
 			ListedWeight:   record.listedWeight,
 			LastAnsweredAt: record.lastAnsweredAt,
 		})
 	}
-	return period, failures.Ratio()
+	return period, failures.Value()
 }
 
 // updateTotal measures the last period and sets the mean failure ratio, the table size and the total rate. It reports
@@ -123,12 +123,12 @@
 func (a *Assigner) updateTotal(observedRate float64) (overloaded bool) {
 	period, meanFailureRatio := a.measurePeriod()
 	a.meanFailureRatio = meanFailureRatio
-	traffic := overload.Traffic{Observed: observedRate, Total: a.totalRate, BusyReported: a.busyColumn >= 0}
-	a.tableSize = a.tableSize.Adjust(period, traffic.BusyReported)
-	next := period.Next(traffic)
+	traffic := overload.Traffic{ObservedRate: observedRate, TotalRate: a.totalRate, BusyFractionReported: a.busyColumn >= 0}
+	a.tableSize = a.tableSize.Adjust(period, traffic.BusyFractionReported)
+	next := period.Decide(traffic)
 	a.logTotal(period, traffic, next)
-	a.totalRate = next.Total
-	if next.Removed {
+	a.totalRate = next.TotalRate
+	if next.RateLimitsRemoved {
 		a.totalRate = 0
 	}
 	return next.Overloaded
@@ -136,14 +136,14 @@
 
 // logTotal logs an overload that is detected while no total is set, and the removal of the rate limits. A further detection
 // while a total is set and the end of a detection have no line.
-func (a *Assigner) logTotal(period *overload.Period, traffic overload.Traffic, next overload.Decision) {
-	total := LogField{"total_rate", roundRate(next.Total)}
-	observed := LogField{"observed_rate", roundRate(traffic.Observed)}
+func (a *Assigner) logTotal(period *overload.PeriodStats, traffic overload.Traffic, next overload.Decision) {
+	total := LogField{"total_rate", roundRate(next.TotalRate)}
+	observed := LogField{"observed_rate", roundRate(traffic.ObservedRate)}
 	switch {
-	case next.Overloaded && traffic.Total == 0:
-		a.log("overload detected", LogField{"unhealthy_endpoints", period.Unhealthy},
-			LogField{"assessed_endpoints", period.Assessed}, total, observed)
-	case next.Removed:
+	case next.Overloaded && traffic.TotalRate == 0:
+		a.log("overload detected", LogField{"unhealthy_endpoints", period.UnhealthyEndpoints},
+			LogField{"assessed_endpoints", period.AssessedEndpoints}, total, observed)
+	case next.RateLimitsRemoved:
 		a.log("rate limits removed", total, observed)
 	}
 }
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -143,16 +143,16 @@
 }
 
 // subsetZone returns what a plan of a group needs to know of the zone.
-func (z *zone) subsetZone(assigner *Assigner, group *tableGroup) subset.Zone {
-	return subset.Zone{
-		Overloaded:       z.overloaded,
-		PeakWeight:       z.peakWeight,
-		UsablePeakWeight: z.usablePeakWeight(assigner, group),
-		Spillover:        z.spillover.Fraction,
-		TrafficFraction:  z.trafficFraction,
-		ReportingProxies: z.reportingProxies,
-		ExcludeWarming:   z.excludeWarming,
-		Closed:           group.policy.ClosedIn(z.name),
+func (z *zone) subsetZone(assigner *Assigner, group *tableGroup) subset.ZoneState {
+	return subset.ZoneState{
+		Overloaded:        z.overloaded,
+		PeakWeight:        z.peakWeight,
+		UsablePeakWeight:  z.usablePeakWeight(assigner, group),
+		SpilloverFraction: z.spillover.Fraction,
+		TrafficFraction:   z.trafficFraction,
+		ReportingProxies:  z.reportingProxies,
+		ExcludeWarming:    z.excludeWarming,
+		Disallowed:        group.policy.DisallowsZone(z.name),
 	}
 }
 
@@ -168,8 +168,8 @@
 }
 
 // subsetDeployment returns what a plan needs to know of all zones.
-func (a *Assigner) subsetDeployment() subset.Deployment {
-	deployment := subset.Deployment{Zones: len(a.zones), ConfiguredProxies: a.config.ProxyCount}
+func (a *Assigner) subsetDeployment() subset.DeploymentState {
+	deployment := subset.DeploymentState{ZoneCount: len(a.zones), ConfiguredProxies: a.config.ProxyCount}
 	for _, z := range a.zones {
 		deployment.PeakWeight += z.peakWeight
 		deployment.ReportingProxies += z.reportingProxies
