--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -120,7 +120,7 @@
 	a.makeRelayClients()
 	a.server = reportserver.New(reportserver.Config{
 		Codec:       a.codec,
-		Sink:        a.events.Report,
+		Sink:        a.events.PostReport,
 		Descriptors: a.config.Descriptors,
 		Zones:       len(a.config.Settings.Zones),
 		MemoryMB:    a.config.MemoryMB,
@@ -146,7 +146,7 @@
 		Address:        a.discoveryAt,
 		InitialVersion: listVersion,
 		Codec:          a.codec,
-		Sink:           a.events.Post,
+		Sink:           a.events.PostEvent,
 		MemoryMB:       a.config.MemoryMB,
 		Seed:           a.random.Int63(),
 		Log:            a.log,
@@ -169,7 +169,7 @@
 	a.reader = relay.NewEventReader(relay.EventReaderConfig{
 		Address: a.relayAt,
 		Codec:   a.codec,
-		Sink:    a.events.Post,
+		Sink:    a.events.PostEvent,
 		Seed:    a.random.Int63(),
 		Log:     a.log,
 	})
@@ -184,7 +184,7 @@
 		Listen:    a.config.PeerListen,
 		Peers:     a.config.Peers,
 		Broadcast: a.config.PeersBroadcast,
-		Sink:      a.events.Post,
+		Sink:      a.events.PostEvent,
 		Log:       a.log,
 	})
 	if err != nil {
@@ -199,12 +199,12 @@
 		Seed:     a.config.Seed,
 		Settings: a.config.Settings,
 		Inputs: eventloop.Inputs{
-			Events:  a.events.Events(),
-			Reports: a.events.Reports(),
-			Observe: a.orders.Observe,
+			Events:           a.events.Events(),
+			Reports:          a.events.Reports(),
+			PreprocessEvents: a.orders.PreprocessEvents,
 		},
 		Outputs: eventloop.Outputs{
-			Submit:          a.orders.Submit,
+			SubmitOrders:    a.orders.Submit,
 			WatchEndpoints:  a.watcher.Watch,
 			FetchEndpoints:  a.watcher.Fetch,
 			SendPeerMessage: a.sendPeerMessage,
--- a/cmd/madderhollow/counters.go
+++ b/cmd/madderhollow/counters.go
@@ -36,18 +36,18 @@
 	runtime.ReadMemStats(&memory)
 	return counters{
 		Batches:                       batches.Batches,
-		Calls:                         orders.Calls,
-		CallsRepeated:                 orders.Repeated,
+		Calls:                         orders.TakenCalls,
+		CallsRepeated:                 orders.RepeatedCalls,
 		Events:                        batches.Events,
 		Goroutines:                    runtime.NumGoroutine(),
 		HeapKB:                        int64(memory.HeapAlloc / bytesPerKB),
 		MalformedLines:                reports.MalformedLines,
 		MaxOrderWaitMs:                orders.MaxOrderWait.Milliseconds(),
-		OrdersCoalesced:               orders.Coalesced,
-		OrdersWaiting:                 orders.Waiting,
-		Proxies:                       orders.Proxies,
+		OrdersCoalesced:               orders.CoalescedOrders,
+		OrdersWaiting:                 orders.PendingOrders,
+		Proxies:                       orders.ConnectedProxies,
 		Reports:                       reports.Reports,
-		ReportsLost:                   a.events.Dropped(),
+		ReportsLost:                   a.events.DroppedReports(),
 		UnidentifiedConnectionsClosed: reports.UnidentifiedConnectionsClosed,
 	}
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop runs the decision module, assign.Assigner, in one goroutine: it collects events into batches, keeps the
-// module's clock and timers, and dispatches the module's orders.
+// Package eventloop runs the decision module, assign.Assigner, in a single goroutine. It collects events into batches,
+// provides the clock and the timers of the decision module, and dispatches the orders that the decision module returns.
 package eventloop
 
 import (
@@ -12,119 +12,126 @@
 	"madderhollow/assign"
 )
 
-// ClockStart is the module's clock at Config.StartedAt, s. It leaves room for endpoints that started earlier, whose start
-// times must stay above 0, and is small enough for a float64 to resolve microseconds.
+// ClockStart is the time in seconds that the clock of the decision module shows at Config.StartedAt. It is large enough
+// that endpoints which started earlier have start times above 0. It is small enough that a float64 resolves
+// microseconds.
 const ClockStart = 1e6
 
-// ClockZero returns the time at which the module's clock shows 0 if it shows ClockStart at startedAt.
-func ClockZero(startedAt time.Time) time.Time { return startedAt.Add(-duration(ClockStart)) }
+// ClockZero returns the time at which the clock of the decision module shows 0, provided that it shows ClockStart at
+// startedAt.
+func ClockZero(startedAt time.Time) time.Time { return startedAt.Add(-secondsToDuration(ClockStart)) }
 
-// idleWait bounds the wait for events while no timer is set.
-const idleWait = time.Hour
+// maxIdleWait is the longest time that the loop waits for events while no timer is set.
+const maxIdleWait = time.Hour
 
-// Inputs are the sources of events. The loop is the only receiver of both channels.
+// Inputs are the sources of the events. The loop must be the only receiver of both channels.
 type Inputs struct {
-	Events  <-chan assign.Event // everything but reports; precedes the reports in each batch
-	Reports <-chan assign.Event // load and traffic reports
-	// Observe sees the events of each batch before the module does and returns the events to pass to the module. It is
-	// called by the goroutine that calls Run and must not block.
-	Observe func(events []assign.Event) []assign.Event
+	// Events delivers all events except reports. In each batch these events precede the reports.
+	Events <-chan assign.Event
+	// Reports delivers load reports and traffic reports.
+	Reports <-chan assign.Event
+	// PreprocessEvents receives the events of each batch before the decision module does, and returns the events to
+	// pass to the decision module. It is called by the goroutine that calls Run and must not block.
+	PreprocessEvents func(events []assign.Event) []assign.Event
 }
 
-// Outputs receive the module's orders. They are called by the goroutine that calls Run, in the order in which the module
-// returned the orders, except that Submit comes last in a batch. They must not block: no other goroutine runs timers.
+// Outputs are the functions that execute the orders of the decision module. They are called by the goroutine that calls
+// Run, in the sequence in which the decision module returned the orders, except that SubmitOrders is called last in a
+// batch. They must not block, because timers run only on this goroutine.
 type Outputs struct {
-	// Submit queues a batch's orders to proxies and takes ownership of the slice. It is not called for a batch without any.
-	Submit func(orders []assign.Order)
-	// SendPeerMessage sends a datagram to the assigner of that number, or to all if it is -1. The module never orders it.
+	// SubmitOrders queues the orders of a batch that go to proxies, and takes ownership of the slice. It is not called
+	// for a batch without such orders.
+	SubmitOrders func(orders []assign.Order)
+	// SendPeerMessage sends a datagram to the assigner with the given number, or to all assigners if the number
+	// is -1. The decision module never orders it.
 	SendPeerMessage func(to int, data []byte)
-	// WatchEndpoints starts or stops the reporting of failures to read the endpoint list.
+	// WatchEndpoints enables or disables the events that report failures to read the endpoint list.
 	WatchEndpoints func(enabled bool)
-	// FetchEndpoints requests the full endpoint list. The module never orders it.
+	// FetchEndpoints requests the full endpoint list. The decision module never orders it.
 	FetchEndpoints func()
 }
 
-// Config describes a Loop.
+// Config contains the parameters of New.
 type Config struct {
-	Seed      int64          // of the module's random source; any value
-	Settings  assign.Config  // checked by its owner, internal/config; required
-	Inputs    Inputs         // all fields required
-	Outputs   Outputs        // all fields required
-	StartedAt time.Time      // the time at which the module's clock shows ClockStart; required
-	Log       zerolog.Logger // New adds the component; default: no log
+	Seed      int64          // seed of the random source of the decision module; any value is valid
+	Settings  assign.Config  // settings of the decision module, validated by internal/config; required
+	Inputs    Inputs         // sources of the events; all fields are required
+	Outputs   Outputs        // functions that execute the orders; all fields are required
+	StartedAt time.Time      // time at which the clock of the decision module shows ClockStart; required
+	Log       zerolog.Logger // logger to which New adds the component name; the zero value logs nothing
 }
 
-// Loop runs one Assigner. Only Stats may be called by several goroutines.
+// Loop runs one assign.Assigner. Only Stats is safe for concurrent use.
 type Loop struct {
-	assigner    *assign.Assigner
-	inputs      Inputs
-	outputs     Outputs
-	log         zerolog.Logger // of the loop itself
-	moduleLog   zerolog.Logger // of lines that the module orders
-	startedAt   time.Time
-	minInterval float64 // between the starts of two batches, s
-	timers      timerQueue
-	batches     atomic.Int64
-	events      atomic.Int64
-}
-
-// New returns a loop that owns a new assign.Assigner. Run starts it.
+	assigner         *assign.Assigner
+	inputs           Inputs
+	outputs          Outputs
+	log              zerolog.Logger // logger for messages of the loop itself
+	decisionLog      zerolog.Logger // logger for messages that the decision module orders
+	startedAt        time.Time
+	minBatchInterval float64 // minimum time between the starts of two batches, in seconds
+	timers           timerQueue
+	batchCount       atomic.Int64
+	eventCount       atomic.Int64
+}
+
+// New returns a loop with a new assign.Assigner. The loop handles no events until Run is called.
 func New(config Config) *Loop {
 	return &Loop{
-		assigner:    assign.New(config.Seed, config.Settings),
-		inputs:      config.Inputs,
-		outputs:     config.Outputs,
-		log:         config.Log.With().Str("component", "event_loop").Logger(),
-		moduleLog:   config.Log.With().Str("component", "assign").Logger(),
-		startedAt:   config.StartedAt,
-		minInterval: config.Settings.MinBatchInterval,
+		assigner:         assign.New(config.Seed, config.Settings),
+		inputs:           config.Inputs,
+		outputs:          config.Outputs,
+		log:              config.Log.With().Str("component", "event_loop").Logger(),
+		decisionLog:      config.Log.With().Str("component", "assign").Logger(),
+		startedAt:        config.StartedAt,
+		minBatchInterval: config.Settings.MinBatchInterval,
 	}
 }
 
-// Stats are counters since the start.
+// Stats contains counters since the start of the loop.
 type Stats struct {
-	Batches int // batches handled, including the one in progress
-	Events  int // events in them, including fired timers
+	Batches int // number of batches handled, including the batch in progress
+	Events  int // number of events in these batches, including fired timers
 }
 
-// Stats returns the counters. Any goroutine may call it.
+// Stats returns the current counters. It is safe for concurrent use.
 func (l *Loop) Stats() Stats {
-	return Stats{Batches: int(l.batches.Load()), Events: int(l.events.Load())}
+	return Stats{Batches: int(l.batchCount.Load()), Events: int(l.eventCount.Load())}
 }
 
-// now returns the module's time, s.
+// now returns the current time on the clock of the decision module, in seconds.
 func (l *Loop) now() float64 { return ClockStart + time.Since(l.startedAt).Seconds() }
 
-// Run handles the initial events at once and then batches of events, until the context ends. Events still queued then are
-// not handled. Run calls ready after the first batch. It must be called once.
-func (l *Loop) Run(ctx context.Context, initial []assign.Event, ready func()) {
-	alarm := time.NewTimer(idleWait) // set for each wait
-	defer alarm.Stop()
-	lastBatch := l.now()
-	l.handle(lastBatch, initial)
-	ready()
+// Run handles the initial events at once, calls onReady, and then handles batches of events until the context ends.
+// Events that are still queued when the context ends are not handled. Run must be called only once.
+func (l *Loop) Run(ctx context.Context, initialEvents []assign.Event, onReady func()) {
+	waitTimer := time.NewTimer(maxIdleWait) // waitForEvent resets the timer before each wait
+	defer waitTimer.Stop()
+	lastBatchTime := l.now()
+	l.handleBatch(lastBatchTime, initialEvents)
+	onReady()
 	for {
-		events, reports, ok := l.waitForEvent(ctx, alarm)
+		events, reports, ok := l.waitForEvent(ctx, waitTimer)
 		if !ok {
 			return
 		}
-		l.waitForInterval(lastBatch)
+		l.waitForMinInterval(lastBatchTime)
 		events = appendQueued(events, l.inputs.Events)
-		events = append(events, reports...) // behind the events
+		events = append(events, reports...) // reports follow all other events of a batch
 		events = appendQueued(events, l.inputs.Reports)
 		now := l.now()
 		events = append(events, l.timers.popDue(now)...)
 		if len(events) > 0 {
-			l.handle(now, events)
-			lastBatch = now
+			l.handleBatch(now, events)
+			lastBatchTime = now
 		}
 	}
 }
 
-// waitForEvent blocks until there is an event or a report, which it returns, or until a timer may be due. It is not ok if the
-// context has ended.
-func (l *Loop) waitForEvent(ctx context.Context, alarm *time.Timer) (events, reports []assign.Event, ok bool) {
-	alarm.Reset(l.untilNextTimer())
+// waitForEvent blocks until an event or a report arrives, or until a timer may be due. It returns the event or the
+// report that it received, if any. It returns false if the context has ended.
+func (l *Loop) waitForEvent(ctx context.Context, waitTimer *time.Timer) (events, reports []assign.Event, ok bool) {
+	waitTimer.Reset(l.maxWait())
 	select {
 	case <-ctx.Done():
 		return nil, nil, false
@@ -132,70 +139,77 @@
 		return []assign.Event{event}, nil, true
 	case report := <-l.inputs.Reports:
 		return nil, []assign.Event{report}, true
-	case <-alarm.C:
+	case <-waitTimer.C:
 		return nil, nil, true
 	}
 }
 
-// waitForInterval blocks until minInterval has passed since the last batch. It does not end with the context: the events that
-// were received are handled before Run returns.
-func (l *Loop) waitForInterval(lastBatch float64) {
-	if rest := lastBatch + l.minInterval - l.now(); rest > 0 {
-		time.Sleep(roundUp(rest))
+// waitForMinInterval blocks until minBatchInterval has passed since the start of the last batch. It does not return
+// early when the context ends, because events that were already received are handled before Run returns.
+func (l *Loop) waitForMinInterval(lastBatchTime float64) {
+	if remaining := lastBatchTime + l.minBatchInterval - l.now(); remaining > 0 {
+		time.Sleep(waitDuration(remaining))
 	}
 }
 
-// untilNextTimer returns how long the loop may wait for events.
-func (l *Loop) untilNextTimer() time.Duration {
-	due, ok := l.timers.next()
+// maxWait returns the longest time that the loop may wait for events before the next timer is due.
+func (l *Loop) maxWait() time.Duration {
+	due, ok := l.timers.nextDue()
 	if !ok {
-		return idleWait
+		return maxIdleWait
 	}
-	return roundUp(due - l.now())
+	return waitDuration(due - l.now())
 }
 
-// appendQueued appends the events that are queued when it is called. Later ones belong to the next batch.
+// appendQueued appends the events that are queued at the time of the call. Events that are queued later belong to the
+// next batch.
 func appendQueued(events []assign.Event, queue <-chan assign.Event) []assign.Event {
 	for n := len(queue); n > 0; n-- {
 		select {
 		case event := <-queue:
 			events = append(events, event)
-		default: // a full queue drops its oldest report while a newer one is added
+		default: // a full queue of reports drops its oldest report while a newer report is added
 		}
 	}
 	return events
 }
 
-// duration converts seconds.
-func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// secondsToDuration converts a number of seconds to a time.Duration.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
-// roundUp converts seconds to a duration of at least 0. It adds a microsecond so that a timer never fires before it is due.
-func roundUp(seconds float64) time.Duration { return max(0, duration(seconds)+time.Microsecond) }
+// waitDuration converts a waiting time in seconds to a time.Duration of at least 0. It adds one microsecond, so that
+// rounding never ends a wait before the timer is due.
+func waitDuration(seconds float64) time.Duration {
+	return max(0, secondsToDuration(seconds)+time.Microsecond)
+}
 
-// handle passes one batch to the module and dispatches the module's orders.
-func (l *Loop) handle(now float64, events []assign.Event) {
-	l.batches.Add(1)
-	l.events.Add(int64(len(events)))
+// handleBatch passes one batch of events to the decision module and dispatches the resulting orders.
+func (l *Loop) handleBatch(now float64, events []assign.Event) {
+	l.batchCount.Add(1)
+	l.eventCount.Add(int64(len(events)))
 	var proxyOrders []assign.Order
-	for _, order := range l.assigner.Handle(now, l.inputs.Observe(events)) {
-		if !l.executeLocal(now, order) {
+	for _, order := range l.assigner.Handle(now, l.inputs.PreprocessEvents(events)) {
+		if !l.executeLocalOrder(now, order) {
 			proxyOrders = append(proxyOrders, order)
 		}
 	}
 	if len(proxyOrders) > 0 {
-		l.outputs.Submit(proxyOrders)
+		l.outputs.SubmitOrders(proxyOrders)
 	}
 }
 
-// executeLocal executes an order that does not go to proxies, and reports whether the order was of that kind.
-func (l *Loop) executeLocal(now float64, order assign.Order) bool {
+// executeLocalOrder executes an order that does not go to proxies. It returns false, without executing the order, if
+// the order goes to proxies.
+func (l *Loop) executeLocalOrder(now float64, order assign.Order) bool {
 	switch order := order.(type) {
 	case assign.SetTimer:
-		if !l.timers.set(timer{due: now + order.Delay, id: order.ID}) {
+		if !l.timers.add(timer{dueAt: now + order.Delay, id: order.ID}) {
 			l.log.Error().Int("limit", maxTimers).Msg("timer limit reached; timer dropped")
 		}
 	case assign.Log:
-		line := l.moduleLog.Info()
+		line := l.decisionLog.Info()
 		for _, field := range order.Fields {
 			line.Interface(field.Name, field.Value)
 		}
@@ -206,7 +220,7 @@
 		l.outputs.WatchEndpoints(order.Enabled)
 	case assign.FetchEndpoints:
 		l.outputs.FetchEndpoints()
-	case assign.HealthCheck: // only the simulator can run one; the module never orders it
+	case assign.HealthCheck: // only the simulator supports health checks; the decision module never orders one
 		l.log.Error().Str("endpoint", order.Endpoint).Msg("health check not supported; order dropped")
 	default:
 		return false
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -15,68 +15,71 @@
 	"madderhollow/internal/testconfig"
 )
 
-// testTimeout bounds any wait. It is long enough for a busy machine.
+// testTimeout is the longest time that a test waits for a condition. It is long enough for a heavily loaded machine.
 const testTimeout = 10 * time.Second
 
-func observeNothing(events []assign.Event) []assign.Event { return events }
+// returnUnchanged returns the events that it receives. Tests use it as Inputs.PreprocessEvents.
+func returnUnchanged(events []assign.Event) []assign.Event { return events }
 
-// The module sets a timer for each tick, and answers each failed endpoint update with one WatchEndpoints.
+// The decision module sets one timer for each tick and answers each failed endpoint update with one WatchEndpoints
+// order. The numbers of fired timers and of WatchEndpoints orders therefore show whether the loop lost an event.
 func TestLoopLimitsBatchRateAndLosesNoEventUnderSteadyLoad(t *testing.T) {
 	const minInterval, ticks = 0.02, 2
 	settings := testconfig.New([]string{"x"}, 1, "read")
 	settings.MinBatchInterval, settings.ListMode = minInterval, assign.ListOnRequest
-	queue, watches := eventqueue.New(), 0
+	queue, watchOrders := eventqueue.New(), 0
 	loop := New(Config{
 		Seed:      1,
 		Settings:  settings,
-		Inputs:    Inputs{Events: queue.Events(), Reports: queue.Reports(), Observe: observeNothing},
-		Outputs:   Outputs{Submit: func([]assign.Order) {}, WatchEndpoints: func(bool) { watches++ }},
+		Inputs:    Inputs{Events: queue.Events(), Reports: queue.Reports(), PreprocessEvents: returnUnchanged},
+		Outputs:   Outputs{SubmitOrders: func([]assign.Order) {}, WatchEndpoints: func(bool) { watchOrders++ }},
 		StartedAt: time.Now(),
 		Log:       zerolog.Nop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	ready, ended := make(chan struct{}), make(chan struct{})
-	began := time.Now()
-	go func() { defer close(ended); loop.Run(ctx, nil, func() { close(ready) }) }() // ends with ctx, below
+	ready, loopEnded := make(chan struct{}), make(chan struct{})
+	startedAt := time.Now()
+	// The goroutine ends after the call of cancel below.
+	go func() { defer close(loopEnded); loop.Run(ctx, nil, func() { close(ready) }) }()
 	<-ready
-	sent := 0
-	for ; time.Since(began).Seconds() < ticks+0.2; sent++ {
-		if err := queue.Post(ctx, assign.EndpointUpdate{Failed: true}); err != nil {
+	sentUpdates := 0
+	for ; time.Since(startedAt).Seconds() < ticks+0.2; sentUpdates++ {
+		if err := queue.PostEvent(ctx, assign.EndpointUpdate{Failed: true}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // the pace of the events, many in each batch
+		time.Sleep(time.Millisecond) // one event per millisecond gives many events in each batch
 	}
-	handled := func() bool { return len(queue.Events()) == 0 && loop.Stats().Events >= sent+ticks }
-	if !eventually.True(testTimeout, handled) {
-		t.Errorf("got %d events handled and %d queued, want at least %d and 0", loop.Stats().Events, len(queue.Events()), sent+ticks)
+	allHandled := func() bool { return len(queue.Events()) == 0 && loop.Stats().Events >= sentUpdates+ticks }
+	if !eventually.True(testTimeout, allHandled) {
+		t.Errorf("got %d events handled and %d queued, want at least %d and 0", loop.Stats().Events, len(queue.Events()), sentUpdates+ticks)
 	}
 	cancel()
-	<-ended
+	<-loopEnded
 	stats := loop.Stats()
-	if most := int(time.Since(began).Seconds()/minInterval) + 2; stats.Batches > most || stats.Batches < ticks {
-		t.Errorf("got %d batches, want %d to %d", stats.Batches, ticks, most)
+	if maxBatches := int(time.Since(startedAt).Seconds()/minInterval) + 2; stats.Batches > maxBatches || stats.Batches < ticks {
+		t.Errorf("got %d batches, want %d to %d", stats.Batches, ticks, maxBatches)
 	}
-	if want := sent + 1; watches != want { // one at the start
-		t.Errorf("got %d WatchEndpoints, want %d", watches, want)
+	if want := sentUpdates + 1; watchOrders != want { // the decision module orders one more at the start
+		t.Errorf("got %d WatchEndpoints, want %d", watchOrders, want)
 	}
-	if fired, most := stats.Events-sent, int(time.Since(began).Seconds()); fired < ticks || fired > most {
-		t.Errorf("got %d timers fired, want %d to %d", fired, ticks, most)
+	if firedTimers, maxFired := stats.Events-sentUpdates, int(time.Since(startedAt).Seconds()); firedTimers < ticks || firedTimers > maxFired {
+		t.Errorf("got %d timers fired, want %d to %d", firedTimers, ticks, maxFired)
 	}
 }
 
-func TestExecuteLocalDispatchesAllOrdersButThoseToProxies(t *testing.T) {
-	var output bytes.Buffer
-	var called []string
+func TestExecuteLocalOrderDispatchesAllOrdersExceptThoseToProxies(t *testing.T) {
+	var logOutput bytes.Buffer
+	var calledOutputs []string
 	loop := New(Config{
 		Seed:     1,
 		Settings: testconfig.New([]string{"x"}, 1, "read"),
 		Outputs: Outputs{
-			SendPeerMessage: func(int, []byte) { called = append(called, "SendPeerMessage") },
-			WatchEndpoints:  func(bool) { called = append(called, "WatchEndpoints") },
-			FetchEndpoints:  func() { called = append(called, "FetchEndpoints") },
+			SendPeerMessage: func(int, []byte) { calledOutputs = append(calledOutputs, "SendPeerMessage") },
+			WatchEndpoints:  func(bool) { calledOutputs = append(calledOutputs, "WatchEndpoints") },
+			FetchEndpoints:  func() { calledOutputs = append(calledOutputs, "FetchEndpoints") },
 		},
 		StartedAt: time.Now(),
-		Log:       zerolog.New(&output),
+		Log:       zerolog.New(&logOutput),
 	})
 	for _, test := range []struct {
 		order     assign.Order
@@ -94,19 +97,19 @@
 			wantLog: `{"level":"error","component":"event_loop","endpoint":"e","message":"health check not supported; order dropped"}`},
 		{order: assign.ClearTable{Table: 1}},
 	} {
-		called = nil
-		output.Reset()
-		if got := loop.executeLocal(ClockStart, test.order); got != test.wantLocal {
+		calledOutputs = nil
+		logOutput.Reset()
+		if got := loop.executeLocalOrder(ClockStart, test.order); got != test.wantLocal {
 			t.Errorf("%T: got local %t, want %t", test.order, got, test.wantLocal)
 		}
-		if got := strings.Join(called, ", "); got != test.wantCall {
+		if got := strings.Join(calledOutputs, ", "); got != test.wantCall {
 			t.Errorf("%T: got call %q, want %q", test.order, got, test.wantCall)
 		}
-		if got := strings.TrimSpace(output.String()); got != test.wantLog {
+		if got := strings.TrimSpace(logOutput.String()); got != test.wantLog {
 			t.Errorf("%T: got log %s, want %s", test.order, got, test.wantLog)
 		}
 	}
-	if due, ok := loop.timers.next(); !ok || due != ClockStart+1 {
+	if due, ok := loop.timers.nextDue(); !ok || due != ClockStart+1 {
 		t.Errorf("after SetTimer: got timer due at %g, %t, want %g, true", due, ok, ClockStart+1)
 	}
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -7,41 +7,44 @@
 	"madderhollow/assign"
 )
 
-// maxTimers bounds the timers set at once. The module sets one or two a second and has few set at any time.
+// maxTimers is the maximum number of timers that are set at the same time. The decision module sets one or two timers
+// per second, and only a few are set at any time.
 const maxTimers = 100000
 
-// timer is a timer that the module has set.
+// timer is a timer that the decision module has set.
 type timer struct {
-	due float64 // on the module's clock, s
-	id  int     // of assign.SetTimer
+	dueAt float64 // time at which the timer fires, in seconds on the clock of the decision module
+	id    int     // ID of the assign.SetTimer order
 }
 
-// timerQueue holds timers sorted by due time, those due at the same time in the order in which they were set.
+// timerQueue holds timers sorted by due time. Timers that are due at the same time are kept in the order in which they
+// were added.
 type timerQueue struct{ timers []timer }
 
-// set adds a timer, and reports whether it did: a queue of maxTimers is full.
-func (q *timerQueue) set(t timer) bool {
+// add adds a timer. It returns false, without adding the timer, if the queue already holds maxTimers timers.
+func (q *timerQueue) add(t timer) bool {
 	if len(q.timers) >= maxTimers {
 		return false
 	}
 	i, _ := slices.BinarySearchFunc(q.timers, t, func(x, y timer) int {
-		return cmp.Or(cmp.Compare(x.due, y.due), -1) // insert after timers due at the same time
+		// The new timer is inserted after timers that are due at the same time.
+		return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), -1)
 	})
 	q.timers = slices.Insert(q.timers, i, t)
 	return true
 }
 
-// next returns the due time of the first timer. It is not ok if there is no timer.
-func (q *timerQueue) next() (due float64, ok bool) {
+// nextDue returns the due time of the first timer. It returns false if the queue is empty.
+func (q *timerQueue) nextDue() (due float64, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
 	}
-	return q.timers[0].due, true
+	return q.timers[0].dueAt, true
 }
 
-// popDue removes the timers that are due and returns their events in queue order.
+// popDue removes the timers that are due, and returns a TimerFired event for each in the sequence of the queue.
 func (q *timerQueue) popDue(now float64) (fired []assign.Event) {
-	for len(q.timers) > 0 && q.timers[0].due <= now {
+	for len(q.timers) > 0 && q.timers[0].dueAt <= now {
 		fired = append(fired, assign.TimerFired{ID: q.timers[0].id})
 		q.timers = q.timers[1:]
 	}
--- a/internal/eventloop/timers_test.go
+++ b/internal/eventloop/timers_test.go
@@ -14,11 +14,11 @@
 	property := func(seed int64) bool {
 		random, queue := rand.New(rand.NewSource(seed)), timerQueue{}
 		for i := range 50 {
-			queue.set(timer{due: float64(random.Intn(10)), id: i})
+			queue.add(timer{dueAt: float64(random.Intn(10)), id: i})
 		}
 		return len(queue.timers) == 50 && slices.IsSortedFunc(queue.timers, func(x, y timer) int {
-			if x.due != y.due {
-				return int(x.due - y.due)
+			if x.dueAt != y.dueAt {
+				return int(x.dueAt - y.dueAt)
 			}
 			return x.id - y.id
 		})
@@ -28,24 +28,24 @@
 
 func TestTimerQueueRejectsTimerWhenFull(t *testing.T) {
 	queue := timerQueue{timers: make([]timer, maxTimers)}
-	if queue.set(timer{due: 1, id: 1}) || len(queue.timers) != maxTimers {
+	if queue.add(timer{dueAt: 1, id: 1}) || len(queue.timers) != maxTimers {
 		t.Errorf("full queue: got the timer accepted or %d timers, want it rejected and %d", len(queue.timers), maxTimers)
 	}
 }
 
 func TestTimerQueuePopsOnlyDueTimers(t *testing.T) {
 	var queue timerQueue
-	if due, ok := queue.next(); ok {
+	if due, ok := queue.nextDue(); ok {
 		t.Errorf("empty queue: got next timer due at %g, want none", due)
 	}
-	for _, set := range []timer{{due: 3, id: 1}, {due: 1, id: 2}, {due: 2, id: 3}} {
-		queue.set(set)
+	for _, addedTimer := range []timer{{dueAt: 3, id: 1}, {dueAt: 1, id: 2}, {dueAt: 2, id: 3}} {
+		queue.add(addedTimer)
 	}
 	want := []assign.Event{assign.TimerFired{ID: 2}, assign.TimerFired{ID: 3}}
 	if got := queue.popDue(2); !reflect.DeepEqual(got, want) {
 		t.Errorf("popDue(2): got %v, want %v", got, want)
 	}
-	if due, ok := queue.next(); !ok || due != 3 {
+	if due, ok := queue.nextDue(); !ok || due != 3 {
 		t.Errorf("next: got %g, %t, want 3, true", due, ok)
 	}
 }
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -14,13 +14,13 @@
 	queue := New()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	for i := range maxReports + excess {
-		if err := queue.Report(ctx, assign.ProxyTrafficReport{Requests: i}); err != nil {
+	for i := range maxQueuedReports + excess {
+		if err := queue.PostReport(ctx, assign.ProxyTrafficReport{Requests: i}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	posted := assign.ProxyDisconnected{Proxy: 1}
-	if err := queue.Post(ctx, posted); err != nil {
+	if err := queue.PostEvent(ctx, posted); err != nil {
 		t.Fatal(err)
 	}
 	if got := <-queue.Events(); got != posted {
@@ -29,21 +29,21 @@
 	if got, want := <-queue.Reports(), (assign.ProxyTrafficReport{Requests: excess}); got != want {
 		t.Errorf("got oldest report %+v, want %+v", got, want)
 	}
-	if got := queue.Dropped(); got != excess {
+	if got := queue.DroppedReports(); got != excess {
 		t.Errorf("got %d reports dropped, want %d", got, excess)
 	}
 }
 
 func TestPostBlocksWhenFullUntilContextEnds(t *testing.T) {
 	queue := New()
-	for range maxEvents {
-		if err := queue.Post(t.Context(), assign.TimerFired{}); err != nil {
+	for range maxQueuedEvents {
+		if err := queue.PostEvent(t.Context(), assign.TimerFired{}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := queue.Post(ctx, assign.TimerFired{}); !errors.Is(err, context.Canceled) {
+	if err := queue.PostEvent(ctx, assign.TimerFired{}); !errors.Is(err, context.Canceled) {
 		t.Errorf("got error %v, want %v", err, context.Canceled)
 	}
 }
--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -6,88 +6,102 @@
 	"madderhollow/assign"
 )
 
-// maxSequences is how many sequence numbers of each sort are kept. Acknowledgments arrive within a second or two, at most
-// some dozen calls later.
-const maxSequences = 256
+// maxTrackedSequences is the maximum length of each list of an acknowledgmentTracker. An acknowledgment arrives within
+// one to two seconds of its call, during which at most a few dozen further calls are sent.
+const maxTrackedSequences = 256
 
-// newest returns the last maxSequences elements of a list.
-func newest[T any](list []T) []T { return list[max(0, len(list)-maxSequences):] }
+// trimOldest drops the first elements of a list so that at most maxTrackedSequences remain.
+func trimOldest[T any](list []T) []T { return list[max(0, len(list)-maxTrackedSequences):] }
 
-// acknowledgmentLedger records which acknowledgments are requested and which have arrived. The module requests one for
-// each batch. Batches that are sent in one call request only the last one's, which then stands for all of them.
-type acknowledgmentLedger struct {
-	requested  []int // sequence numbers of the pending batches, oldest first
-	allProxies bool  // one of them requests acknowledgments from all proxies
-	split      []int // sequence numbers whose batches were split; several calls with different orders request each
-	merged     []mergedBatches
-	received   []int
+// acknowledgmentTracker records which acknowledgments are requested and which have been received. The decision module
+// requests one acknowledgment for each batch of orders and identifies it by a sequence number. If several batches are
+// sent in one call, the call requests only the acknowledgment of the last batch, which then stands for all of them.
+type acknowledgmentTracker struct {
+	// requestedSequences are the sequence numbers of the pending batches, oldest first.
+	requestedSequences []int
+	// allProxiesRequested reports whether a pending batch requests acknowledgments from all proxies.
+	allProxiesRequested bool
+	// splitSequences are the sequence numbers of batches whose orders are spread over several calls. Each of these
+	// calls requests the same sequence number, for different orders.
+	splitSequences []int
+	// mergedRequests are the acknowledgment requests of calls that combined several batches, oldest first.
+	mergedRequests []mergedRequest
+	// receivedSequences are the sequence numbers that at least one proxy has acknowledged, oldest first.
+	receivedSequences []int
 }
 
-// mergedBatches are batches that one call acknowledges with the last one's sequence number.
-type mergedBatches struct {
-	last    int
-	earlier []int
+// mergedRequest is an acknowledgment request for several batches that were sent in one call. The call requests
+// lastSequence, and an acknowledgment of lastSequence also acknowledges earlierSequences.
+type mergedRequest struct {
+	lastSequence     int
+	earlierSequences []int
 }
 
-// request records the acknowledgment request of a new batch. Numbers are reused once they have wrapped around: what is known
-// of an earlier batch of the same number says nothing about this one.
-func (l *acknowledgmentLedger) request(r assign.AcknowledgmentRequest) {
-	isReused := func(sequence int) bool { return sequence == r.Sequence }
-	l.split = slices.DeleteFunc(l.split, isReused)
-	l.received = slices.DeleteFunc(l.received, isReused)
-	l.requested = newest(append(l.requested, r.Sequence))
-	l.allProxies = l.allProxies || r.AllProxies
+// recordRequest records the acknowledgment request of a new batch. Sequence numbers wrap around and are then reused.
+// The records of an earlier batch with the same sequence number do not apply to the new batch and are deleted.
+func (t *acknowledgmentTracker) recordRequest(request assign.AcknowledgmentRequest) {
+	hasSameSequence := func(sequence int) bool { return sequence == request.Sequence }
+	t.splitSequences = slices.DeleteFunc(t.splitSequences, hasSameSequence)
+	t.receivedSequences = slices.DeleteFunc(t.receivedSequences, hasSameSequence)
+	t.requestedSequences = trimOldest(append(t.requestedSequences, request.Sequence))
+	t.allProxiesRequested = t.allProxiesRequested || request.AllProxies
 }
 
-// recordSplit records that a call requests a sequence number without all orders of its batch.
-func (l *acknowledgmentLedger) recordSplit(sequence int) {
-	if sequence != noSequence && !slices.Contains(l.split, sequence) {
-		l.split = newest(append(l.split, sequence))
+// recordSplit records that a call requests a sequence number but does not contain all orders of the batch. It ignores
+// noSequence.
+func (t *acknowledgmentTracker) recordSplit(sequence int) {
+	if sequence != noSequence && !slices.Contains(t.splitSequences, sequence) {
+		t.splitSequences = trimOldest(append(t.splitSequences, sequence))
 	}
 }
 
-// proves reports whether an acknowledgment of a sequence number proves that a call which requested it was applied. That of a
-// split batch never does: it does not tell which of the batch's calls it answers.
-func (l *acknowledgmentLedger) proves(sequence int) bool {
-	return sequence != noSequence && !slices.Contains(l.split, sequence)
+// provesApplied reports whether an acknowledgment of a sequence number proves that the call which requested it was
+// applied. An acknowledgment of a split batch proves nothing, because it does not tell which of the calls of the batch
+// was applied.
+func (t *acknowledgmentTracker) provesApplied(sequence int) bool {
+	return sequence != noSequence && !slices.Contains(t.splitSequences, sequence)
 }
 
-// recordCall records that a call requests the last of these sequence numbers for all of them.
-func (l *acknowledgmentLedger) recordCall(sequences []int) {
+// recordMergedRequest records that a call requests the last of the given sequence numbers on behalf of all of them. A
+// call with fewer than two sequence numbers needs no record.
+func (t *acknowledgmentTracker) recordMergedRequest(sequences []int) {
 	if n := len(sequences); n > 1 {
-		l.merged = newest(append(l.merged, mergedBatches{last: sequences[n-1], earlier: sequences[:n-1]}))
+		t.mergedRequests = trimOldest(append(t.mergedRequests, mergedRequest{lastSequence: sequences[n-1], earlierSequences: sequences[:n-1]}))
 	}
 }
 
-// receive records an acknowledgment and returns it, after the acknowledgments of the batches merged with it.
-func (l *acknowledgmentLedger) receive(acknowledgment assign.Acknowledged) (all []assign.Event) {
-	for _, sequence := range l.mergedWith(acknowledgment.Sequence) {
-		all = append(all, assign.Acknowledged{Proxy: acknowledgment.Proxy, Sequence: sequence, Latency: acknowledgment.Latency})
+// recordAcknowledgment records an acknowledgment from a proxy. It returns the acknowledgments of the batches that were
+// merged into the acknowledged one, followed by the given acknowledgment.
+func (t *acknowledgmentTracker) recordAcknowledgment(acknowledgment assign.Acknowledged) (acknowledgments []assign.Event) {
+	for _, sequence := range t.sequencesMergedInto(acknowledgment.Sequence) {
+		acknowledgments = append(acknowledgments, assign.Acknowledged{Proxy: acknowledgment.Proxy, Sequence: sequence, Latency: acknowledgment.Latency})
 	}
-	if !slices.Contains(l.received, acknowledgment.Sequence) {
-		l.received = newest(append(l.received, acknowledgment.Sequence))
+	if !slices.Contains(t.receivedSequences, acknowledgment.Sequence) {
+		t.receivedSequences = trimOldest(append(t.receivedSequences, acknowledgment.Sequence))
 	}
-	return append(all, acknowledgment)
+	return append(acknowledgments, acknowledgment)
 }
 
-// mergedWith returns the sequence numbers of the batches that the newest call with this last one acknowledges, too.
-func (l *acknowledgmentLedger) mergedWith(last int) []int {
-	for _, merged := range slices.Backward(l.merged) {
-		if merged.last == last {
-			return merged.earlier
+// sequencesMergedInto returns the earlier sequence numbers for which lastSequence stands, according to the newest call
+// that requested lastSequence for several batches. It returns nil if there is no such call.
+func (t *acknowledgmentTracker) sequencesMergedInto(lastSequence int) []int {
+	for _, merged := range slices.Backward(t.mergedRequests) {
+		if merged.lastSequence == lastSequence {
+			return merged.earlierSequences
 		}
 	}
 	return nil
 }
 
-// requestAgain puts the sequence numbers of a requeued call before those requested since, each once.
-func (l *acknowledgmentLedger) requestAgain(sequences []int, allProxies bool) {
-	all := slices.Clone(sequences)
-	for _, sequence := range l.requested {
-		if !slices.Contains(all, sequence) {
-			all = append(all, sequence)
+// recordRequeuedRequests adds the sequence numbers of a requeued call before the sequence numbers that were requested
+// after the call was taken. It omits duplicates.
+func (t *acknowledgmentTracker) recordRequeuedRequests(sequences []int, allProxies bool) {
+	requested := slices.Clone(sequences)
+	for _, sequence := range t.requestedSequences {
+		if !slices.Contains(requested, sequence) {
+			requested = append(requested, sequence)
 		}
 	}
-	l.requested = newest(all)
-	l.allProxies = l.allProxies || allProxies
+	t.requestedSequences = trimOldest(requested)
+	t.allProxiesRequested = t.allProxiesRequested || allProxies
 }
--- a/internal/orderqueue/acknowledgments_test.go
+++ b/internal/orderqueue/acknowledgments_test.go
@@ -8,12 +8,13 @@
 	"madderhollow/assign"
 )
 
-// The newest call with the acknowledged sequence number counts.
-func TestLedgerAcknowledgesMergedBatches(t *testing.T) {
-	ledger := acknowledgmentLedger{}
-	ledger.recordCall([]int{1, 2, 7})
-	ledger.recordCall([]int{3, 7})
-	got := ledger.receive(assign.Acknowledged{Proxy: 5, Sequence: 7, Latency: 1})
+// Two calls request the same sequence number for different earlier batches. An acknowledgment of that sequence number
+// covers only the batches of the newer call.
+func TestTrackerAcknowledgesMergedBatches(t *testing.T) {
+	tracker := acknowledgmentTracker{}
+	tracker.recordMergedRequest([]int{1, 2, 7})
+	tracker.recordMergedRequest([]int{3, 7})
+	got := tracker.recordAcknowledgment(assign.Acknowledged{Proxy: 5, Sequence: 7, Latency: 1})
 	want := []assign.Event{
 		assign.Acknowledged{Proxy: 5, Sequence: 3, Latency: 1},
 		assign.Acknowledged{Proxy: 5, Sequence: 7, Latency: 1},
@@ -23,35 +24,36 @@
 	}
 }
 
-func TestLedgerSizeIsBounded(t *testing.T) {
-	ledger := acknowledgmentLedger{}
-	for i := range 2 * maxSequences {
-		ledger.recordCall([]int{i, i + 1})
-		ledger.receive(assign.Acknowledged{Sequence: i})
+func TestTrackerSizeIsBounded(t *testing.T) {
+	tracker := acknowledgmentTracker{}
+	for i := range 2 * maxTrackedSequences {
+		tracker.recordMergedRequest([]int{i, i + 1})
+		tracker.recordAcknowledgment(assign.Acknowledged{Sequence: i})
 	}
-	if len(ledger.merged) != maxSequences || len(ledger.received) != maxSequences {
-		t.Errorf("got %d merged, %d received; want %d each", len(ledger.merged), len(ledger.received), maxSequences)
+	if len(tracker.mergedRequests) != maxTrackedSequences || len(tracker.receivedSequences) != maxTrackedSequences {
+		t.Errorf("got %d merged, %d received; want %d each", len(tracker.mergedRequests), len(tracker.receivedSequences), maxTrackedSequences)
 	}
 }
 
-func TestLedgerRequestsRequeuedSequencesFirstAndOnce(t *testing.T) {
-	ledger := acknowledgmentLedger{requested: []int{5, 6}}
-	ledger.recordSplit(5)
-	ledger.requestAgain([]int{4, 5}, true)
-	if want := []int{4, 5, 6}; !slices.Equal(ledger.requested, want) || !ledger.allProxies || !ledger.proves(6) || ledger.proves(5) {
-		t.Errorf("got %+v, want requested %v, all proxies, 5 split and 6 not", ledger, want)
+func TestTrackerRequestsRequeuedSequencesFirstAndOnce(t *testing.T) {
+	tracker := acknowledgmentTracker{requestedSequences: []int{5, 6}}
+	tracker.recordSplit(5)
+	tracker.recordRequeuedRequests([]int{4, 5}, true)
+	if want := []int{4, 5, 6}; !slices.Equal(tracker.requestedSequences, want) || !tracker.allProxiesRequested || !tracker.provesApplied(6) || tracker.provesApplied(5) {
+		t.Errorf("got %+v, want requested %v, all proxies, 5 split and 6 not", tracker, want)
 	}
 }
 
-// Sequence numbers wrap around. An acknowledgment of the earlier batch of a number proves nothing about the later one, and a
-// split of the earlier one does not deprive the later one of its proof.
-func TestLedgerForgetsEarlierBatchOfReusedSequence(t *testing.T) {
-	ledger := acknowledgmentLedger{}
-	ledger.request(assign.AcknowledgmentRequest{Sequence: 5})
-	ledger.recordSplit(5)
-	ledger.receive(assign.Acknowledged{Sequence: 5})
-	ledger.request(assign.AcknowledgmentRequest{Sequence: 5})
-	if slices.Contains(ledger.received, 5) || !ledger.proves(5) {
-		t.Errorf("got %+v, want nothing known of the earlier batch", ledger)
+// Sequence numbers wrap around and are reused. An acknowledgment of an earlier batch must not count for a later batch
+// with the same sequence number. A split of the earlier batch must not prevent an acknowledgment from proving that the
+// later batch was applied.
+func TestTrackerForgetsEarlierBatchOfReusedSequence(t *testing.T) {
+	tracker := acknowledgmentTracker{}
+	tracker.recordRequest(assign.AcknowledgmentRequest{Sequence: 5})
+	tracker.recordSplit(5)
+	tracker.recordAcknowledgment(assign.Acknowledged{Sequence: 5})
+	tracker.recordRequest(assign.AcknowledgmentRequest{Sequence: 5})
+	if slices.Contains(tracker.receivedSequences, 5) || !tracker.provesApplied(5) {
+		t.Errorf("got %+v, want nothing known of the earlier batch", tracker)
 	}
 }
--- a/internal/orderqueue/ambiguity.go
+++ b/internal/orderqueue/ambiguity.go
@@ -3,39 +3,48 @@
 import "time"
 
 const (
-	// maxAmbiguityDelay is below the half second that the platform allows for a broken call.
+	// maxAmbiguityDelay is the longest delay after an ambiguous call. It is shorter than the 500 ms that the platform
+	// allows for a broken call.
 	maxAmbiguityDelay = 480 * time.Millisecond
-	// minAmbiguityDelay applies where the configured transit time is shorter or missing.
+	// minAmbiguityDelay is the shortest initial delay after an ambiguous call. It applies if the configured mean
+	// transit time is shorter or not set.
 	minAmbiguityDelay = 50 * time.Millisecond
-	// ambiguitySeriesGap is the longest time between the end of one delay and the next ambiguous call of the same series.
-	ambiguitySeriesGap = time.Second
+	// ambiguityResetInterval is the longest time between the end of a delay and the next ambiguous call for which the
+	// delay still doubles. After a longer time, the backoff starts from the initial delay again.
+	ambiguityResetInterval = time.Second
 )
 
-// ambiguityBackoff delays all calls after an ambiguous one, so that its acknowledgment can arrive. The first delay of a
-// series is the mean transit time of a message; each further one is twice the one before.
+// ambiguityBackoff is the exponential backoff after ambiguous calls. No call is sent during a delay, so that the
+// acknowledgment of the ambiguous call can arrive. The first delay is the mean transit time of a message. Each
+// ambiguous call that follows soon after a delay doubles the delay.
 type ambiguityBackoff struct {
-	initial time.Duration
-	delay   time.Duration // the latest one
-	until   time.Time     // its end
+	// initialDelay is the first delay after a period without ambiguous calls.
+	initialDelay time.Duration
+	// latestDelay is the length of the latest delay, which may have ended.
+	latestDelay time.Duration
+	// endsAt is the time at which the latest delay ends or has ended.
+	endsAt time.Time
 }
 
-// newAmbiguityBackoff returns a backoff for the mean transit time of a message.
+// newAmbiguityBackoff returns a backoff whose initial delay is the mean transit time of a message, limited to the range
+// from minAmbiguityDelay to maxAmbiguityDelay.
 func newAmbiguityBackoff(meanTransit time.Duration) ambiguityBackoff {
-	return ambiguityBackoff{initial: max(minAmbiguityDelay, min(maxAmbiguityDelay, meanTransit))}
+	return ambiguityBackoff{initialDelay: max(minAmbiguityDelay, min(maxAmbiguityDelay, meanTransit))}
 }
 
-// start begins the delay after an ambiguous call.
+// start begins the delay after an ambiguous call. It doubles the previous delay, or uses the initial delay if the
+// previous delay ended more than ambiguityResetInterval ago.
 func (b *ambiguityBackoff) start(now time.Time) {
-	b.delay *= 2
-	if now.Sub(b.until) > ambiguitySeriesGap {
-		b.delay = b.initial
+	b.latestDelay *= 2
+	if now.Sub(b.endsAt) > ambiguityResetInterval {
+		b.latestDelay = b.initialDelay
 	}
-	b.delay = min(b.delay, maxAmbiguityDelay)
-	b.until = now.Add(b.delay)
+	b.latestDelay = min(b.latestDelay, maxAmbiguityDelay)
+	b.endsAt = now.Add(b.latestDelay)
 }
 
-// stop ends the delay early, after the acknowledgment has arrived.
-func (b *ambiguityBackoff) stop(now time.Time) { b.until = now }
+// stop ends the delay early because the acknowledgment of the ambiguous call has arrived.
+func (b *ambiguityBackoff) stop(now time.Time) { b.endsAt = now }
 
-// remaining returns the rest of the delay, 0 after its end.
-func (b *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, b.until.Sub(now)) }
+// remaining returns the time until the delay ends, or 0 if it has ended.
+func (b *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, b.endsAt.Sub(now)) }
--- a/internal/orderqueue/ambiguity_test.go
+++ b/internal/orderqueue/ambiguity_test.go
@@ -16,9 +16,9 @@
 	for _, milliseconds := range []time.Duration{100, 200, 400, 480, 480} {
 		backoff.start(now)
 		expectRemaining(milliseconds * time.Millisecond)
-		now = backoff.until
+		now = backoff.endsAt
 	}
-	now = now.Add(ambiguitySeriesGap + time.Millisecond)
+	now = now.Add(ambiguityResetInterval + time.Millisecond)
 	backoff.start(now)
 	expectRemaining(100 * time.Millisecond)
 	backoff.stop(now)
@@ -26,7 +26,7 @@
 }
 
 func TestAmbiguityBackoffHasMinimumDelay(t *testing.T) {
-	if got := newAmbiguityBackoff(0).initial; got != minAmbiguityDelay {
+	if got := newAmbiguityBackoff(0).initialDelay; got != minAmbiguityDelay {
 		t.Errorf("got initial delay %v, want %v", got, minAmbiguityDelay)
 	}
 }
--- a/internal/orderqueue/bench_test.go
+++ b/internal/orderqueue/bench_test.go
@@ -10,9 +10,9 @@
 	"madderhollow/internal/wire"
 )
 
-// newLargeQueue returns a queue at which each of so many proxies is attached to a table of its own, and a batch that sets an
-// entry in each table.
-func newLargeQueue(b *testing.B, proxies int) (queue *Queue, batch []assign.Order) {
+// newBenchmarkQueue returns a queue with the given number of connected proxies, each attached to its own table, and a
+// batch that sets one entry in each table.
+func newBenchmarkQueue(b *testing.B, proxies int) (queue *Queue, batch []assign.Order) {
 	b.Helper()
 	config := testconfig.New([]string{"a"}, proxies, "read", "sign")
 	config.Channel = assign.ChannelConfig{MessageLimit: 20, MessageWindow: 10, MeanTransit: 0.2}
@@ -24,61 +24,63 @@
 		attachments = append(attachments, assign.AttachTable{Proxy: i, Table: i})
 		batch = append(batch, assign.SetWeight{Table: i, Endpoint: fmt.Sprint("s-", i%200), Weight: 1})
 	}
-	queue.Observe(events)
+	queue.PreprocessEvents(events)
 	queue.Submit(append(attachments, assign.AcknowledgmentRequest{Sequence: 1}))
-	queue.drain(b)
+	queue.takeAllAndResetBudget(b)
 	return queue, append(batch, assign.AcknowledgmentRequest{Sequence: 2})
 }
 
-// drain takes all calls and resets the message budget of each proxy.
-func (q *Queue) drain(b *testing.B) {
+// takeAllAndResetBudget takes all available calls and resets the message budget of each proxy.
+func (q *Queue) takeAllAndResetBudget(b *testing.B) {
 	b.Helper()
 	for {
 		if _, ok, _ := q.take(); !ok {
 			break
 		}
 	}
-	q.budget.expire(time.Now().Add(2 * q.budget.window))
+	q.budget.expireCalls(time.Now().Add(2 * q.budget.window))
 }
 
-// proxyCounts are the numbers of proxies that each benchmark runs with.
+// proxyCounts returns the numbers of proxies with which each benchmark runs.
 func proxyCounts() []int { return []int{480, 2400} }
 
-// BenchmarkBatchForAllProxies measures a batch that sets an entry at each proxy, and its calls.
+// BenchmarkBatchForAllProxies measures the submission of a batch that sets an entry at each proxy, and the taking of
+// the resulting calls.
 func BenchmarkBatchForAllProxies(b *testing.B) {
 	for _, proxies := range proxyCounts() {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
-			queue, batch := newLargeQueue(b, proxies)
+			queue, batch := newBenchmarkQueue(b, proxies)
 			for b.Loop() {
 				queue.Submit(batch)
-				queue.drain(b)
+				queue.takeAllAndResetBudget(b)
 			}
 		})
 	}
 }
 
-// BenchmarkBatchForOneProxy measures a batch that sets one entry: the least that each call costs with so many proxies.
+// BenchmarkBatchForOneProxy measures the submission of a batch that sets a single entry, and the taking of the
+// resulting call. This is the minimum cost of a call at the given number of proxies.
 func BenchmarkBatchForOneProxy(b *testing.B) {
 	for _, proxies := range proxyCounts() {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
-			queue, batch := newLargeQueue(b, proxies)
+			queue, batch := newBenchmarkQueue(b, proxies)
 			for b.Loop() {
 				queue.Submit([]assign.Order{batch[0], assign.AcknowledgmentRequest{Sequence: 2}})
-				queue.drain(b)
+				queue.takeAllAndResetBudget(b)
 			}
 		})
 	}
 }
 
-// BenchmarkTakeWithExhaustedBudgets measures the check for a call while a batch for all proxies is pending and each proxy
-// has exhausted its message budget.
+// BenchmarkTakeWithExhaustedBudgets measures an attempt to take a call while a batch for all proxies is pending and the
+// message budget of each proxy is exhausted.
 func BenchmarkTakeWithExhaustedBudgets(b *testing.B) {
 	for _, proxies := range proxyCounts() {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
-			queue, batch := newLargeQueue(b, proxies)
+			queue, batch := newBenchmarkQueue(b, proxies)
 			queue.budget.limit = 1
-			for _, r := range queue.proxies.connected {
-				r.messages = 1
+			for _, proxy := range queue.proxies.connectedProxies {
+				proxy.messagesInWindow = 1
 			}
 			queue.Submit(batch)
 			for b.Loop() {
--- a/internal/orderqueue/budget.go
+++ b/internal/orderqueue/budget.go
@@ -5,67 +5,73 @@
 	"time"
 )
 
-// windowMargin extends the window over which messages are counted: the limit is enforced where they arrive, some time
-// after they were sent.
-const windowMargin = 300 * time.Millisecond
+// messageWindowMargin extends the time window over which messages are counted. The platform enforces the message limit
+// where the messages arrive, some time after they were sent.
+const messageWindowMargin = 300 * time.Millisecond
 
-// messageBudget limits the messages to each proxy within a sliding window. The decision module counts the batches that it
-// orders, but not the calls that are repeated.
+// messageBudget limits the messages to each proxy within a sliding time window. The decision module counts the batches
+// that it orders, but it does not count calls that are repeated.
 type messageBudget struct {
-	limit  int // messages to one proxy within the window; 0: no limit
+	// limit is the number of messages that one proxy may receive within the window; 0 means no limit.
+	limit int
+	// window is the length of the sliding time window, including messageWindowMargin.
 	window time.Duration
-	recent []sentCall // within the window, oldest first
+	// recentCalls are the calls that were sent within the window, oldest first.
+	recentCalls []sentCall
 }
 
-// sentCall is a call that was sent, with the proxies that it may have reached.
+// sentCall is a call that was sent, with the connected proxies that may have received it.
 type sentCall struct {
-	number     int
-	at         time.Time
-	recipients []*recipient
+	callNumber int
+	sentAt     time.Time
+	recipients []*connectedProxy
 }
 
-// expire removes calls that have left the window from the counts.
-func (b *messageBudget) expire(now time.Time) {
+// expireCalls removes the calls that have left the window from the message counts.
+func (b *messageBudget) expireCalls(now time.Time) {
 	expired := 0
-	for ; expired < len(b.recent) && now.Sub(b.recent[expired].at) > b.window; expired++ {
-		b.recent[expired].uncount()
+	for ; expired < len(b.recentCalls) && now.Sub(b.recentCalls[expired].sentAt) > b.window; expired++ {
+		b.recentCalls[expired].removeFromMessageCounts()
 	}
-	b.recent = slices.Delete(b.recent, 0, expired)
+	b.recentCalls = slices.Delete(b.recentCalls, 0, expired)
 }
 
-// exhausted reports whether no further message may be sent to a proxy.
-func (b *messageBudget) exhausted(r *recipient) bool { return r.messages >= b.limit }
+// isExhaustedFor reports whether a proxy has received as many messages within the window as the limit allows.
+func (b *messageBudget) isExhaustedFor(proxy *connectedProxy) bool {
+	return proxy.messagesInWindow >= b.limit
+}
 
-// spend records a call whose recipients have been counted.
-func (b *messageBudget) spend(call sentCall) {
+// recordCall adds a sent call to the window. The message counts of its recipients must include the call already.
+func (b *messageBudget) recordCall(call sentCall) {
 	if b.limit > 0 && len(call.recipients) > 0 {
-		b.recent = append(b.recent, call)
+		b.recentCalls = append(b.recentCalls, call)
 	}
 }
 
-// refund removes a call that reached no proxy from the counts.
-func (b *messageBudget) refund(number int) {
-	b.recent = slices.DeleteFunc(b.recent, func(call sentCall) bool {
-		if call.number == number {
-			call.uncount()
+// refundCall removes a call that reached no proxy from the window and from the message counts.
+func (b *messageBudget) refundCall(callNumber int) {
+	b.recentCalls = slices.DeleteFunc(b.recentCalls, func(call sentCall) bool {
+		if call.callNumber == callNumber {
+			call.removeFromMessageCounts()
 		}
-		return call.number == number
+		return call.callNumber == callNumber
 	})
 }
 
-// count adds the call to a recipient's messages, once.
-func (c *sentCall) count(r *recipient) {
-	if r.lastCall == c.number {
+// addRecipient adds a proxy to the recipients of the call and counts the call as one message to the proxy. It does
+// nothing if the proxy is a recipient already.
+func (c *sentCall) addRecipient(proxy *connectedProxy) {
+	if proxy.lastCallNumber == c.callNumber {
 		return
 	}
-	r.lastCall = c.number
-	r.messages++
-	c.recipients = append(c.recipients, r)
+	proxy.lastCallNumber = c.callNumber
+	proxy.messagesInWindow++
+	c.recipients = append(c.recipients, proxy)
 }
 
-// uncount removes the call from its recipients' messages.
-func (c *sentCall) uncount() {
-	for _, r := range c.recipients {
-		r.messages--
+// removeFromMessageCounts subtracts the call from the message counts of its recipients.
+func (c *sentCall) removeFromMessageCounts() {
+	for _, proxy := range c.recipients {
+		proxy.messagesInWindow--
 	}
 }
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -5,85 +5,101 @@
 	"time"
 )
 
-// Call is a group of orders that is sent to the relay at once.
+// Call is a group of orders that is sent to the relay at once. Queue.Take and Queue.TryTake return calls.
 type Call struct {
-	Orders []string // encoded; the acknowledgment request, if any, is the last
+	// Orders are the encoded orders. The last order is the acknowledgment request if the call has one.
+	Orders []string
 
-	orders     []*pendingOrder // without the acknowledgment request
-	sequences  []int           // of the requested batches; the call requests the last one's acknowledgment, also if it is split
-	allProxies bool            // the acknowledgment is requested from all proxies
-	number     int
+	// pendingOrders are the orders of the call without the acknowledgment request.
+	pendingOrders []*pendingOrder
+	// batchSequences are the sequence numbers of the batches that the call contains entirely or in part. The call
+	// requests the acknowledgment of the last batch, even if that batch is split.
+	batchSequences []int
+	// allProxiesRequested reports whether the call requests an acknowledgment from all proxies.
+	allProxiesRequested bool
+	// callNumber is the position of the call among all calls taken from the queue, starting at 1.
+	callNumber int
 }
 
-// lastSequence returns the sequence number whose acknowledgment the call requests, or noSequence.
-func (c *Call) lastSequence() int {
-	if len(c.sequences) == 0 {
+// acknowledgmentSequence returns the sequence number of the acknowledgment that the call requests, or noSequence if it
+// requests none.
+func (c *Call) acknowledgmentSequence() int {
+	if len(c.batchSequences) == 0 {
 		return noSequence
 	}
-	return c.sequences[len(c.sequences)-1]
+	return c.batchSequences[len(c.batchSequences)-1]
 }
 
-// Requeue returns all orders of a call to the queue. None of them was applied.
+// Requeue returns all orders of a call to the queue. The caller must know that no order of the call was applied.
 func (q *Queue) Requeue(call Call) { q.requeueFrom(call, 0) }
 
-// RequeueFromRejected returns a call's orders to the queue from the rejected one on, which is sent again. Rejected is its
-// position in Call.Orders; the orders before it were applied.
-func (q *Queue) RequeueFromRejected(call Call, rejected int) { q.requeueFrom(call, rejected) }
+// RequeueFromRejected returns the rejected order of a call and all orders after it to the queue. The parameter
+// rejectedIndex is the index of the rejected order in Call.Orders. The orders before the rejected order were applied.
+func (q *Queue) RequeueFromRejected(call Call, rejectedIndex int) { q.requeueFrom(call, rejectedIndex) }
 
-// RequeueAfterRejected returns a call's orders after the rejected one to the queue, and drops the rejected one. Rejected is
-// its position in Call.Orders; the orders before it were applied.
-func (q *Queue) RequeueAfterRejected(call Call, rejected int) { q.requeueFrom(call, rejected+1) }
+// RequeueAfterRejected drops the rejected order of a call and returns all orders after it to the queue. The parameter
+// rejectedIndex is the index of the rejected order in Call.Orders. The orders before the rejected order were applied.
+func (q *Queue) RequeueAfterRejected(call Call, rejectedIndex int) {
+	q.requeueFrom(call, rejectedIndex+1)
+}
 
-// requeueFrom requeues a call's orders from a position on.
-func (q *Queue) requeueFrom(call Call, position int) {
+// requeueFrom returns the orders of a call to the queue, starting with the order at startIndex. Each order before
+// startIndex was either applied or rejected and dropped.
+func (q *Queue) requeueFrom(call Call, startIndex int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if position == 0 { // no proxy received the call, and calls to an unreachable relay must not use up the message budget
-		q.budget.refund(call.number)
+	// A call whose orders are all requeued reached no proxy. Calls to an unreachable relay must not use up the message
+	// budget.
+	if startIndex == 0 {
+		q.budget.refundCall(call.callNumber)
 	}
-	q.requeue(call, position, noSequence)
+	q.requeue(call, startIndex, noSequence)
 }
 
-// RequeueAmbiguous returns all orders of an ambiguous call to the queue, and delays all calls so that its acknowledgment can
-// arrive. If that has arrived already, the call was applied: nothing is requeued and nothing delayed.
+// RequeueAmbiguous returns all orders of an ambiguous call to the queue and delays all further calls, so that the
+// acknowledgment of the ambiguous call can arrive. If the acknowledgment has arrived already, it proves that the call
+// was applied. RequeueAmbiguous then neither requeues the orders nor delays further calls.
 func (q *Queue) RequeueAmbiguous(call Call) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	sequence := call.lastSequence()
-	if !q.acknowledgments.proves(sequence) {
+	sequence := call.acknowledgmentSequence()
+	if !q.acknowledgments.provesApplied(sequence) {
 		sequence = noSequence
 	}
-	if sequence != noSequence && slices.Contains(q.acknowledgments.received, sequence) {
-		q.repeated++ // nothing is requeued, but Stats.Repeated has all ambiguous calls
+	if sequence != noSequence && slices.Contains(q.acknowledgments.receivedSequences, sequence) {
+		// No order is requeued, but Stats.RepeatedCalls counts every ambiguous call.
+		q.repeatedCalls++
 		return
 	}
 	q.requeue(call, 0, sequence)
-	q.ambiguity.start(time.Now())
+	q.backoff.start(time.Now())
 }
 
-// requeue puts a call's orders from a position on before those submitted since. AttemptedBy is the sequence number whose
-// acknowledgment proves that they were applied, or noSequence.
-func (q *Queue) requeue(call Call, position, attemptedBy int) {
-	q.repeated++
-	if position > len(call.orders) { // the acknowledgment request itself was rejected and is dropped
-		call.sequences = nil
-		call.allProxies = false
+// requeue inserts the orders of a call, starting with the order at startIndex, before the orders that were submitted
+// after the call was taken. The parameter ambiguousSequence is the sequence number whose acknowledgment proves that the
+// orders were applied, or noSequence.
+func (q *Queue) requeue(call Call, startIndex, ambiguousSequence int) {
+	q.repeatedCalls++
+	// The index is past the acknowledgment request if the request itself was rejected and is dropped.
+	if startIndex > len(call.pendingOrders) {
+		call.batchSequences = nil
+		call.allProxiesRequested = false
 	}
-	// The order before the position counts as uncertain, too: it was not applied if it was rejected and dropped.
-	firstUncertain := min(max(position-1, 0), len(call.orders))
-	for _, p := range call.orders[firstUncertain:] {
-		q.proxies.markUncertain(p)
+	// The order just before startIndex is treated as uncertain, too. If it was rejected and dropped, it was not applied.
+	firstUncertainIndex := min(max(startIndex-1, 0), len(call.pendingOrders))
+	for _, pending := range call.pendingOrders[firstUncertainIndex:] {
+		q.proxies.markAttachmentUncertain(pending)
 	}
-	newer := q.pending.reset()
-	firstRequeued := min(position, len(call.orders))
-	for _, p := range call.orders[firstRequeued:] {
-		if q.proxies.outdated(p) {
+	newerOrders := q.pending.removeAll()
+	firstRequeuedIndex := min(startIndex, len(call.pendingOrders))
+	for _, pending := range call.pendingOrders[firstRequeuedIndex:] {
+		if q.proxies.isOutdatedAttachment(pending) {
 			continue
 		}
-		p.attemptedBy = attemptedBy
-		q.pending.add(p)
+		pending.ambiguousSequence = ambiguousSequence
+		q.pending.add(pending)
 	}
-	q.pending.addAll(newer)
-	q.acknowledgments.requestAgain(call.sequences, call.allProxies)
-	q.notify()
+	q.pending.addAll(newerOrders)
+	q.acknowledgments.recordRequeuedRequests(call.batchSequences, call.allProxiesRequested)
+	q.wakeTake()
 }
--- a/internal/orderqueue/harness_test.go
+++ b/internal/orderqueue/harness_test.go
@@ -10,28 +10,29 @@
 	"madderhollow/internal/wire"
 )
 
-// newTestQueue returns a queue with a message limit that does not recover within a test; 0: no limit.
+// newTestQueue returns a queue with the given message limit, or without a limit if messageLimit is 0. The message
+// window is one hour, so that no message leaves the window during a test.
 func newTestQueue(messageLimit int) *Queue {
 	config := testconfig.New([]string{"a"}, 8, "read")
 	config.Channel = assign.ChannelConfig{MessageLimit: float64(messageLimit), MessageWindow: 3600, MeanTransit: 0.05}
 	return New(Config{Channel: config.Channel, Encoder: wire.NewCodec(config, time.Now())})
 }
 
-// connect reports proxies to the queue as connected.
-func (q *Queue) connect(proxies ...int) {
+// connectProxies passes a connect event of each given proxy to the queue.
+func (q *Queue) connectProxies(proxies ...int) {
 	for _, proxy := range proxies {
-		q.Observe([]assign.Event{assign.ProxyConnected{Proxy: proxy, Zone: "a"}})
+		q.PreprocessEvents([]assign.Event{assign.ProxyConnected{Proxy: proxy, Zone: "a"}})
 	}
 }
 
-// dropPending drops all pending orders.
-func (q *Queue) dropPending() { q.pending.removeIf(func(*pendingOrder) bool { return true }) }
+// dropPendingOrders removes all pending orders from the queue.
+func (q *Queue) dropPendingOrders() { q.pending.removeIf(func(*pendingOrder) bool { return true }) }
 
-// expireAmbiguity ends the delay after an ambiguous call.
-func (q *Queue) expireAmbiguity() { q.ambiguity.until = time.Time{} }
+// endBackoff ends the delay after an ambiguous call.
+func (q *Queue) endBackoff() { q.backoff.endsAt = time.Time{} }
 
-// mustTake takes a call that is available at once.
-func mustTake(t *testing.T, q *Queue) Call {
+// mustTakeCall takes a call from the queue and fails the test if no call is available at once.
+func mustTakeCall(t *testing.T, q *Queue) Call {
 	t.Helper()
 	call, ok, recheckAfter := q.take()
 	if !ok {
@@ -40,7 +41,7 @@
 	return call
 }
 
-// expectCall fails the test unless a call consists of these orders.
+// expectCall reports a test failure unless the call consists of exactly the given orders.
 func expectCall(t *testing.T, q *Queue, call Call, orders ...assign.Order) {
 	t.Helper()
 	want := make([]string, len(orders))
--- a/internal/orderqueue/known_faults_test.go
+++ b/internal/orderqueue/known_faults_test.go
@@ -7,49 +7,52 @@
 	"madderhollow/assign"
 )
 
-// The tests of this file guard against losses of orders that docs/incidents describes.
+// The tests in this file guard against the failures described in docs/incidents in which orders were lost.
 
-// A batch is split over two calls, because a proxy has received as many messages as it may. The first call becomes ambiguous,
-// and its acknowledgment arrives. The next call has the whole batch and becomes ambiguous too: the acknowledgment of the first
-// one must not count for it, because a proxy that only the second call reaches has not sent one.
+// A batch is split into two calls because the message budget of proxy 1 is exhausted. The first call becomes ambiguous,
+// and its acknowledgment arrives. The next call contains the whole batch and becomes ambiguous, too. The acknowledgment
+// of the first call must not prove that the next call was applied, because proxy 1 is reached only by the next call and
+// has acknowledged nothing.
 func TestAcknowledgmentOfSplitBatchDoesNotProveNextCall(t *testing.T) {
-	queue, first := newQueueWithSplitBatch(t)
-	queue.RequeueAmbiguous(first)
-	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
-	queue.expireBudgetAndDelay()
-	second := mustTake(t, queue)
-	queue.RequeueAmbiguous(second)
-	queue.expireBudgetAndDelay()
+	queue, firstCall := newQueueWithSplitBatch(t)
+	queue.RequeueAmbiguous(firstCall)
+	queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
+	queue.endWindowAndBackoff()
+	secondCall := mustTakeCall(t, queue)
+	queue.RequeueAmbiguous(secondCall)
+	queue.endWindowAndBackoff()
 	call, ok := queue.TryTake()
-	if !ok || !slices.Equal(call.Orders, second.Orders) {
-		t.Errorf("got call %q (%t), want %q repeated: no acknowledgment proves that proxy 1 applied it", call.Orders, ok, second.Orders)
+	if !ok || !slices.Equal(call.Orders, secondCall.Orders) {
+		t.Errorf("got call %q (%t), want %q repeated: no acknowledgment proves that proxy 1 applied it", call.Orders, ok, secondCall.Orders)
 	}
 }
 
-// A whole call becomes ambiguous, and its repeat has a part of the orders only, because a proxy has received as many messages
-// as it may. The acknowledgment of the repeat must not count for the orders that it left out.
+// A call with a whole batch becomes ambiguous. The repeated call contains only a part of the orders, because the
+// message budget of proxy 1 is exhausted. The acknowledgment of the repeated call must not prove that the omitted
+// orders were applied.
 func TestAcknowledgmentOfPartDoesNotProveRestApplied(t *testing.T) {
 	queue := newTestQueue(1)
-	queue.connect(1, 2)
+	queue.connectProxies(1, 2)
 	queue.Submit([]assign.Order{
 		assign.AttachTable{Proxy: 1, Table: 1},
 		assign.AttachTable{Proxy: 2, Table: 2},
 		assign.AcknowledgmentRequest{Sequence: 1},
 	})
-	queue.RequeueAmbiguous(mustTake(t, queue))
-	queue.expireAmbiguity()
-	queue.proxies.connected[2].messages = 0
-	part := mustTake(t, queue)
+	queue.RequeueAmbiguous(mustTakeCall(t, queue))
+	queue.endBackoff()
+	queue.proxies.connectedProxies[2].messagesInWindow = 0
+	part := mustTakeCall(t, queue)
 	expectCall(t, queue, part, assign.AttachTable{Proxy: 2, Table: 2}, assign.AcknowledgmentRequest{Sequence: 1})
-	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 1}})
-	queue.expireBudgetAndDelay()
-	expectCall(t, queue, mustTake(t, queue), assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1})
+	queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 1}})
+	queue.endWindowAndBackoff()
+	expectCall(t, queue, mustTakeCall(t, queue), assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1})
 }
 
-// expireBudgetAndDelay lets the message window and the delay of ambiguous calls pass.
-func (q *Queue) expireBudgetAndDelay() {
-	q.expireAmbiguity()
-	for _, proxy := range q.proxies.connected {
-		proxy.messages = 0
+// endWindowAndBackoff sets the queue to the state after the message window and the delay after an ambiguous call have
+// passed.
+func (q *Queue) endWindowAndBackoff() {
+	q.endBackoff()
+	for _, proxy := range q.proxies.connectedProxies {
+		proxy.messagesInWindow = 0
 	}
 }
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -9,21 +9,21 @@
 	"madderhollow/assign"
 )
 
-// noSequence is in place of a call's sequence number where there is none.
+// noSequence is the value of a sequence number that is not set. Valid sequence numbers are not negative.
 const noSequence = -1
 
-// maxSuperseded bounds the superseded orders that a queue keeps, beyond twice the number of pending ones, before it is
-// compacted.
-const maxSuperseded = 256
+// maxSupersededSlots limits the nil slots in pendingQueue.orders. The queue is compacted when the slice is longer than
+// twice the number of pending orders plus maxSupersededSlots.
+const maxSupersededSlots = 256
 
-// orderSeparator separates the orders of a call, in the escaped form that is sent.
+// orderSeparator separates the orders of a call. It is the URL-escaped form of a semicolon, as sent to the relay.
 const orderSeparator = "%3B"
 
-// orderKind is the type of an order.
+// orderKind is the type of an order as part of an orderKey.
 type orderKind int
 
 const (
-	otherKind orderKind = iota // in the key of no pending order
+	otherKind orderKind = iota // orders of this kind cannot be encoded and are therefore never pending
 	weightKind
 	rateLimitKind
 	clearKind
@@ -31,32 +31,34 @@
 	ejectKind
 )
 
-// orderKey identifies the value that an order sets. A later order with the same key supersedes an earlier one.
+// orderKey identifies the value that an order sets. A pending order is superseded by a later order with the same key.
 type orderKey struct {
-	kind   orderKind
-	target int    // table or proxy
-	name   string // endpoint or request classes
+	kind              orderKind
+	tableOrProxy      int    // number of the table or of the proxy, depending on the kind
+	endpointOrClasses string // name of the endpoint or key of the request classes, depending on the kind
 }
 
-// keyOf returns an order's key. An order of another type cannot be encoded, so the queue never holds one.
-func keyOf(order assign.Order) orderKey {
+// orderKeyOf returns the key of an order. It returns the zero key for order types that cannot be encoded, which the
+// queue never holds.
+func orderKeyOf(order assign.Order) orderKey {
 	switch o := order.(type) {
 	case assign.SetWeight:
 		return orderKey{weightKind, o.Table, o.Endpoint}
 	case assign.SetRateLimit:
-		return orderKey{rateLimitKind, o.Table, classesKey(o.RequestClasses)}
+		return orderKey{rateLimitKind, o.Table, requestClassesKey(o.RequestClasses)}
 	case assign.ClearTable:
-		return orderKey{kind: clearKind, target: o.Table}
+		return orderKey{kind: clearKind, tableOrProxy: o.Table}
 	case assign.AttachTable:
-		return orderKey{attachKind, o.Proxy, classesKey(o.RequestClasses)}
+		return orderKey{attachKind, o.Proxy, requestClassesKey(o.RequestClasses)}
 	case assign.EjectEndpoint:
-		return orderKey{kind: ejectKind, name: o.Endpoint}
+		return orderKey{kind: ejectKind, endpointOrClasses: o.Endpoint}
 	}
 	return orderKey{}
 }
 
-// classesKey returns a map key for a set of request classes, given by position.
-func classesKey(classes []int) string {
+// requestClassesKey returns a map key for a list of request classes. A request class is given by its position in the
+// configuration.
+func requestClassesKey(classes []int) string {
 	key := []byte{}
 	for _, class := range classes {
 		key = append(strconv.AppendInt(key, int64(class), 10), ',')
@@ -66,74 +68,86 @@
 
 // pendingOrder is an encoded order that the relay has not accepted yet.
 type pendingOrder struct {
-	order          assign.Order
-	text           string
-	size           int // bytes in a call, escaped and with its separator
-	attemptedBy    int // sequence number of the ambiguous call that may have applied it, or noSequence
-	submittedAt    time.Time
-	generation     int   // proxyTracker.generation of the proxy that it attaches a table to, when it was submitted
-	previousTables []int // tables that this proxy may keep using if the order is not applied; set when it is sent
+	// order is the order as submitted by the decision module.
+	order assign.Order
+	// encoded is the form of the order that is sent to the relay, before URL escaping.
+	encoded string
+	// escapedSize is the size of the order within a call in bytes, URL-escaped and including its separator.
+	escapedSize int
+	// ambiguousSequence is the sequence number whose acknowledgment proves that an ambiguous call has applied the
+	// order, or noSequence if there is none.
+	ambiguousSequence int
+	// submittedAt is the time at which the order was submitted to the queue.
+	submittedAt time.Time
+	// connectionGeneration is the value of proxyTracker.connectionGenerations for the attached proxy at the time of
+	// submission. It is set only if the order attaches a table.
+	connectionGeneration int
+	// previousTables are the tables that the attached proxy may keep using if the order is not applied. It is set when
+	// an order that attaches a table is sent.
+	previousTables []int
 }
 
-func newPendingOrder(order assign.Order, text string) *pendingOrder {
-	size := len(url.QueryEscape(text)) + len(orderSeparator)
-	return &pendingOrder{order: order, text: text, size: size, attemptedBy: noSequence, submittedAt: time.Now()}
+func newPendingOrder(order assign.Order, encoded string) *pendingOrder {
+	escapedSize := len(url.QueryEscape(encoded)) + len(orderSeparator)
+	return &pendingOrder{order: order, encoded: encoded, escapedSize: escapedSize, ambiguousSequence: noSequence, submittedAt: time.Now()}
 }
 
-// attachment returns the order as an AttachTable, if it is one.
+// attachment returns the order as an AttachTable. It returns false if the order has another type.
 func (p *pendingOrder) attachment() (assign.AttachTable, bool) {
-	attach, ok := p.order.(assign.AttachTable)
-	return attach, ok
+	attachment, ok := p.order.(assign.AttachTable)
+	return attachment, ok
 }
 
-// pendingQueue holds orders in the sequence in which they are to be sent. It keeps at most one order for each key, so its
-// size is bounded while the relay is unreachable, and the orders of that time are later sent as one message to each proxy
-// instead of one for each batch.
+// pendingQueue holds the pending orders in the sequence in which they are to be sent. It keeps at most one order for
+// each key. Its size therefore stays bounded while the relay is unreachable. When the relay is reachable again, the
+// accumulated orders are sent as one message to each proxy instead of one message for each batch.
 type pendingQueue struct {
-	orders    []*pendingOrder  // superseded and removed ones are nil
-	positions map[orderKey]int // index in orders
-	coalesced int              // orders that a later one superseded
+	orders          []*pendingOrder  // pending orders; the slots of superseded and removed orders are nil
+	indexByKey      map[orderKey]int // index of each pending order in the slice of orders
+	coalescedOrders int              // number of orders that were superseded by a later order
 }
 
-func newPendingQueue() pendingQueue { return pendingQueue{positions: map[orderKey]int{}} }
+func newPendingQueue() pendingQueue { return pendingQueue{indexByKey: map[orderKey]int{}} }
 
 // count returns the number of pending orders.
-func (q *pendingQueue) count() int { return len(q.positions) }
+func (q *pendingQueue) count() int { return len(q.indexByKey) }
 
-// reset empties the queue and returns its orders, some of which are nil.
-func (q *pendingQueue) reset() []*pendingOrder {
+// removeAll empties the queue and returns its orders. Slots of superseded and removed orders are nil in the returned
+// slice.
+func (q *pendingQueue) removeAll() []*pendingOrder {
 	orders := q.orders
 	q.orders = nil
-	q.positions = map[orderKey]int{}
+	q.indexByKey = map[orderKey]int{}
 	return orders
 }
 
-// addAll adds the orders that are not nil.
+// addAll adds a list of orders and skips nil elements.
 func (q *pendingQueue) addAll(orders []*pendingOrder) {
-	for _, p := range orders {
-		if p != nil {
-			q.add(p)
+	for _, pending := range orders {
+		if pending != nil {
+			q.add(pending)
 		}
 	}
 }
 
-// add appends an order and removes those that it supersedes.
+// add appends an order and removes the pending orders that it supersedes. An order that clears a table supersedes all
+// orders that set an entry or a rate limit of the table.
 func (q *pendingQueue) add(added *pendingOrder) {
-	if clearing, ok := added.order.(assign.ClearTable); ok {
-		q.removeIf(func(other *pendingOrder) bool { return setsPartOf(other.order, clearing.Table) })
+	if clearOrder, ok := added.order.(assign.ClearTable); ok {
+		q.removeIf(func(other *pendingOrder) bool { return setsValueInTable(other.order, clearOrder.Table) })
 	}
-	key := keyOf(added.order)
-	if i, ok := q.positions[key]; ok {
+	key := orderKeyOf(added.order)
+	if i, ok := q.indexByKey[key]; ok {
 		q.orders[i] = nil
-		q.coalesced++
+		q.coalescedOrders++
 	}
 	q.compact()
-	q.positions[key] = len(q.orders)
+	q.indexByKey[key] = len(q.orders)
 	q.orders = append(q.orders, added)
 }
 
-// setsPartOf reports whether an order sets an entry or a rate limit of a table.
-func setsPartOf(order assign.Order, table int) bool {
+// setsValueInTable reports whether an order sets an entry or a rate limit of a table.
+func setsValueInTable(order assign.Order, table int) bool {
 	switch o := order.(type) {
 	case assign.SetWeight:
 		return o.Table == table
@@ -143,25 +157,25 @@
 	return false
 }
 
-// compact frees the places of superseded orders once there are too many.
+// compact removes the nil slots once they exceed the limit described at maxSupersededSlots.
 func (q *pendingQueue) compact() {
-	if len(q.orders) <= 2*len(q.positions)+maxSuperseded {
+	if len(q.orders) <= 2*len(q.indexByKey)+maxSupersededSlots {
 		return
 	}
-	q.orders = slices.DeleteFunc(q.orders, func(p *pendingOrder) bool { return p == nil })
-	for i, p := range q.orders {
-		q.positions[keyOf(p.order)] = i
+	q.orders = slices.DeleteFunc(q.orders, func(pending *pendingOrder) bool { return pending == nil })
+	for i, pending := range q.orders {
+		q.indexByKey[orderKeyOf(pending.order)] = i
 	}
 }
 
-// removeIf removes the orders that match and reports whether there were any.
+// removeIf removes the orders for which match returns true, and reports whether it removed any.
 func (q *pendingQueue) removeIf(match func(*pendingOrder) bool) (removed bool) {
-	for i, p := range q.orders {
-		if p == nil || !match(p) {
+	for i, pending := range q.orders {
+		if pending == nil || !match(pending) {
 			continue
 		}
-		if key := keyOf(p.order); q.positions[key] == i {
-			delete(q.positions, key)
+		if key := orderKeyOf(pending.order); q.indexByKey[key] == i {
+			delete(q.indexByKey, key)
 		}
 		q.orders[i] = nil
 		removed = true
--- a/internal/orderqueue/pending_test.go
+++ b/internal/orderqueue/pending_test.go
@@ -7,8 +7,8 @@
 	"madderhollow/assign"
 )
 
-// pendingOf returns orders as pending ones.
-func pendingOf(orders ...assign.Order) []*pendingOrder {
+// newPendingOrders wraps each given order in a pendingOrder.
+func newPendingOrders(orders ...assign.Order) []*pendingOrder {
 	var pending []*pendingOrder
 	for _, order := range orders {
 		pending = append(pending, newPendingOrder(order, "text"))
@@ -62,11 +62,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			q := newPendingQueue()
-			q.addAll(pendingOf(test.orders...))
+			q.addAll(newPendingOrders(test.orders...))
 			var got []assign.Order
-			for _, p := range q.orders {
-				if p != nil {
-					got = append(got, p.order)
+			for _, pending := range q.orders {
+				if pending != nil {
+					got = append(got, pending.order)
 				}
 			}
 			if !reflect.DeepEqual(got, test.want) || q.count() != len(test.want) {
@@ -80,12 +80,12 @@
 	const orders, keys = 100_000, 10
 	q := newPendingQueue()
 	for i := range orders {
-		q.addAll(pendingOf(assign.SetWeight{Table: i % keys, Endpoint: "a", Weight: float64(i)}))
+		q.addAll(newPendingOrders(assign.SetWeight{Table: i % keys, Endpoint: "a", Weight: float64(i)}))
 	}
-	if q.count() != keys || q.coalesced != orders-keys {
-		t.Errorf("got %d orders, %d coalesced; want %d, %d", q.count(), q.coalesced, keys, orders-keys)
+	if q.count() != keys || q.coalescedOrders != orders-keys {
+		t.Errorf("got %d orders, %d coalesced; want %d, %d", q.count(), q.coalescedOrders, keys, orders-keys)
 	}
-	if maxLength := 2*keys + maxSuperseded + 1; len(q.orders) > maxLength {
+	if maxLength := 2*keys + maxSupersededSlots + 1; len(q.orders) > maxLength {
 		t.Errorf("got %d places, want at most %d", len(q.orders), maxLength)
 	}
 }
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -9,152 +9,166 @@
 	"madderhollow/assign"
 )
 
-// Encoder encodes orders for the relay. It must not block, and any goroutine may call it; wire.Codec implements it.
+// Encoder encodes orders for the relay. Its methods must not block and must be safe for concurrent use. wire.Codec
+// implements it.
 type Encoder interface {
-	// EncodeOrder returns an order's encoded form, or an error if the order has none.
+	// EncodeOrder returns the encoded form of an order, or an error if the order has no encoded form.
 	EncodeOrder(order assign.Order) (string, error)
 }
 
-// Queue holds orders that the relay has not accepted yet. Use New. Any goroutine may use it.
+// Queue holds the orders that the relay has not accepted yet. New creates a Queue. A Queue is safe for concurrent use,
+// except that only one goroutine may take and requeue calls.
 type Queue struct {
 	encoder Encoder
 	log     zerolog.Logger
-	wake    chan struct{} // holds an element if pending orders may have become available to Take
+	// wakeSignal has a capacity of 1. It holds an element if pending orders may have become available to Take.
+	wakeSignal chan struct{}
 
 	mu              sync.Mutex // guards the fields below
 	pending         pendingQueue
-	acknowledgments acknowledgmentLedger
-	ambiguity       ambiguityBackoff
+	acknowledgments acknowledgmentTracker
+	backoff         ambiguityBackoff
 	budget          messageBudget
 	proxies         proxyTracker
-	calls           int // returned by Take and TryTake; also the number of the last one
-	repeated        int // of these: requeued, or ambiguous
-	maxOrderWait    time.Duration
+	// takenCalls is the number of calls returned by Take and TryTake. It is also the number of the latest call.
+	takenCalls int
+	// repeatedCalls is the number of taken calls that were requeued, entirely or in part, or were ambiguous.
+	repeatedCalls int
+	// maxOrderWait is the longest time between the submission of an order and the taking of a call that contains it.
+	maxOrderWait time.Duration
 }
 
-// Stats are counters since the start and gauges, for operators.
+// Stats contains counters since the creation of the queue and gauges of its present state, for operators.
 type Stats struct {
-	Proxies      int           // gauge: connected proxies
-	Calls        int           // calls returned by Take and TryTake, repeated ones included
-	Repeated     int           // calls requeued, entirely or in part; ambiguous calls always count
-	Coalesced    int           // orders that a later one superseded
-	Waiting      int           // gauge: pending orders
-	MaxOrderWait time.Duration // longest time between an order's submission and a call with it
+	ConnectedProxies int           // number of proxies that are connected now
+	TakenCalls       int           // number of calls returned by Take and TryTake, including repeated calls
+	RepeatedCalls    int           // number of calls that were requeued, entirely or in part, or were ambiguous
+	CoalescedOrders  int           // number of orders that were superseded by a later order
+	PendingOrders    int           // number of orders that are pending now
+	MaxOrderWait     time.Duration // longest time between the submission of an order and the taking of a call with it
 }
 
-// Config describes a Queue.
+// Config contains the parameters of New.
 type Config struct {
-	Channel assign.ChannelConfig // its times are in seconds; a message limit of 0 means no limit
-	Encoder Encoder              // required
-	Log     zerolog.Logger       // New adds the component; default: no log
+	// Channel contains the message limit and the mean transit time of messages. All times are in seconds. A
+	// MessageLimit of 0 means that there is no limit.
+	Channel assign.ChannelConfig
+	// Encoder encodes the submitted orders. It is required.
+	Encoder Encoder
+	// Log is the logger to which New adds the component name. The zero value logs nothing.
+	Log zerolog.Logger
 }
 
 // New returns an empty queue.
 func New(config Config) *Queue {
 	channel := config.Channel
 	return &Queue{
-		encoder:   config.Encoder,
-		log:       config.Log.With().Str("component", "order_queue").Logger(),
-		wake:      make(chan struct{}, 1),
-		pending:   newPendingQueue(),
-		ambiguity: newAmbiguityBackoff(seconds(channel.MeanTransit)),
-		budget:    messageBudget{limit: int(channel.MessageLimit), window: seconds(channel.MessageWindow) + windowMargin},
-		proxies:   newProxyTracker(),
+		encoder:    config.Encoder,
+		log:        config.Log.With().Str("component", "order_queue").Logger(),
+		wakeSignal: make(chan struct{}, 1),
+		pending:    newPendingQueue(),
+		backoff:    newAmbiguityBackoff(secondsToDuration(channel.MeanTransit)),
+		budget:     messageBudget{limit: int(channel.MessageLimit), window: secondsToDuration(channel.MessageWindow) + messageWindowMargin},
+		proxies:    newProxyTracker(),
 	}
 }
 
-// seconds converts a time in seconds.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// secondsToDuration converts a number of seconds to a time.Duration.
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
-// Stats returns the current counters.
+// Stats returns the current values of the counters and gauges.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return Stats{Proxies: len(q.proxies.connected), Calls: q.calls, Repeated: q.repeated, Coalesced: q.pending.coalesced,
-		Waiting: q.pending.count(), MaxOrderWait: q.maxOrderWait}
+	return Stats{ConnectedProxies: len(q.proxies.connectedProxies), TakenCalls: q.takenCalls, RepeatedCalls: q.repeatedCalls, CoalescedOrders: q.pending.coalescedOrders,
+		PendingOrders: q.pending.count(), MaxOrderWait: q.maxOrderWait}
 }
 
-// Observe records events before the decision module receives them, and returns the events for the module: with the
-// acknowledgments of merged batches, and with a reconnected proxy as not fresh if an attachment may have reached it. Pending
-// attachments of proxies that connected or disconnected are dropped. It does not block.
-func (q *Queue) Observe(events []assign.Event) []assign.Event {
+// PreprocessEvents updates the state of the queue from a batch of events, and returns the events that the decision
+// module has to handle. It inserts the acknowledgments of merged batches. It marks a reconnected proxy as not fresh if
+// an attachment may have reached the new connection. It drops the pending attachments of proxies that have connected or
+// disconnected. It does not block.
+func (q *Queue) PreprocessEvents(events []assign.Event) []assign.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	observed := make([]assign.Event, 0, len(events))
-	acknowledged := map[int]bool{} // by sequence number
-	changed := map[int]bool{}      // by proxy: connected or disconnected
+	processed := make([]assign.Event, 0, len(events))
+	acknowledgedSequences := map[int]bool{} // set of sequence numbers
+	changedProxies := map[int]bool{}        // set of the numbers of proxies that have connected or disconnected
 	for _, event := range events {
 		switch event := event.(type) {
 		case assign.Acknowledged:
-			acknowledged[event.Sequence] = true
-			observed = append(observed, q.acknowledgments.receive(event)...)
+			acknowledgedSequences[event.Sequence] = true
+			processed = append(processed, q.acknowledgments.recordAcknowledgment(event)...)
 		case assign.ProxyConnected:
-			changed[event.Proxy] = true
-			observed = append(observed, q.proxies.connect(event))
+			changedProxies[event.Proxy] = true
+			processed = append(processed, q.proxies.recordConnect(event))
 		case assign.ProxyDisconnected:
-			changed[event.Proxy] = true
-			q.proxies.disconnect(event.Proxy)
-			observed = append(observed, event)
+			changedProxies[event.Proxy] = true
+			q.proxies.recordDisconnect(event.Proxy)
+			processed = append(processed, event)
 		default:
-			observed = append(observed, event)
+			processed = append(processed, event)
 		}
 	}
-	if len(changed) > 0 {
-		q.dropAttachments(changed)
+	if len(changedProxies) > 0 {
+		q.dropPendingAttachments(changedProxies)
 	}
-	if len(acknowledged) > 0 {
-		q.dropApplied(acknowledged)
+	if len(acknowledgedSequences) > 0 {
+		q.dropAcknowledged(acknowledgedSequences)
 	}
-	return observed
+	return processed
 }
 
-// dropAttachments drops the pending attachments of some proxies.
-func (q *Queue) dropAttachments(proxies map[int]bool) {
-	q.pending.removeIf(func(p *pendingOrder) bool {
-		attach, ok := p.attachment()
-		return ok && proxies[attach.Proxy]
+// dropPendingAttachments drops the pending attachments of the given proxies.
+func (q *Queue) dropPendingAttachments(proxies map[int]bool) {
+	q.pending.removeIf(func(pending *pendingOrder) bool {
+		attachment, ok := pending.attachment()
+		return ok && proxies[attachment.Proxy]
 	})
 }
 
-// dropApplied drops the pending orders of an ambiguous call that has been acknowledged, and ends the delay after it.
-func (q *Queue) dropApplied(acknowledged map[int]bool) {
-	applied := func(p *pendingOrder) bool {
-		return acknowledged[p.attemptedBy] && q.acknowledgments.proves(p.attemptedBy)
+// dropAcknowledged drops the pending orders of an ambiguous call if one of the given acknowledgments proves that the
+// call was applied. If it drops any order, it also ends the delay after the ambiguous call.
+func (q *Queue) dropAcknowledged(acknowledgedSequences map[int]bool) {
+	applied := func(pending *pendingOrder) bool {
+		return acknowledgedSequences[pending.ambiguousSequence] && q.acknowledgments.provesApplied(pending.ambiguousSequence)
 	}
 	if q.pending.removeIf(applied) {
-		q.ambiguity.stop(time.Now())
-		q.notify()
+		q.backoff.stop(time.Now())
+		q.wakeTake()
 	}
 }
 
-// Submit adds the orders of one batch, in the sequence in which they are to be applied. An order that cannot be encoded is
-// logged and dropped. It does not block.
+// Submit adds the orders of one batch to the queue, in the sequence in which they are to be applied. It logs and drops
+// an order that cannot be encoded. It does not block.
 func (q *Queue) Submit(orders []assign.Order) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, order := range orders {
 		if request, ok := order.(assign.AcknowledgmentRequest); ok {
-			q.acknowledgments.request(request)
+			q.acknowledgments.recordRequest(request)
 			continue
 		}
-		text, err := q.encoder.EncodeOrder(order)
+		encoded, err := q.encoder.EncodeOrder(order)
 		if err != nil {
 			q.log.Error().Err(err).Msg("order dropped; encoding failed")
 			continue
 		}
-		p := newPendingOrder(order, text)
-		if attach, ok := p.attachment(); ok {
-			p.generation = q.proxies.generation[attach.Proxy]
+		pending := newPendingOrder(order, encoded)
+		if attachment, ok := pending.attachment(); ok {
+			pending.connectionGeneration = q.proxies.connectionGenerations[attachment.Proxy]
 		}
-		q.pending.add(p)
+		q.pending.add(pending)
 	}
-	q.notify()
+	q.wakeTake()
 }
 
-// notify wakes the caller that is blocked in Take.
-func (q *Queue) notify() {
+// wakeTake wakes the goroutine that is blocked in Take. If no goroutine is blocked, the next wait in Take ends at once.
+func (q *Queue) wakeTake() {
 	select {
-	case q.wake <- struct{}{}:
-	default: // already notified
+	case q.wakeSignal <- struct{}{}:
+	default: // the channel holds a signal already
 	}
 }
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -12,57 +12,59 @@
 	"madderhollow/internal/wire"
 )
 
-// The acknowledgment can arrive before the order client finds out that the answer was lost.
-func TestAmbiguousCallAcknowledgedBeforeIsNotRepeated(t *testing.T) {
+// The acknowledgment of a call can arrive before the order client detects that the answer of the relay was lost. The
+// call was applied and must not be repeated.
+func TestAmbiguousCallAcknowledgedBeforeRequeueIsNotRepeated(t *testing.T) {
 	queue := newTestQueue(0)
-	queue.connect(3)
+	queue.connectProxies(3)
 	queue.Submit([]assign.Order{
 		assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1},
 		assign.AttachTable{Proxy: 3, Table: 1},
 		assign.AcknowledgmentRequest{Sequence: 7},
 	})
-	call := mustTake(t, queue)
-	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 7}})
+	call := mustTakeCall(t, queue)
+	queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 7}})
 	queue.RequeueAmbiguous(call)
 	queue.Submit([]assign.Order{assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8}})
-	expectCall(t, queue, mustTake(t, queue), assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8})
+	expectCall(t, queue, mustTakeCall(t, queue), assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8})
 }
 
-// newQueueWithSplitBatch returns a queue of two proxies and the first call of batch 2, whose entry of table 1 stays pending,
-// because proxy 1 has exhausted its message budget.
-func newQueueWithSplitBatch(t *testing.T) (queue *Queue, first Call) {
+// newQueueWithSplitBatch returns a queue with two connected proxies and the first call of a split batch. The batch has
+// sequence number 2. Its order for table 1 stays pending, because the message budget of proxy 1 is exhausted.
+func newQueueWithSplitBatch(t *testing.T) (queue *Queue, firstCall Call) {
 	t.Helper()
 	queue = newTestQueue(1)
-	queue.connect(1, 2)
+	queue.connectProxies(1, 2)
 	queue.Submit([]assign.Order{assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	mustTake(t, queue)
+	mustTakeCall(t, queue)
 	queue.Submit([]assign.Order{
 		assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1},
 		assign.AttachTable{Proxy: 2, Table: 2},
 		assign.AcknowledgmentRequest{Sequence: 2},
 	})
-	return queue, mustTake(t, queue)
+	return queue, mustTakeCall(t, queue)
 }
 
 func TestAcknowledgmentOfSplitBatchDoesNotProveCallApplied(t *testing.T) {
 	queue, call := newQueueWithSplitBatch(t)
 	want := []assign.Order{assign.AttachTable{Proxy: 2, Table: 2}, assign.AcknowledgmentRequest{Sequence: 2}}
 	expectCall(t, queue, call, want...)
-	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
+	queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 2, Sequence: 2}})
 	queue.RequeueAmbiguous(call)
-	queue.expireAmbiguity()
-	queue.proxies.connected[2].messages = 0
-	expectCall(t, queue, mustTake(t, queue), want...)
+	queue.endBackoff()
+	queue.proxies.connectedProxies[2].messagesInWindow = 0
+	expectCall(t, queue, mustTakeCall(t, queue), want...)
 }
 
-// randomStep changes a queue in one of the ways that occur, and returns the call in flight afterwards, if any.
-func randomStep(queue *Queue, random *rand.Rand, sequence int, inFlight []Call) []Call {
+// applyRandomOperation performs one random operation on a queue: a connect, a disconnect, a submission, or the taking
+// or requeueing of a call. It returns a list that contains the call in flight afterwards, if any.
+func applyRandomOperation(queue *Queue, random *rand.Rand, sequence int, inFlight []Call) []Call {
 	proxy := random.Intn(4)
 	switch random.Intn(6) {
 	case 0:
-		queue.connect(proxy)
+		queue.connectProxies(proxy)
 	case 1:
-		queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: proxy}})
+		queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: proxy}})
 	case 2, 3:
 		queue.Submit([]assign.Order{
 			assign.AttachTable{Proxy: proxy, Table: proxy},
@@ -82,29 +84,30 @@
 		} else {
 			queue.Requeue(inFlight[0])
 		}
-		queue.expireAmbiguity()
+		queue.endBackoff()
 		return nil
 	}
 	return inFlight
 }
 
-// A proxy's message count is the number of calls within the window that reach it, and never above the limit.
+// The message count of a proxy must equal the number of calls within the window that reach the proxy, and must never
+// exceed the limit.
 func TestMessageCountsMatchCallsWithinWindow(t *testing.T) {
 	const limit = 6
 	property := func(seed int64) bool {
 		random, q := rand.New(rand.NewSource(seed)), newTestQueue(limit)
 		var inFlight []Call
 		for i := range 60 {
-			inFlight = randomStep(q, random, i, inFlight)
-			want := map[*recipient]int{}
-			for _, call := range q.budget.recent {
-				for _, r := range call.recipients {
-					want[r]++
+			inFlight = applyRandomOperation(q, random, i, inFlight)
+			want := map[*connectedProxy]int{}
+			for _, call := range q.budget.recentCalls {
+				for _, proxy := range call.recipients {
+					want[proxy]++
 				}
 			}
-			for id, r := range q.proxies.connected {
-				if r.messages != want[r] || r.messages > limit {
-					t.Logf("seed %d, proxy %d: got %d messages; want %d, at most %d", seed, id, r.messages, want[r], limit)
+			for proxyNumber, proxy := range q.proxies.connectedProxies {
+				if proxy.messagesInWindow != want[proxy] || proxy.messagesInWindow > limit {
+					t.Logf("seed %d, proxy %d: got %d messages; want %d, at most %d", seed, proxyNumber, proxy.messagesInWindow, want[proxy], limit)
 					return false
 				}
 			}
@@ -114,44 +117,44 @@
 	quickcheck.Seeds(t, 300, property)
 }
 
-// An attachment that was not applied, or may not have been, leaves its proxy on the previous table: orders for that table
-// still count as messages to the proxy.
-func TestUnappliedAttachmentKeepsUserOfPreviousTable(t *testing.T) {
+// If an attachment was not applied or may not have been applied, the proxy may still use its previous table. Orders for
+// the previous table must still count as messages to the proxy.
+func TestUnappliedAttachmentKeepsProxyOnPreviousTable(t *testing.T) {
 	for name, requeue := range map[string]func(*Queue, Call){
 		"ambiguous":         (*Queue).RequeueAmbiguous,
 		"not sent":          (*Queue).Requeue,
 		"rejected, dropped": func(q *Queue, call Call) { q.RequeueAfterRejected(call, 0) },
 		"rejected, repeated": func(q *Queue, call Call) {
-			call.orders = append([]*pendingOrder{{order: assign.ClearTable{Table: 9}}}, call.orders...)
+			call.pendingOrders = append([]*pendingOrder{{order: assign.ClearTable{Table: 9}}}, call.pendingOrders...)
 			q.RequeueFromRejected(call, 1)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			queue := newTestQueue(2)
-			queue.connect(1)
+			queue.connectProxies(1)
 			submitAndTake := func(order assign.Order) Call {
 				queue.Submit([]assign.Order{order})
 				call, _, _ := queue.take()
 				return call
 			}
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 1})
-			proxy := queue.proxies.connected[1]
-			proxy.messages = 0
+			proxy := queue.proxies.connectedProxies[1]
+			proxy.messagesInWindow = 0
 			requeue(queue, submitAndTake(assign.AttachTable{Proxy: 1, Table: 2}))
-			queue.expireAmbiguity()
-			proxy.messages = 0
-			queue.dropPending()
+			queue.endBackoff()
+			proxy.messagesInWindow = 0
+			queue.dropPendingOrders()
 			for i := range 4 {
-				table := 1 + i%2 // the proxy may use either
+				table := 1 + i%2 // the proxy may use table 1 or table 2
 				call := submitAndTake(assign.SetWeight{Table: table, Endpoint: "t", Weight: float64(i + 1)})
 				if got, want := len(call.Orders) > 0, i < 2; got != want {
 					t.Errorf("order %d, for table %d, with a limit of two messages: got sent %t, want %t", i, table, got, want)
 				}
-				queue.dropPending()
+				queue.dropPendingOrders()
 			}
-			proxy.messages = 0
+			proxy.messagesInWindow = 0
 			submitAndTake(assign.AttachTable{Proxy: 1, Table: 2})
-			proxy.messages = 2
+			proxy.messagesInWindow = 2
 			if call := submitAndTake(assign.SetWeight{Table: 1, Endpoint: "t", Weight: 9}); len(call.Orders) == 0 {
 				t.Error("order for table 1, which no proxy uses any more: got sent false, want true")
 			}
@@ -159,7 +162,8 @@
 	}
 }
 
-// The module orders another attachment for the proxy's new connection.
+// An attachment for a connection that has ended must not be sent to the next connection of the proxy. The decision
+// module orders another attachment for the new connection.
 func TestAttachmentForEndedConnectionIsDropped(t *testing.T) {
 	queue := newTestQueue(0)
 	weight := assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}
@@ -175,26 +179,27 @@
 	}
 	// The connection ends while the attachment is pending.
 	queue.Submit(batch)
-	queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}})
+	queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: 3}})
 	expectCall(t, queue, take(), weight, request)
 	// The connection ends while the attachment is in flight.
 	queue.Submit(batch)
 	call := take()
-	observed := queue.Observe([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, Fresh: true}})
-	if connected, ok := observed[1].(assign.ProxyConnected); !ok || connected.Fresh {
-		t.Errorf("got %+v, want a connected proxy that is not fresh: it may have received the attachment", observed[1])
+	processed := queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, Fresh: true}})
+	if connected, ok := processed[1].(assign.ProxyConnected); !ok || connected.Fresh {
+		t.Errorf("got %+v, want a connected proxy that is not fresh: it may have received the attachment", processed[1])
 	}
 	queue.RequeueAmbiguous(call)
 	call = take()
 	expectCall(t, queue, call, weight, request)
-	// The ambiguous call is acknowledged.
+	// The repeated call becomes ambiguous, too, and is then acknowledged.
 	queue.RequeueAmbiguous(call)
-	queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1}})
+	queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 3, Sequence: 1}})
 	queue.Submit([]assign.Order{assign.ClearTable{Table: 2}})
 	expectCall(t, queue, take(), assign.ClearTable{Table: 2}, request)
 }
 
-// An acknowledgment of the first part of a split batch proves nothing about the second.
+// A batch that exceeds the maximum call size is split into several calls, all of which request the same sequence
+// number. An acknowledgment of one of these calls must not count as an acknowledgment of another.
 func TestBatchAboveMaxCallSizeIsSplit(t *testing.T) {
 	queue := newTestQueue(0)
 	var orders []assign.Order
@@ -203,7 +208,7 @@
 	}
 	request := assign.AcknowledgmentRequest{Sequence: 7}
 	queue.Submit(append(orders, request))
-	requestText, err := queue.encoder.EncodeOrder(request)
+	encodedRequest, err := queue.encoder.EncodeOrder(request)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -214,12 +219,12 @@
 			t.Fatal(err)
 		}
 		size, last := len(wire.EncodeCall(call.Orders)), call.Orders[len(call.Orders)-1]
-		if size > 60100 || last != requestText {
-			t.Fatalf("got %d bytes, last order %s; want at most 60100, last order %s", size, last, requestText)
+		if size > 60100 || last != encodedRequest {
+			t.Fatalf("got %d bytes, last order %s; want at most 60100, last order %s", size, last, encodedRequest)
 		}
 		if part == 1 {
 			queue.RequeueAmbiguous(call)
-			queue.Observe([]assign.Event{assign.Acknowledged{Proxy: 1, Sequence: 7}})
+			queue.PreprocessEvents([]assign.Event{assign.Acknowledged{Proxy: 1, Sequence: 7}})
 			if call, err = queue.Take(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -235,36 +240,37 @@
 }
 
 func TestLongestAcknowledgmentRequestFitsReservedSize(t *testing.T) {
-	text, err := newTestQueue(0).encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: 65535, AllProxies: true})
+	encoded, err := newTestQueue(0).encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: 65535, AllProxies: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := len(url.QueryEscape(text)); got != acknowledgmentRequestSize {
+	if got := len(url.QueryEscape(encoded)); got != acknowledgmentRequestSize {
 		t.Errorf("got %d bytes, want %d", got, acknowledgmentRequestSize)
 	}
 }
 
-// When the relay is reachable again, pending orders must be sent at once.
+// Calls that were not sent must not use up the message budget. Otherwise pending orders would be delayed when the relay
+// becomes reachable again.
 func TestUnsentCallsDoNotUseMessageBudget(t *testing.T) {
 	const limit = 4
 	q := newTestQueue(limit)
-	q.connect(3)
+	q.connectProxies(3)
 	q.Submit([]assign.Order{assign.AttachTable{Proxy: 3, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
 	for range 2 * limit {
-		q.Requeue(mustTake(t, q))
+		q.Requeue(mustTakeCall(t, q))
 	}
 }
 
-// Stats count a call that is repeated and an order that is superseded while it is pending.
-func TestStatsCountRepeatedAndCoalesced(t *testing.T) {
+// Stats must count a call that is repeated and an order that is superseded while it is pending.
+func TestStatsCountRepeatedCallsAndCoalescedOrders(t *testing.T) {
 	q := newTestQueue(0)
-	q.connect(1)
+	q.connectProxies(1)
 	q.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-	q.Requeue(mustTake(t, q))
+	q.Requeue(mustTakeCall(t, q))
 	q.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a"}, assign.EjectEndpoint{Endpoint: "b"}})
 	got := q.Stats()
-	got.MaxOrderWait = 0 // it depends on the clock
-	if want := (Stats{Proxies: 1, Calls: 1, Repeated: 1, Coalesced: 1, Waiting: 2}); !reflect.DeepEqual(got, want) {
+	got.MaxOrderWait = 0 // the measured wait depends on the clock
+	if want := (Stats{ConnectedProxies: 1, TakenCalls: 1, RepeatedCalls: 1, CoalescedOrders: 1, PendingOrders: 2}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/orderqueue/recipients.go
+++ b/internal/orderqueue/recipients.go
@@ -8,84 +8,97 @@
 	"madderhollow/assign"
 )
 
-// attachmentTransit is the time after an attachment was sent during which it may reach the proxy's next connection, because
-// the event of the old connection's end was still in transit. Either direction takes milliseconds.
-const attachmentTransit = time.Second
-
-// recipient is the state of a connected proxy: the tables that it may use and the messages that it may have received.
-type recipient struct {
-	tables   map[string][]int // by classesKey; several where it is uncertain which one the proxy uses
-	messages int              // calls within the budget's window that reach it
-	lastCall int              // number of the last of them
+// maxAttachmentTransit is the longest time after the sending of an attachment during which the attachment may reach a
+// newer connection of its proxy than intended. This happens if the intended connection has ended but its disconnect
+// event is still in transit. The transit in either direction takes milliseconds.
+const maxAttachmentTransit = time.Second
+
+// connectedProxy is the state of a connected proxy: the tables that it may use and the messages that it may have
+// received.
+type connectedProxy struct {
+	// tablesByClasses maps a requestClassesKey to the tables that the proxy may use for these request classes. There
+	// are several tables if it is uncertain which of them the proxy uses.
+	tablesByClasses map[string][]int
+	// messagesInWindow is the number of messages that count against the message budget of the proxy: the calls that
+	// were sent within the window and reach the proxy.
+	messagesInWindow int
+	// lastCallNumber is the number of the latest call that was counted as a message to the proxy.
+	lastCallNumber int
 }
 
-// proxyTracker records which proxies are connected and which tables they use. It also indexes the users of each table, since
-// a search through hundreds of proxies for each order would be too slow.
+// proxyTracker records which proxies are connected and which tables they may use. All maps except proxiesByTable are
+// keyed by proxy number.
 type proxyTracker struct {
-	connected    map[int]*recipient              // by proxy
-	usersByTable map[int]map[*recipient]struct{} // connected proxies that may use a table; tables without any are absent
-	// attachedAt is when an attachment was last sent that may have reached the current connection, by proxy.
-	attachedAt map[int]time.Time
-	// generation is the number of connects and disconnects observed, by proxy.
-	generation map[int]int
+	// connectedProxies holds the state of each connected proxy.
+	connectedProxies map[int]*connectedProxy
+	// proxiesByTable holds, for each table number, the connected proxies that may use the table. A table that no proxy
+	// uses has no element. The index exists because a search through hundreds of proxies for each order would be too
+	// slow.
+	proxiesByTable map[int]map[*connectedProxy]struct{}
+	// lastAttachmentAt holds the time at which the latest attachment was sent that may have reached the current
+	// connection of the proxy.
+	lastAttachmentAt map[int]time.Time
+	// connectionGenerations holds the number of connects and disconnects of the proxy that were observed.
+	connectionGenerations map[int]int
 }
 
 func newProxyTracker() proxyTracker {
 	return proxyTracker{
-		connected:    map[int]*recipient{},
-		usersByTable: map[int]map[*recipient]struct{}{},
-		attachedAt:   map[int]time.Time{},
-		generation:   map[int]int{},
+		connectedProxies:      map[int]*connectedProxy{},
+		proxiesByTable:        map[int]map[*connectedProxy]struct{}{},
+		lastAttachmentAt:      map[int]time.Time{},
+		connectionGenerations: map[int]int{},
 	}
 }
 
-// connect records a proxy's new connection and returns the event for the decision module. The proxy does not count as fresh
-// if an attachment may have reached the connection.
-func (t *proxyTracker) connect(event assign.ProxyConnected) assign.ProxyConnected {
-	t.generation[event.Proxy]++
-	if t.connected[event.Proxy] == nil {
-		t.connected[event.Proxy] = &recipient{tables: map[string][]int{}}
+// recordConnect records a new connection of a proxy and returns the event for the decision module. The returned event
+// marks the proxy as not fresh if an attachment may have reached the new connection.
+func (t *proxyTracker) recordConnect(event assign.ProxyConnected) assign.ProxyConnected {
+	t.connectionGenerations[event.Proxy]++
+	if t.connectedProxies[event.Proxy] == nil {
+		t.connectedProxies[event.Proxy] = &connectedProxy{tablesByClasses: map[string][]int{}}
 	}
-	if _, attached := t.attachedAt[event.Proxy]; attached {
+	if _, attached := t.lastAttachmentAt[event.Proxy]; attached {
 		event.Fresh = false
 	}
 	return event
 }
 
-// disconnect records the end of a proxy's connection.
-func (t *proxyTracker) disconnect(proxy int) {
-	t.generation[proxy]++
-	if r := t.connected[proxy]; r != nil {
-		for _, classes := range slices.Collect(maps.Keys(r.tables)) {
-			t.setTables(r, classes)
+// recordDisconnect records the end of a connection of a proxy.
+func (t *proxyTracker) recordDisconnect(proxyNumber int) {
+	t.connectionGenerations[proxyNumber]++
+	if proxy := t.connectedProxies[proxyNumber]; proxy != nil {
+		for _, classesKey := range slices.Collect(maps.Keys(proxy.tablesByClasses)) {
+			t.setTables(proxy, classesKey)
 		}
 	}
-	delete(t.connected, proxy)
-	if time.Since(t.attachedAt[proxy]) > attachmentTransit {
-		delete(t.attachedAt, proxy)
+	delete(t.connectedProxies, proxyNumber)
+	if time.Since(t.lastAttachmentAt[proxyNumber]) > maxAttachmentTransit {
+		delete(t.lastAttachmentAt, proxyNumber)
 	}
 }
 
-// setTables sets the tables that a proxy may use for some request classes.
-func (t *proxyTracker) setTables(user *recipient, classes string, tables ...int) {
-	before := user.tables[classes]
-	user.tables[classes] = tables
+// setTables replaces the tables that a proxy may use for a set of request classes, which is given by its
+// requestClassesKey.
+func (t *proxyTracker) setTables(proxy *connectedProxy, classesKey string, tables ...int) {
+	previous := proxy.tablesByClasses[classesKey]
+	proxy.tablesByClasses[classesKey] = tables
 	if len(tables) == 0 {
-		delete(user.tables, classes)
+		delete(proxy.tablesByClasses, classesKey)
 	}
-	for _, table := range before {
-		if !user.uses(table) {
-			t.removeUser(table, user)
+	for _, table := range previous {
+		if !proxy.mayUseTable(table) {
+			t.removeProxyFromTable(table, proxy)
 		}
 	}
 	for _, table := range tables {
-		t.addUser(table, user)
+		t.addProxyToTable(table, proxy)
 	}
 }
 
-// uses reports whether the proxy may use a table for any request class.
-func (r *recipient) uses(table int) bool {
-	for _, tables := range r.tables {
+// mayUseTable reports whether the proxy may use a table for any request class.
+func (p *connectedProxy) mayUseTable(table int) bool {
+	for _, tables := range p.tablesByClasses {
 		if slices.Contains(tables, table) {
 			return true
 		}
@@ -93,85 +106,88 @@
 	return false
 }
 
-// addUser adds a proxy to a table's users.
-func (t *proxyTracker) addUser(table int, r *recipient) {
-	if t.usersByTable[table] == nil {
-		t.usersByTable[table] = map[*recipient]struct{}{}
+// addProxyToTable adds a proxy to the index entry of a table.
+func (t *proxyTracker) addProxyToTable(table int, proxy *connectedProxy) {
+	if t.proxiesByTable[table] == nil {
+		t.proxiesByTable[table] = map[*connectedProxy]struct{}{}
 	}
-	t.usersByTable[table][r] = struct{}{}
+	t.proxiesByTable[table][proxy] = struct{}{}
 }
 
-// removeUser removes a proxy from a table's users.
-func (t *proxyTracker) removeUser(table int, r *recipient) {
-	delete(t.usersByTable[table], r)
-	if len(t.usersByTable[table]) == 0 {
-		delete(t.usersByTable, table)
+// removeProxyFromTable removes a proxy from the index entry of a table.
+func (t *proxyTracker) removeProxyFromTable(table int, proxy *connectedProxy) {
+	delete(t.proxiesByTable[table], proxy)
+	if len(t.proxiesByTable[table]) == 0 {
+		delete(t.proxiesByTable, table)
 	}
 }
 
-// attach records that an order is sent, if it is an attachment.
-func (t *proxyTracker) attach(p *pendingOrder, now time.Time) {
-	attach, ok := p.attachment()
+// recordSentAttachment records the new table of the attached proxy if the sent order is an attachment. It ignores other
+// orders.
+func (t *proxyTracker) recordSentAttachment(pending *pendingOrder, now time.Time) {
+	attachment, ok := pending.attachment()
 	if !ok {
 		return
 	}
-	t.attachedAt[attach.Proxy] = now
-	if r := t.connected[attach.Proxy]; r != nil {
-		classes := classesKey(attach.RequestClasses)
-		p.previousTables = r.tables[classes]
-		t.setTables(r, classes, attach.Table)
+	t.lastAttachmentAt[attachment.Proxy] = now
+	if proxy := t.connectedProxies[attachment.Proxy]; proxy != nil {
+		classesKey := requestClassesKey(attachment.RequestClasses)
+		pending.previousTables = proxy.tablesByClasses[classesKey]
+		t.setTables(proxy, classesKey, attachment.Table)
 	}
 }
 
-// markUncertain records that an attachment may not have been applied: until the next one, the proxy may use its new table
-// or the previous ones.
-func (t *proxyTracker) markUncertain(p *pendingOrder) {
-	attach, ok := p.attachment()
-	r := t.connected[attach.Proxy]
-	if !ok || r == nil || t.outdated(p) {
+// markAttachmentUncertain records that an attachment may not have been applied. Until the next attachment is sent, the
+// proxy may use either the new table or the previous tables. It ignores other orders and outdated attachments.
+func (t *proxyTracker) markAttachmentUncertain(pending *pendingOrder) {
+	attachment, ok := pending.attachment()
+	proxy := t.connectedProxies[attachment.Proxy]
+	if !ok || proxy == nil || t.isOutdatedAttachment(pending) {
 		return
 	}
-	classes := classesKey(attach.RequestClasses)
-	tables := slices.Concat(r.tables[classes], p.previousTables)
+	classesKey := requestClassesKey(attachment.RequestClasses)
+	tables := slices.Concat(proxy.tablesByClasses[classesKey], pending.previousTables)
 	slices.Sort(tables)
-	t.setTables(r, classes, slices.Compact(tables)...)
+	t.setTables(proxy, classesKey, slices.Compact(tables)...)
 }
 
-// outdated reports whether an order attaches a table to a connection that has ended since the order was submitted.
-func (t *proxyTracker) outdated(p *pendingOrder) bool {
-	attach, ok := p.attachment()
-	return ok && p.generation != t.generation[attach.Proxy]
+// isOutdatedAttachment reports whether an order is an attachment for a connection that has ended since the order was
+// submitted.
+func (t *proxyTracker) isOutdatedAttachment(pending *pendingOrder) bool {
+	attachment, ok := pending.attachment()
+	return ok && pending.connectionGeneration != t.connectionGenerations[attachment.Proxy]
 }
 
 // forEachRecipient calls visit for each connected proxy that an order reaches.
-func (t *proxyTracker) forEachRecipient(order assign.Order, visit func(*recipient)) {
+func (t *proxyTracker) forEachRecipient(order assign.Order, visit func(*connectedProxy)) {
 	switch o := order.(type) {
 	case assign.AttachTable:
-		if r := t.connected[o.Proxy]; r != nil {
-			visit(r)
+		if proxy := t.connectedProxies[o.Proxy]; proxy != nil {
+			visit(proxy)
 		}
 	case assign.SetWeight:
-		t.forEachUser(o.Table, visit)
+		t.forEachProxyOfTable(o.Table, visit)
 	case assign.ClearTable:
-		t.forEachUser(o.Table, visit)
+		t.forEachProxyOfTable(o.Table, visit)
 	case assign.SetRateLimit:
-		t.forEachUser(o.Table, visit)
+		t.forEachProxyOfTable(o.Table, visit)
 	default:
-		t.forEachUser(assign.AllProxies, visit)
+		t.forEachProxyOfTable(assign.AllProxies, visit)
 	}
 }
 
-// forEachUser calls visit for each proxy that may use a table, or any table if that is assign.AllProxies.
-func (t *proxyTracker) forEachUser(table int, visit func(*recipient)) {
+// forEachProxyOfTable calls visit for each connected proxy that may use a table. If the table is assign.AllProxies, it
+// calls visit for each connected proxy that may use any table.
+func (t *proxyTracker) forEachProxyOfTable(table int, visit func(*connectedProxy)) {
 	if table != assign.AllProxies {
-		for r := range t.usersByTable[table] {
-			visit(r)
+		for proxy := range t.proxiesByTable[table] {
+			visit(proxy)
 		}
 		return
 	}
-	for _, r := range t.connected {
-		if len(r.tables) > 0 {
-			visit(r)
+	for _, proxy := range t.connectedProxies {
+		if len(proxy.tablesByClasses) > 0 {
+			visit(proxy)
 		}
 	}
 }
--- a/internal/orderqueue/recipients_test.go
+++ b/internal/orderqueue/recipients_test.go
@@ -6,17 +6,17 @@
 	"madderhollow/assign"
 )
 
-func TestProxyTrackerFindsUsersOfTable(t *testing.T) {
+func TestProxyTrackerFindsProxiesOfTable(t *testing.T) {
 	proxies := newProxyTracker()
-	proxies.connect(assign.ProxyConnected{Proxy: 1})
-	proxy := proxies.connected[1]
+	proxies.recordConnect(assign.ProxyConnected{Proxy: 1})
+	proxy := proxies.connectedProxies[1]
 	proxies.setTables(proxy, "0,", 3)
 	proxies.setTables(proxy, "1,", 3, 4)
 	proxies.setTables(proxy, "1,", 4)
 	expectUsers := func(table, want int) {
 		t.Helper()
 		got := 0
-		proxies.forEachRecipient(assign.ClearTable{Table: table}, func(*recipient) { got++ })
+		proxies.forEachRecipient(assign.ClearTable{Table: table}, func(*connectedProxy) { got++ })
 		if got != want {
 			t.Errorf("got %d users of table %d, want %d", got, table, want)
 		}
@@ -25,10 +25,10 @@
 	expectUsers(4, 1)
 	expectUsers(5, 0)
 	expectUsers(assign.AllProxies, 1)
-	proxies.disconnect(1)
+	proxies.recordDisconnect(1)
 	expectUsers(3, 0)
 	expectUsers(4, 0)
-	if len(proxies.usersByTable) != 0 {
-		t.Errorf("after disconnect: got users %v, want none", proxies.usersByTable)
+	if len(proxies.proxiesByTable) != 0 {
+		t.Errorf("after disconnect: got users %v, want none", proxies.proxiesByTable)
 	}
 }
--- a/internal/orderqueue/take.go
+++ b/internal/orderqueue/take.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// maxCallSize is the protocol's limit on the orders of one call, in bytes as sent.
+	// maxCallSize is the limit that the protocol sets on the size of the orders of one call, in URL-escaped bytes.
 	maxCallSize = 60000
-	// acknowledgmentRequestSize is the part of maxCallSize reserved for the acknowledgment request, in bytes as sent: the
-	// size of one with the largest sequence number.
+	// acknowledgmentRequestSize is the part of maxCallSize that is reserved for the acknowledgment request, in
+	// URL-escaped bytes. It is the size of a request with the largest sequence number.
 	acknowledgmentRequestSize = 17
-	// budgetRecheckInterval is the time between two checks whether orders are within the message budget again.
+	// budgetRecheckInterval is the time after which Take checks again whether pending orders are within the message
+	// budget.
 	budgetRecheckInterval = 50 * time.Millisecond
 )
 
-// Take blocks until orders can be sent and returns as many of them as fit one call. The only error is the context's.
+// Take blocks until orders can be sent, and returns as many of them as fit into one call. If the context ends first, it
+// returns an error that wraps the error of the context. It returns no other errors.
 func (q *Queue) Take(ctx context.Context) (Call, error) {
 	for {
-		if err := ctx.Err(); err != nil { // checked first: with an unreachable relay there are always pending orders
+		// The context is checked first, because orders are always pending while the relay is unreachable.
+		if err := ctx.Err(); err != nil {
 			return Call{}, fmt.Errorf("take call: %w", err)
 		}
 		call, ok, recheckAfter := q.take()
@@ -34,7 +37,7 @@
 			timeout = time.After(recheckAfter)
 		}
 		select {
-		case <-q.wake:
+		case <-q.wakeSignal:
 		case <-timeout:
 		case <-ctx.Done():
 			return Call{}, fmt.Errorf("take call: %w", ctx.Err())
@@ -42,56 +45,60 @@
 	}
 }
 
-// TryTake is Take without blocking. It returns false if nothing can be sent now.
+// TryTake is the variant of Take that does not block. It returns false if no orders can be sent now.
 func (q *Queue) TryTake() (Call, bool) {
 	call, ok, _ := q.take()
 	return call, ok
 }
 
-// take returns a call, or the time after which pending orders may be sent; 0 if there are none.
+// take returns a call if orders can be sent now. Otherwise it returns the time after which pending orders may be sent,
+// or 0 if no orders are pending.
 func (q *Queue) take() (call Call, ok bool, recheckAfter time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	if remaining := q.ambiguity.remaining(now); q.pending.count() > 0 && remaining > 0 {
+	if remaining := q.backoff.remaining(now); q.pending.count() > 0 && remaining > 0 {
 		return Call{}, false, remaining
 	}
-	q.budget.expire(now)
-	chosen, rest := q.choose()
-	if len(rest) > 0 && len(chosen) == 0 {
+	q.budget.expireCalls(now)
+	selected, deferred := q.selectOrders()
+	if len(deferred) > 0 && len(selected) == 0 {
 		return Call{}, false, budgetRecheckInterval
 	}
-	call = q.newCall(chosen, len(rest) == 0)
-	q.pending.reset()
-	q.pending.addAll(rest)
-	if len(chosen) == 0 && !call.allProxies { // a request alone reaches no proxy; newCall has removed it from the ledger
+	call = q.newCall(selected, len(deferred) == 0)
+	q.pending.removeAll()
+	q.pending.addAll(deferred)
+	// A call without orders reaches no proxy unless it requests an acknowledgment from all proxies. Such a call is not
+	// sent, and newCall has already removed its acknowledgment request from the tracker.
+	if len(selected) == 0 && !call.allProxiesRequested {
 		return Call{}, false, 0
 	}
-	q.calls++
-	call.number = q.calls
-	q.encode(&call)
-	q.recordSent(&call, now)
+	q.takenCalls++
+	call.callNumber = q.takenCalls
+	q.encodeCall(&call)
+	q.recordSentCall(&call, now)
 	return call, true, 0
 }
 
-// choose splits the pending orders into those for the next call and the rest. An order that exceeds a message budget stays
-// pending, and so do all orders after the first that does not fit into the call.
-func (q *Queue) choose() (chosen, rest []*pendingOrder) {
-	size, tooLong := 0, false
-	for _, p := range q.pending.orders {
+// selectOrders splits the pending orders into the orders for the next call and the deferred orders, which stay pending.
+// An order is deferred if it reaches a proxy whose message budget is exhausted. Once an order does not fit into the
+// call, that order and all orders after it are deferred.
+func (q *Queue) selectOrders() (selected, deferred []*pendingOrder) {
+	callSize, callFull := 0, false
+	for _, pending := range q.pending.orders {
 		switch {
-		case p == nil:
-		case tooLong || q.exceedsBudget(p.order):
-			rest = append(rest, p)
-		case size+p.size > maxCallSize-acknowledgmentRequestSize:
-			tooLong = true
-			rest = append(rest, p)
+		case pending == nil:
+		case callFull || q.exceedsBudget(pending.order):
+			deferred = append(deferred, pending)
+		case callSize+pending.escapedSize > maxCallSize-acknowledgmentRequestSize:
+			callFull = true
+			deferred = append(deferred, pending)
 		default:
-			size += p.size
-			chosen = append(chosen, p)
+			callSize += pending.escapedSize
+			selected = append(selected, pending)
 		}
 	}
-	return chosen, rest
+	return selected, deferred
 }
 
 // exceedsBudget reports whether an order reaches a proxy whose message budget is exhausted.
@@ -99,60 +106,62 @@
 	if q.budget.limit == 0 {
 		return false
 	}
-	q.proxies.forEachRecipient(order, func(r *recipient) { exceeded = exceeded || q.budget.exhausted(r) })
+	q.proxies.forEachRecipient(order, func(proxy *connectedProxy) { exceeded = exceeded || q.budget.isExhaustedFor(proxy) })
 	return exceeded
 }
 
-// newCall forms a call, whose number and encoded orders are set later. It requests the acknowledgment of the last requested
-// batch in any case. Complete: no order stays pending, so that no further call requests it again; otherwise the batch is split
-// and the next call requests it, too.
-func (q *Queue) newCall(chosen []*pendingOrder, complete bool) Call {
-	ledger := &q.acknowledgments
+// newCall creates a call without its number and its encoded orders, which are set later. The call requests the
+// acknowledgment of the last pending batch. If complete is true, no order stays pending, so that no further call
+// requests the same acknowledgment. If complete is false, the batch is split, and the next call requests the
+// acknowledgment again.
+func (q *Queue) newCall(selected []*pendingOrder, complete bool) Call {
+	tracker := &q.acknowledgments
 	call := Call{
-		orders:     chosen,
-		sequences:  slices.Clone(ledger.requested),
-		allProxies: ledger.allProxies && complete,
+		pendingOrders:       selected,
+		batchSequences:      slices.Clone(tracker.requestedSequences),
+		allProxiesRequested: tracker.allProxiesRequested && complete,
 	}
 	if complete {
-		ledger.requested = nil
-		ledger.allProxies = false
+		tracker.requestedSequences = nil
+		tracker.allProxiesRequested = false
 	} else {
-		ledger.recordSplit(call.lastSequence())
+		tracker.recordSplit(call.acknowledgmentSequence())
 	}
 	return call
 }
 
-// encode sets a call's encoded orders, with the acknowledgment request at the end.
-func (q *Queue) encode(call *Call) {
-	for _, p := range call.orders {
-		call.Orders = append(call.Orders, p.text)
+// encodeCall sets the encoded orders of a call and appends the acknowledgment request. If the request cannot be
+// encoded, it is logged and omitted.
+func (q *Queue) encodeCall(call *Call) {
+	for _, pending := range call.pendingOrders {
+		call.Orders = append(call.Orders, pending.encoded)
 	}
-	n := len(call.sequences)
+	n := len(call.batchSequences)
 	if n == 0 {
 		return
 	}
-	text, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: call.sequences[n-1], AllProxies: call.allProxies})
+	encoded, err := q.encoder.EncodeOrder(assign.AcknowledgmentRequest{Sequence: call.batchSequences[n-1], AllProxies: call.allProxiesRequested})
 	if err != nil {
 		q.log.Error().Err(err).Msg("acknowledgment request dropped; encoding failed")
 		return
 	}
-	call.Orders = append(call.Orders, text)
+	call.Orders = append(call.Orders, encoded)
 }
 
-// recordSent records that a call is sent now: its attachments, the messages that its recipients receive, and the batches that
-// it acknowledges.
-func (q *Queue) recordSent(call *Call, now time.Time) {
-	sent := sentCall{number: call.number, at: now}
-	for _, p := range call.orders {
-		q.maxOrderWait = max(q.maxOrderWait, now.Sub(p.submittedAt))
-		q.proxies.attach(p, now)
-		q.proxies.forEachRecipient(p.order, sent.count)
+// recordSentCall records that a call is sent: the attachments that it contains, the messages that its recipients
+// receive, and the batches that it combines.
+func (q *Queue) recordSentCall(call *Call, now time.Time) {
+	sent := sentCall{callNumber: call.callNumber, sentAt: now}
+	for _, pending := range call.pendingOrders {
+		q.maxOrderWait = max(q.maxOrderWait, now.Sub(pending.submittedAt))
+		q.proxies.recordSentAttachment(pending, now)
+		q.proxies.forEachRecipient(pending.order, sent.addRecipient)
 	}
-	if call.allProxies {
-		for _, r := range q.proxies.connected {
-			sent.count(r)
+	if call.allProxiesRequested {
+		for _, proxy := range q.proxies.connectedProxies {
+			sent.addRecipient(proxy)
 		}
 	}
-	q.budget.spend(sent)
-	q.acknowledgments.recordCall(call.sequences)
+	q.budget.recordCall(sent)
+	q.acknowledgments.recordMergedRequest(call.batchSequences)
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -117,7 +117,7 @@
 func (h *harness) receive(_ context.Context, event assign.Event) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.events = append(h.events, h.queue.Observe([]assign.Event{event})...)
+	h.events = append(h.events, h.queue.PreprocessEvents([]assign.Event{event})...)
 	return nil
 }
 
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -160,8 +160,8 @@
 	setup, logs := startLoggingHarness(t)
 	setup.address.Move(closedAddress)
 	setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-	if !eventually.True(soon, func() bool { return setup.queue.Stats().Repeated >= 5 }) {
-		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().Repeated)
+	if !eventually.True(soon, func() bool { return setup.queue.Stats().RepeatedCalls >= 5 }) {
+		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().RepeatedCalls)
 	}
 	setup.address.Move(setup.Address())
 	logs.Await(t, soon, "calls sent again")
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -223,7 +223,7 @@
 			t.Fatal("got no idle connection, want one")
 		}
 	}
-	if n := setup.queue.Stats().Repeated; n > 0 || !setup.tableHas("a", "b", "c") {
+	if n := setup.queue.Stats().RepeatedCalls; n > 0 || !setup.tableHas("a", "b", "c") {
 		t.Errorf("got %d calls repeated, all entries set %t; want 0, true", n, setup.tableHas("a", "b", "c"))
 	}
 }
@@ -245,7 +245,7 @@
 	close(release)
 	setup.running.Wait()
 	defer setup.end(t)
-	if stats := setup.queue.Stats(); stats.Repeated > 0 || stats.Waiting > 0 || !setup.tableHas("a", "b") {
+	if stats := setup.queue.Stats(); stats.RepeatedCalls > 0 || stats.PendingOrders > 0 || !setup.tableHas("a", "b") {
 		t.Errorf("got %+v, both entries set %t; want 0 repeated, 0 waiting, true", stats, setup.tableHas("a", "b"))
 	}
 	want := [][]string{encode(t, entry("a", 1)), encode(t, entry("b", 2))}
@@ -293,8 +293,8 @@
 		t.Fatal(err)
 	}
 	setup.queue.Submit([]assign.Order{assign.ClearTable{Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	if !eventually.True(soon, func() bool { return setup.queue.Stats().Repeated > 1 }) {
-		t.Errorf("got %d calls repeated, want more than 1", setup.queue.Stats().Repeated)
+	if !eventually.True(soon, func() bool { return setup.queue.Stats().RepeatedCalls > 1 }) {
+		t.Errorf("got %d calls repeated, want more than 1", setup.queue.Stats().RepeatedCalls)
 	}
 	ended := make(chan struct{})
 	go func() { // ends when client and reader do
