--- a/assign/decisions_doc_test.go
+++ b/assign/decisions_doc_test.go
@@ -18,131 +18,137 @@
 	"testing"
 )
 
-// decisionsDoc is the index of the decisions, relative to this package.
+// decisionsDoc is the path of the index of decisions, relative to the directory of this package.
 const decisionsDoc = "../docs/decisions.md"
 
-// minDecisionRows is how many questions the index answers at least.
+// minDecisionRows is the least number of rows, each of which answers a question, that the index must have.
 const minDecisionRows = 25
 
-// The columns of its tables: question, functions that decide, functions that collect the inputs, inputs, constants, what shows
-// it.
+// The tables of the index have these columns: question, functions that decide, functions that collect the inputs,
+// inputs, constants, and how to observe the decision. The constants name the number of columns and the positions of
+// two of them.
 const (
-	decisionColumns = 6
-	decidedBy       = 1
-	collectedBy     = 2
+	decisionColumnCount = 6
+	decidedByColumn     = 1
+	collectedByColumn   = 2
 )
 
-// reference finds each `package.Identifier` of a document, with the value behind it if there is one.
-var reference = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`(?: = ([0-9.e+-]+))?")
+// referencePattern matches each `package.Identifier` of a document, together with the value that follows it after an
+// equals sign, if there is one.
+var referencePattern = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`(?: = ([0-9.e+-]+))?")
 
-// TestDecisionsDocNamesWhatExists checks that each `package.Identifier` of docs/decisions.md is declared in this package or
-// in a rule package, and that each constant has the value that stands behind it.
-func TestDecisionsDocNamesWhatExists(t *testing.T) {
-	matches := reference.FindAllStringSubmatch(readDoc(t, decisionsDoc), -1)
+// TestDecisionsDocReferencesAreDeclared checks that each `package.Identifier` in docs/decisions.md is declared in
+// this package or in one of the rule packages below it. It also checks that each constant has the value that the
+// document gives.
+func TestDecisionsDocReferencesAreDeclared(t *testing.T) {
+	matches := referencePattern.FindAllStringSubmatch(readTextFile(t, decisionsDoc), -1)
 	if len(matches) < minDecisionRows {
 		t.Fatalf("got %d references, want %d or more", len(matches), minDecisionRows)
 	}
-	packages := parseAssignPackages(t)
+	packages := typeCheckPackages(t)
 	for _, match := range matches {
 		name, value := match[1]+"."+match[2], match[3]
-		object := packages.lookUp(match[1], match[2])
-		if object == nil {
-			t.Errorf("got %s in the document, want a declared name", name)
+		declaration := packages.lookUpDeclaration(match[1], match[2])
+		if declaration == nil {
+			t.Errorf("got reference %s, want the name of an existing declaration", name)
 		}
-		if c, ok := object.(*types.Const); ok {
-			checkConstant(t, name, c, value)
+		if declared, ok := declaration.(*types.Const); ok {
+			checkConstant(t, name, declared, value)
 		}
 	}
 }
 
-// declarationOrFile finds each `package.Identifier` and each (file.go) of a cell.
-var declarationOrFile = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`|\\(([\\w/]+\\.go)\\)")
+// declarationOrFilePattern matches each `package.Identifier` and each (file.go) in a table cell.
+var declarationOrFilePattern = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`|\\(([\\w/]+\\.go)\\)")
 
-// TestDecisionsDocNamesFiles checks that each function of the index that decides or collects inputs is declared in the file
-// that stands behind it.
-func TestDecisionsDocNamesFiles(t *testing.T) {
-	packages := parseAssignPackages(t)
-	for _, cells := range decisionRows(t) {
-		for _, cell := range []string{cells[decidedBy], cells[collectedBy]} {
-			checkFiles(t, packages, cells[0], cell)
+// TestDecisionsDocFilesDeclareFunctions checks that each function that the index names as deciding or as collecting
+// inputs is declared in the file that the index gives for it.
+func TestDecisionsDocFilesDeclareFunctions(t *testing.T) {
+	packages := typeCheckPackages(t)
+	for _, row := range decisionRows(t) {
+		for _, cell := range []string{row[decidedByColumn], row[collectedByColumn]} {
+			checkFileReferences(t, packages, row[0], cell)
 		}
 	}
 }
 
-// checkFiles checks the files of one cell. A file stands behind the functions that it declares.
-func checkFiles(t *testing.T, packages *assignPackages, question, cell string) {
+// checkFileReferences checks the file references of one table cell. In a cell, the name of a file follows the
+// functions that the file declares.
+func checkFileReferences(t *testing.T, packages *checkedPackages, question, cell string) {
 	t.Helper()
-	var pending []types.Object
-	files := 0
-	for _, match := range declarationOrFile.FindAllStringSubmatch(cell, -1) {
+	var functions []types.Object
+	fileCount := 0
+	for _, match := range declarationOrFilePattern.FindAllStringSubmatch(cell, -1) {
 		packageName, identifier, file := match[1], match[2], match[3]
 		if file == "" {
-			pending = append(pending, packages.lookUp(packageName, identifier))
+			functions = append(functions, packages.lookUpDeclaration(packageName, identifier))
 			continue
 		}
-		files++
+		fileCount++
 		if _, err := os.Stat(filepath.Join("..", file)); err != nil {
-			t.Errorf("%s: got file %s, want one that exists: %v", question, file, err)
+			t.Errorf("%s: got file %s, want an existing file: %v", question, file, err)
 		}
-		for _, object := range pending {
-			if got := packages.fileOf(object); got != file {
-				t.Errorf("%s: got file %s of %v, want %q, which declares it", question, file, object, got)
+		for _, object := range functions {
+			if declaredIn := packages.declaringFile(object); declaredIn != file {
+				t.Errorf("%s: got file %s for %v, want the declaring file %q", question, file, object, declaredIn)
 			}
 		}
-		pending = nil
+		functions = nil
 	}
-	if files == 0 || len(pending) > 0 {
-		t.Errorf("%s: got %q, want a file behind each function", question, cell)
+	if fileCount == 0 || len(functions) > 0 {
+		t.Errorf("%s: got cell %q, want a file after the names of its functions", question, cell)
 	}
 }
 
-// TestDocsNameWhatExists checks that each rule that other documents name is declared. Names with another package before
-// the dot are not of the decisions.
-func TestDocsNameWhatExists(t *testing.T) {
-	packages := parseAssignPackages(t)
+// TestDocReferencesAreDeclared checks that each function, type or constant that the other documents name is declared.
+// It skips names of packages that are neither this package nor a rule package.
+func TestDocReferencesAreDeclared(t *testing.T) {
+	packages := typeCheckPackages(t)
 	for _, doc := range []string{"../docs/design.md", "../docs/glossary.md"} {
 		t.Run(path.Base(doc), func(t *testing.T) {
-			found := 0
-			for _, match := range reference.FindAllStringSubmatch(readDoc(t, doc), -1) {
+			referenceCount := 0
+			for _, match := range referencePattern.FindAllStringSubmatch(readTextFile(t, doc), -1) {
 				if packages.byName[match[1]] == nil {
 					continue
 				}
-				found++
-				if packages.lookUp(match[1], match[2]) == nil {
-					t.Errorf("got %s.%s in the document, want a declared name", match[1], match[2])
+				referenceCount++
+				if packages.lookUpDeclaration(match[1], match[2]) == nil {
+					t.Errorf("got reference %s.%s, want the name of an existing declaration", match[1], match[2])
 				}
 			}
-			if found == 0 {
-				t.Error("got no rule named, want some")
+			if referenceCount == 0 {
+				t.Error("got no reference to this package or a rule package, want at least one")
 			}
 		})
 	}
 }
 
-// TestDecisionsDocQuotesLogMessages checks that each log message that the index quotes is one of this package.
-func TestDecisionsDocQuotesLogMessages(t *testing.T) {
-	sources, err := filepath.Glob("*.go")
+// TestDecisionsDocQuotesExistingLogMessages checks that each log message that the index quotes occurs in the sources of
+// this package.
+func TestDecisionsDocQuotesExistingLogMessages(t *testing.T) {
+	sourceFiles, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var code strings.Builder
-	for _, source := range sources {
-		if !strings.HasSuffix(source, "_test.go") {
-			code.WriteString(readDoc(t, source))
+	var sourceText strings.Builder
+	for _, sourceFile := range sourceFiles {
+		if !strings.HasSuffix(sourceFile, "_test.go") {
+			sourceText.WriteString(readTextFile(t, sourceFile))
 		}
 	}
-	quoted := regexp.MustCompile("\"[a-z ]+\"`").FindAllString(readDoc(t, decisionsDoc), -1)
-	if len(quoted) == 0 {
-		t.Fatal("got no log message, want some")
+	quotations := regexp.MustCompile("\"[a-z ]+\"`").FindAllString(readTextFile(t, decisionsDoc), -1)
+	if len(quotations) == 0 {
+		t.Fatal("got no quoted log message, want at least one")
 	}
-	for _, message := range quoted {
-		if literal := strings.TrimSuffix(message, "`"); !strings.Contains(code.String(), literal) {
-			t.Errorf("got log message %s, want one of this package", literal)
+	for _, quotation := range quotations {
+		if message := strings.TrimSuffix(quotation, "`"); !strings.Contains(sourceText.String(), message) {
+			t.Errorf("got log message %s, want a message that this package logs", message)
 		}
 	}
 }
 
-func readDoc(t *testing.T, name string) string {
+// readTextFile returns the contents of a file and fails the test if the file cannot be read.
+func readTextFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -151,18 +157,19 @@
 	return string(text)
 }
 
-// TestDecisionsDocRows checks that the index has enough questions, each once and with all columns filled in.
-func TestDecisionsDocRows(t *testing.T) {
+// TestDecisionsDocRowsAreComplete checks that the index has at least minDecisionRows questions, asks each question
+// once and leaves no column empty.
+func TestDecisionsDocRowsAreComplete(t *testing.T) {
 	questions := map[string]bool{}
 	for _, cells := range decisionRows(t) {
 		question := cells[0]
 		if questions[question] {
-			t.Errorf("%s: got it twice, want it once", question)
+			t.Errorf("%s: got the question more than once, want it once", question)
 		}
 		questions[question] = true
 		for i, cell := range cells {
 			if cell == "" {
-				t.Errorf("%s: column %d is empty", question, i)
+				t.Errorf("%s: got an empty column %d, want text", question, i)
 			}
 		}
 	}
@@ -171,10 +178,10 @@
 	}
 }
 
-// decisionRows returns the cells of each row of the index that has a question.
+// decisionRows returns the cells of each row of the index whose first cell is a question.
 func decisionRows(t *testing.T) (rows [][]string) {
 	t.Helper()
-	for line := range strings.Lines(readDoc(t, decisionsDoc)) {
+	for line := range strings.Lines(readTextFile(t, decisionsDoc)) {
 		cells := strings.Split(strings.Trim(line, "| \n"), "|")
 		for i, cell := range cells {
 			cells[i] = strings.TrimSpace(cell)
@@ -182,8 +189,8 @@
 		if !strings.HasPrefix(line, "|") || !strings.HasSuffix(cells[0], "?") {
 			continue
 		}
-		if len(cells) != decisionColumns {
-			t.Errorf("%s: got %d columns, want %d", cells[0], len(cells), decisionColumns)
+		if len(cells) != decisionColumnCount {
+			t.Errorf("%s: got %d columns, want %d", cells[0], len(cells), decisionColumnCount)
 			continue
 		}
 		rows = append(rows, cells)
@@ -191,43 +198,44 @@
 	return rows
 }
 
-// checkConstant compares a constant of the source with the value in the document.
-func checkConstant(t *testing.T, name string, c *types.Const, documented string) {
+// checkConstant checks that the document gives the value that a numeric constant has in the source.
+func checkConstant(t *testing.T, name string, declared *types.Const, documented string) {
 	t.Helper()
-	if c.Val().Kind() == constant.String {
+	if declared.Val().Kind() == constant.String {
 		return
 	}
-	want, _ := constant.Float64Val(constant.ToFloat(c.Val()))
+	want, _ := constant.Float64Val(constant.ToFloat(declared.Val()))
 	got, err := strconv.ParseFloat(documented, 64)
 	if err != nil || math.Abs(got-want) > 1e-9*math.Abs(want) {
-		t.Errorf("%s: got value %q in the document, want %g", name, documented, want)
+		t.Errorf("%s: got documented value %q, want %g", name, documented, want)
 	}
 }
 
-// assignPath is this package's import path.
-const assignPath = "madderhollow/assign"
+// assignImportPath is the import path of this package.
+const assignImportPath = "madderhollow/assign"
 
-// assignPackages are this package and the rule packages, type-checked without test files.
-type assignPackages struct {
-	byName  map[string]*types.Package
+// checkedPackages holds this package and the rule packages below it, type-checked without their test files. It
+// implements types.Importer.
+type checkedPackages struct {
+	byName  map[string]*types.Package // type-checked packages by package name
 	fileSet *token.FileSet
 }
 
-// parseAssignPackages type-checks this package and the rule packages.
-func parseAssignPackages(t *testing.T) *assignPackages {
+// typeCheckPackages type-checks this package and the rule packages below it.
+func typeCheckPackages(t *testing.T) *checkedPackages {
 	t.Helper()
 	directories, err := filepath.Glob("*/")
 	if err != nil {
 		t.Fatal(err)
 	}
-	packages := &assignPackages{byName: map[string]*types.Package{}, fileSet: token.NewFileSet()}
+	packages := &checkedPackages{byName: map[string]*types.Package{}, fileSet: token.NewFileSet()}
 	for _, directory := range append(directories, ".") {
 		sources, err := filepath.Glob(filepath.Join(directory, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(sources) > 0 {
-			if _, err := packages.Import(path.Join(assignPath, directory)); err != nil {
+			if _, err := packages.Import(path.Join(assignImportPath, directory)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -235,42 +243,46 @@
 	return packages
 }
 
-// lookUp finds a declaration of a package, or a field or method of a type: "Type.Field". It returns nil if there is none.
-func (p *assignPackages) lookUp(packageName, identifier string) types.Object {
-	declared := p.byName[packageName]
-	if declared == nil {
+// lookUpDeclaration returns the declaration of an identifier in a package. An identifier of the form "Type.Member"
+// names a field or method. It returns nil if there is no such declaration.
+func (p *checkedPackages) lookUpDeclaration(packageName, identifier string) types.Object {
+	checkedPackage := p.byName[packageName]
+	if checkedPackage == nil {
 		return nil
 	}
-	name, member, qualified := strings.Cut(identifier, ".")
-	object := declared.Scope().Lookup(name)
-	if object == nil || !qualified {
+	name, member, hasMember := strings.Cut(identifier, ".")
+	object := checkedPackage.Scope().Lookup(name)
+	if object == nil || !hasMember {
 		return object
 	}
-	found, _, _ := types.LookupFieldOrMethod(object.Type(), true, declared, member)
-	return found
+	memberObject, _, _ := types.LookupFieldOrMethod(object.Type(), true, checkedPackage, member)
+	return memberObject
 }
 
-// fileOf returns the file that declares an object, relative to the repository's root; empty for nil.
-func (p *assignPackages) fileOf(object types.Object) string {
+// declaringFile returns the path, relative to the root of the repository, of the file that declares an object. It
+// returns an empty string for nil.
+func (p *checkedPackages) declaringFile(object types.Object) string {
 	if object == nil {
 		return ""
 	}
 	return path.Join("assign", filepath.ToSlash(p.fileSet.Position(object.Pos()).Filename))
 }
 
-// errNotImported is returned for packages outside assignPath: the declarations and constants of these need none.
+// errNotImported is returned for packages outside assignImportPath. Type-checking without these packages still yields
+// all declarations and constants that the tests look up.
 var errNotImported = errors.New("package not imported")
 
-// Import type-checks a package under assignPath when it is first imported.
-func (p *assignPackages) Import(importPath string) (*types.Package, error) {
+// Import returns a package under assignImportPath and type-checks it at the first import. It returns errNotImported
+// for any other package.
+func (p *checkedPackages) Import(importPath string) (*types.Package, error) {
 	name := path.Base(importPath)
-	if !strings.HasPrefix(importPath, assignPath) {
+	if !strings.HasPrefix(importPath, assignImportPath) {
 		return nil, errNotImported
 	}
 	if checked := p.byName[name]; checked != nil {
 		return checked, nil
 	}
-	sources, err := filepath.Glob(filepath.Join(".", strings.TrimPrefix(importPath, assignPath), "*.go"))
+	sources, err := filepath.Glob(filepath.Join(".", strings.TrimPrefix(importPath, assignImportPath), "*.go"))
 	if err != nil {
 		return nil, fmt.Errorf("sources of %s: %w", importPath, err)
 	}
@@ -285,7 +297,7 @@
 		}
 		files = append(files, file)
 	}
-	config := types.Config{Importer: p, Error: func(error) {}} // errors of packages not imported
+	config := types.Config{Importer: p, Error: func(error) {}} // ignores errors about packages not imported
 	p.byName[name], _ = config.Check(importPath, p.fileSet, files, nil)
 	return p.byName[name], nil
 }
--- a/assign/deployment_test.go
+++ b/assign/deployment_test.go
@@ -7,83 +7,88 @@
 	"testing"
 )
 
-// deploymentModel is a large deployment without load: an assigner, its proxies, and the channel, which carries the lines of all
-// messages one after another at a fixed pace. It records which entries each proxy holds.
+// deploymentModel simulates a large deployment that carries no requests. It consists of an assigner, its proxies, and
+// a channel that transmits the lines of all messages one after another at a constant rate. The model records which
+// entries each proxy's tables have.
 type deploymentModel struct {
-	assigner   *Assigner
-	config     Config
-	now        float64 // s
-	freeAt     float64 // when the channel has carried all lines, s
-	inTransit  []deploymentMessage
-	tables     map[int]map[string]float64 // weights above 0, by table and endpoint
-	former     map[int]map[string]float64 // those of another assigner's table, by proxy; until it has one of its own
-	endpoints  []Endpoint
-	drainingAt map[string]float64 // when the assigner was notified, s
+	assigner        *Assigner
+	config          Config
+	now             float64 // simulated time, s
+	channelFreeAt   float64 // time at which the channel has transmitted all queued lines, s
+	inTransit       []deploymentMessage
+	tables          map[int]map[string]float64 // positive entry weights, by table number and endpoint name
+	previousTables  map[int]map[string]float64 // weights set by another assigner, until this one attaches a table
+	endpoints       []Endpoint
+	drainNotifiedAt map[string]float64 // time at which the assigner was notified that an endpoint drains, s
 }
 
-// deploymentMessage is a message to a proxy on its way.
+// deploymentMessage is a message that is on its way to a proxy.
 type deploymentMessage struct {
 	proxy, sequence int
 	orders          []Order
-	arrivesAt       float64 // s
+	arrivesAt       float64 // time of arrival at the proxy, s
 }
 
 const (
-	deploymentGrace   = 4.0 // of a drain, s
-	deploymentTransit = 0.3 // of a message that has left the channel, s
-	deploymentStep    = 0.2 // between two batches, s
+	deploymentDrainGrace    = 4.0 // time within which proxies must stop using a draining endpoint, s
+	deploymentTransitTime   = 0.3 // travel time of a message after it has left the channel, s
+	deploymentBatchInterval = 0.2 // time between two batches, s
 )
 
-// deploymentProxyRate is the typical rate of each proxy, 1/s.
-const deploymentProxyRate = 10.0
+// deploymentTypicalRate is the typical request rate of each proxy, in requests per second.
+const deploymentTypicalRate = 10.0
 
-// newDeploymentModel returns a deployment of which a number of proxies is connected and has tables of its own. Its channel
-// carries eight lines a second for each proxy, and its queue holds four seconds of that.
+// newDeploymentModel returns a deployment in which the given number of proxies is connected and has tables that the
+// assigner built. For each proxy, connected or not, the channel carries eight lines per second. Its queue holds as many
+// lines as it carries in four seconds.
 func newDeploymentModel(proxies, connected, endpoints int) *deploymentModel {
 	config := modelConfig()
 	config.RequestClasses = config.RequestClasses[:2]
 	config.ProxyCount = float64(proxies)
-	config.DrainGracePeriod = deploymentGrace
-	pace := 8 * float64(proxies)
-	config.Channel = ChannelConfig{QueueLimit: 4 * pace, LinesPerSecond: pace, MessageOverhead: 10, MessageLimit: 20,
-		MessageWindow: 10, MeanTransitTime: deploymentTransit, MaxTransitTime: 2 * deploymentTransit}
-	deployment := &deploymentModel{assigner: New(1, config), config: config, now: modelStart, tables: map[int]map[string]float64{},
-		former: map[int]map[string]float64{}, drainingAt: map[string]float64{}}
+	config.DrainGracePeriod = deploymentDrainGrace
+	lineRate := 8 * float64(proxies)
+	config.Channel = ChannelConfig{QueueLimit: 4 * lineRate, LinesPerSecond: lineRate, MessageOverhead: 10, MessageLimit: 20,
+		MessageWindow: 10, MeanTransitTime: deploymentTransitTime, MaxTransitTime: 2 * deploymentTransitTime}
+	deployment := &deploymentModel{assigner: New(1, config), config: config, now: modelStartTime, tables: map[int]map[string]float64{},
+		previousTables: map[int]map[string]float64{}, drainNotifiedAt: map[string]float64{}}
 	for i := range endpoints {
-		deployment.endpoints = append(deployment.endpoints, Endpoint{Zone: zoneOf(i), Name: fmt.Sprint("t", i), Weight: 1})
+		deployment.endpoints = append(deployment.endpoints, Endpoint{Zone: zoneByNumber(i), Name: fmt.Sprint("t", i), Weight: 1})
 	}
 	events := []Event{EndpointUpdate{Full: true, Endpoints: slices.Clone(deployment.endpoints)}}
 	for i := range connected {
-		events = append(events, ProxyConnected{Proxy: i, Zone: zoneOf(i), TypicalRate: deploymentProxyRate})
+		events = append(events, ProxyConnected{Proxy: i, Zone: zoneByNumber(i), TypicalRate: deploymentTypicalRate})
 	}
-	deployment.batch(events...)
+	deployment.handleBatch(events...)
 	deployment.run(6, 0)
 	return deployment
 }
 
-// run lets seconds pass, in which the assigner has a report on each endpoint each second. One of lateEach endpoints, another
-// one each second, answers late: the weights change, which is ordinary traffic. 0: none does.
-func (m *deploymentModel) run(seconds float64, lateEach int) {
-	for end := m.now + seconds; m.now < end-deploymentStep/2; {
-		m.now += deploymentStep
-		second := int(math.Round((m.now - modelStart) / deploymentStep))
+// run advances the clock by the given number of seconds. Once a second the assigner receives a report on each
+// endpoint. If lateInterval is positive, one endpoint of every lateInterval is reported with late answers, a
+// different one each second, so that weights change and cause ordinary messages. If lateInterval is 0, no endpoint
+// answers late.
+func (m *deploymentModel) run(seconds float64, lateInterval int) {
+	for end := m.now + seconds; m.now < end-deploymentBatchInterval/2; {
+		m.now += deploymentBatchInterval
+		batchCount := int(math.Round((m.now - modelStartTime) / deploymentBatchInterval))
 		var events []Event
-		if second%5 == 0 {
+		if batchCount%5 == 0 {
 			for i, endpoint := range m.endpoints {
 				report := EndpointLoadReport{Zone: endpoint.Zone, Endpoint: endpoint.Name, Interval: 1, MeanLatency: 0.1,
 					Attempts: 20, Load: []float64{0.5}}
-				if lateEach > 0 && (i+second/5)%lateEach == 0 {
+				if lateInterval > 0 && (i+batchCount/5)%lateInterval == 0 {
 					report.MeanLatency = 2
 				}
 				events = append(events, report)
 			}
 		}
-		m.batch(events...)
+		m.handleBatch(events...)
 	}
 }
 
-// batch passes events, after the acknowledgments of the messages that have arrived, and sends the orders.
-func (m *deploymentModel) batch(events ...Event) {
+// handleBatch delivers the messages that have arrived, passes their acknowledgments and then the given events to the
+// assigner, and sends the orders that it returns.
+func (m *deploymentModel) handleBatch(events ...Event) {
 	var arrived []Event
 	for len(m.inTransit) > 0 && m.inTransit[0].arrivesAt <= m.now {
 		message := m.inTransit[0]
@@ -96,7 +101,7 @@
 	m.send(m.assigner.Handle(m.now, append(arrived, events...)))
 }
 
-// apply applies an order at its proxy.
+// apply applies an order at the proxy that it is for.
 func (m *deploymentModel) apply(order Order) {
 	switch order := order.(type) {
 	case ClearTable:
@@ -107,11 +112,11 @@
 			delete(m.tables[order.Table], order.Endpoint)
 		}
 	case AttachTable:
-		delete(m.former, order.Proxy)
+		delete(m.previousTables, order.Proxy)
 	}
 }
 
-// send queues the orders of a batch in the channel, as one message for each proxy.
+// send queues the orders of a batch in the channel. The orders for one proxy form one message.
 func (m *deploymentModel) send(orders []Order) {
 	sequence := 0
 	var messages []*deploymentMessage
@@ -145,59 +150,63 @@
 	for _, message := range messages {
 		message.sequence = sequence
 		lines := float64(len(message.orders)+1) + m.config.Channel.MessageOverhead
-		m.freeAt = math.Max(m.freeAt, m.now) + lines/m.config.Channel.LinesPerSecond
-		message.arrivesAt = m.freeAt + deploymentTransit
+		m.channelFreeAt = math.Max(m.channelFreeAt, m.now) + lines/m.config.Channel.LinesPerSecond
+		message.arrivesAt = m.channelFreeAt + deploymentTransitTime
 		m.inTransit = append(m.inTransit, *message)
 	}
 }
 
-// drain notifies the assigner that some endpoints drain, and that as many others start.
-func (m *deploymentModel) drain(first, count int) {
-	var entries []Endpoint
+// drainAndReplace notifies the assigner that count endpoints drain, starting at index first, and that a new endpoint
+// starts in the zone of each.
+func (m *deploymentModel) drainAndReplace(first, count int) {
+	var updated []Endpoint
 	for i := first; i < first+count; i++ {
 		m.endpoints[i].State = Draining
-		m.drainingAt[m.endpoints[i].Name] = m.now
-		started := Endpoint{Zone: m.endpoints[i].Zone, Name: "new-" + m.endpoints[i].Name, Weight: 1, StartedAt: m.now}
-		m.endpoints = append(m.endpoints, started)
-		entries = append(entries, m.endpoints[i], started)
+		m.drainNotifiedAt[m.endpoints[i].Name] = m.now
+		replacement := Endpoint{Zone: m.endpoints[i].Zone, Name: "new-" + m.endpoints[i].Name, Weight: 1, StartedAt: m.now}
+		m.endpoints = append(m.endpoints, replacement)
+		updated = append(updated, m.endpoints[i], replacement)
 	}
-	m.batch(EndpointUpdate{Endpoints: entries})
+	m.handleBatch(EndpointUpdate{Endpoints: updated})
 }
 
-// latestDrain returns the table entry that has outlived its endpoint's drain the longest, and by how long after the notice.
-func (m *deploymentModel) latestDrain() (description string, age float64) {
+// longestDrainingEntry returns the table entry of a draining endpoint whose drain was announced first, and the time
+// since that announcement in seconds. The time is 0 if no table has an entry of a draining endpoint.
+func (m *deploymentModel) longestDrainingEntry() (description string, age float64) {
 	for table, entries := range m.tables {
 		for endpoint := range entries {
-			if at, draining := m.drainingAt[endpoint]; draining && m.now-at > age {
-				age = m.now - at
-				description = fmt.Sprintf("table %d holds %s", table, endpoint)
+			if notifiedAt, draining := m.drainNotifiedAt[endpoint]; draining && m.now-notifiedAt > age {
+				age = m.now - notifiedAt
+				description = fmt.Sprintf("table %d has an entry of %s", table, endpoint)
 			}
 		}
 	}
 	return description, age
 }
 
-// TestDrainsKeepGraceWhileUrgentOrdersFit has a release amid ordinary changes: three waves, 1.2 s apart, in each of which a
-// seventh of the endpoints drains. What has to go out fits into the channel within the grace, so every entry goes in time.
-func TestDrainsKeepGraceWhileUrgentOrdersFit(t *testing.T) {
+// TestDrainsEndWithinGraceWhileUrgentOrdersFit checks that tables drop draining endpoints within the grace period
+// during a release, while weights change as usual. A seventh of the endpoints drains in each of three waves, 1.2 s
+// apart. The channel can transmit all urgent orders within the grace period, so every entry of a draining endpoint
+// must go in time.
+func TestDrainsEndWithinGraceWhileUrgentOrdersFit(t *testing.T) {
 	for _, test := range []struct{ proxies, endpoints int }{{10, 42}, {100, 98}, {480, 98}, {2400, 42}} {
 		t.Run(fmt.Sprint(test.proxies, " proxies"), func(t *testing.T) {
 			t.Parallel()
 			deployment := newDeploymentModel(test.proxies, test.proxies, test.endpoints)
 			deployment.run(4, 3)
-			wave := test.endpoints / 7
+			waveSize := test.endpoints / 7
 			for i := range 3 {
-				deployment.drain(i*wave, wave)
+				deployment.drainAndReplace(i*waveSize, waveSize)
 				deployment.run(1.2, 3)
 			}
-			for range int(deploymentGrace / deploymentStep) {
-				deployment.run(deploymentStep, 3)
-				if entry, age := deployment.latestDrain(); age > deploymentGrace+deploymentStep/2 {
-					t.Fatalf("got %s %.1f s after the notice of its drain, want at most %g s", entry, age, deploymentGrace)
+			for range int(deploymentDrainGrace / deploymentBatchInterval) {
+				deployment.run(deploymentBatchInterval, 3)
+				if entry, age := deployment.longestDrainingEntry(); age > deploymentDrainGrace+deploymentBatchInterval/2 {
+					t.Fatalf("got: %s, %.1f s after the notice of its drain; want at most %g s", entry, age, deploymentDrainGrace)
 				}
 				for table, entries := range deployment.tables {
 					if len(entries) == 0 {
-						t.Fatalf("got table %d without an entry, want one", table)
+						t.Fatalf("got table %d without entries, want at least one entry", table)
 					}
 				}
 			}
--- a/assign/deployment_warming_test.go
+++ b/assign/deployment_warming_test.go
@@ -7,74 +7,77 @@
 	"madderhollow/assign/slowstart"
 )
 
-// join connects proxies that hold tables of another assigner: ten endpoints of their zone, those that start now among them
-// with the part that they could take at that time.
-func (m *deploymentModel) join(first, last int) {
+// connectWithPreviousTables connects the proxies with numbers from first up to, but not including, last. Each of them
+// holds a table that another assigner built: ten ready endpoints of the proxy's zone, with warming ones at the
+// fraction of their capacity that they have at that time.
+func (m *deploymentModel) connectWithPreviousTables(first, last int) {
 	var events []Event
 	for i := first; i < last; i++ {
-		m.former[i] = map[string]float64{}
-		for k := i; len(m.former[i]) < 10; k++ {
-			endpoint := m.endpoints[k%len(m.endpoints)]
-			if endpoint.Zone == zoneOf(i) && endpoint.State == Ready {
-				m.former[i][endpoint.Name] = m.fraction(endpoint)
+		m.previousTables[i] = map[string]float64{}
+		for candidate := i; len(m.previousTables[i]) < 10; candidate++ {
+			endpoint := m.endpoints[candidate%len(m.endpoints)]
+			if endpoint.Zone == zoneByNumber(i) && endpoint.State == Ready {
+				m.previousTables[i][endpoint.Name] = m.capacityFraction(endpoint)
 			}
 		}
-		events = append(events, ProxyConnected{Proxy: i, Zone: zoneOf(i), TypicalRate: deploymentProxyRate})
+		events = append(events, ProxyConnected{Proxy: i, Zone: zoneByNumber(i), TypicalRate: deploymentTypicalRate})
 	}
-	m.batch(events...)
+	m.handleBatch(events...)
 }
 
-// fraction returns the part of its capacity that an endpoint has.
-func (m *deploymentModel) fraction(endpoint Endpoint) float64 {
+// capacityFraction returns the fraction of its full capacity that an endpoint has at the current time. Unlike the
+// assigner, the model does not count the capacity as 0 within the first overload window.
+func (m *deploymentModel) capacityFraction(endpoint Endpoint) float64 {
 	warmUp := m.config.WarmUp
 	warmUp.OverloadWindow = 0
 	return slowstart.CapacityFraction(warmUp, slowstart.WarmUpState{StartedAt: endpoint.StartedAt, Now: m.now})
 }
 
-// loads returns the requests per second that each endpoint gets from the tables that the proxies hold, at their typical
-// rates.
-func (m *deploymentModel) loads() map[string]float64 {
-	loads := map[string]float64{}
-	add := func(entries map[string]float64) {
-		sum := 0.0
+// endpointRates returns the requests per second that each endpoint receives if all proxies receive requests at their
+// typical rate and route them by the tables that they hold.
+func (m *deploymentModel) endpointRates() map[string]float64 {
+	rates := map[string]float64{}
+	addTable := func(entries map[string]float64) {
+		weightSum := 0.0
 		for _, weight := range entries {
-			sum += weight
+			weightSum += weight
 		}
 		for endpoint, weight := range entries {
-			loads[endpoint] += deploymentProxyRate * weight / sum
+			rates[endpoint] += deploymentTypicalRate * weight / weightSum
 		}
 	}
 	for table, entries := range m.tables {
-		if _, former := m.former[table/len(m.assigner.tableGroups)]; !former {
-			add(entries)
+		if _, hasPrevious := m.previousTables[table/len(m.assigner.tableGroups)]; !hasPrevious {
+			addTable(entries)
 		}
 	}
-	for _, entries := range m.former {
-		add(entries)
+	for _, entries := range m.previousTables {
+		addTable(entries)
 	}
-	return loads
+	return rates
 }
 
-// maxOverload runs seconds and returns the most that a warming endpoint got over its overload window, as a multiple of what
-// it could do, where a warm one can do a number of requests per second.
+// maxOverload runs the deployment for the given number of seconds and returns the highest overload of a warming
+// endpoint and its name. The overload is the ratio of the endpoint's request rate to the rate that it can serve,
+// averaged over the overload window. A fully warm endpoint can serve capacity requests per second.
 func (m *deploymentModel) maxOverload(seconds, capacity float64) (multiple float64, name string) {
 	window := m.config.WarmUp.OverloadWindow
-	excess := map[string][]float64{} // multiples of all steps, by endpoint
-	for range int(seconds / deploymentStep) {
-		m.run(deploymentStep, 0)
-		loads := m.loads()
+	ratios := map[string][]float64{} // ratios of request rate to capacity in all batches so far, by endpoint
+	for range int(seconds / deploymentBatchInterval) {
+		m.run(deploymentBatchInterval, 0)
+		rates := m.endpointRates()
 		for _, endpoint := range m.endpoints {
-			fraction := m.fraction(endpoint)
+			fraction := m.capacityFraction(endpoint)
 			if endpoint.StartedAt == 0 || fraction == 1 {
 				continue
 			}
-			excess[endpoint.Name] = append(excess[endpoint.Name], loads[endpoint.Name]/(fraction*capacity))
-			last := excess[endpoint.Name]
+			ratios[endpoint.Name] = append(ratios[endpoint.Name], rates[endpoint.Name]/(fraction*capacity))
+			endpointRatios := ratios[endpoint.Name]
 			sum := 0.0
-			for _, value := range last[max(0, len(last)-int(window/deploymentStep)):] {
-				sum += value
+			for _, ratio := range endpointRatios[max(0, len(endpointRatios)-int(window/deploymentBatchInterval)):] {
+				sum += ratio
 			}
-			if mean := sum / (window / deploymentStep); mean > multiple {
+			if mean := sum / (window / deploymentBatchInterval); mean > multiple {
 				multiple, name = mean, endpoint.Name
 			}
 		}
@@ -82,34 +85,36 @@
 	return multiple, name
 }
 
-// TestWarmingEndpointsKeepCapacityWhileProxiesJoin has four fifths of the proxies join at once, with tables of another
-// assigner, while a seventh of the endpoints warms up. No warming endpoint gets more than overloads it.
-func TestWarmingEndpointsKeepCapacityWhileProxiesJoin(t *testing.T) {
+// TestWarmingEndpointsAreNotOverloadedWhileProxiesConnect checks that no warming endpoint is overloaded when four
+// fifths of the proxies connect at once. The proxies hold tables of another assigner, and a seventh of the endpoints
+// warms up.
+func TestWarmingEndpointsAreNotOverloadedWhileProxiesConnect(t *testing.T) {
 	for _, test := range []struct{ proxies, endpoints int }{{10, 42}, {100, 98}, {480, 98}, {2400, 42}} {
 		t.Run(fmt.Sprint(test.proxies, " proxies"), func(t *testing.T) {
 			t.Parallel()
 			deployment := newDeploymentModel(test.proxies, test.proxies/5, test.endpoints)
-			deployment.drain(0, test.endpoints/7)
+			deployment.drainAndReplace(0, test.endpoints/7)
 			deployment.run(3.4, 0)
-			deployment.join(test.proxies/5, test.proxies)
+			deployment.connectWithPreviousTables(test.proxies/5, test.proxies)
 			const utilization = 0.9
-			capacity := deploymentProxyRate * float64(test.proxies) / float64(test.endpoints) / utilization
+			capacity := deploymentTypicalRate * float64(test.proxies) / float64(test.endpoints) / utilization
 			got, name := deployment.maxOverload(8, capacity)
-			if most := deployment.config.WarmUp.OverloadMultiple; got > most {
-				t.Errorf("got %s sent %.1f times what it could do, want at most %g times", name, got, most)
+			if limit := deployment.config.WarmUp.OverloadMultiple; got > limit {
+				t.Errorf("got a request rate of warming endpoint %s of %.1f times its capacity, want at most %g times", name, got, limit)
 			}
 		})
 	}
 }
 
-// TestSmallWarmingEndpointOfUnknownSizeIsNotOverloaded has endpoints that the list gives equal weights start with a quarter
-// of the others' capacity, at nine tenths of the deployment's.
+// TestSmallWarmingEndpointOfUnknownSizeIsNotOverloaded checks that warming endpoints are not overloaded when they
+// have only a quarter of the others' capacity. The endpoint list gives all endpoints equal weights, so that the
+// assigner cannot know the difference. The deployment runs at nine tenths of its capacity.
 func TestSmallWarmingEndpointOfUnknownSizeIsNotOverloaded(t *testing.T) {
-	const proxies, endpoints, utilization, size = 100, 98, 0.9, 0.25
+	const proxies, endpoints, utilization, relativeCapacity = 100, 98, 0.9, 0.25
 	deployment := newDeploymentModel(proxies, proxies, endpoints)
-	deployment.drain(0, endpoints/7)
-	got, name := deployment.maxOverload(9, size*deploymentProxyRate*proxies/endpoints/utilization)
-	if most := deployment.config.WarmUp.OverloadMultiple; got > most {
-		t.Errorf("got %s sent %.1f times what it could do, want at most %g times", name, got, most)
+	deployment.drainAndReplace(0, endpoints/7)
+	got, name := deployment.maxOverload(9, relativeCapacity*deploymentTypicalRate*proxies/endpoints/utilization)
+	if limit := deployment.config.WarmUp.OverloadMultiple; got > limit {
+		t.Errorf("got a request rate of warming endpoint %s of %.1f times its capacity, want at most %g times", name, got, limit)
 	}
 }
--- a/assign/digest_test.go
+++ b/assign/digest_test.go
@@ -13,28 +13,29 @@
 	"madderhollow/internal/golden"
 )
 
-// digestOrders adds the orders of one batch to a digest. It writes numbers for the order types and leaves out the names
-// of types and members and the texts of log lines, so that renaming changes no digest and any other change does.
+// digestOrders adds the orders of one batch to a digest. It writes a number for each order type and leaves out the
+// names of types and fields and the texts of log lines, so that renaming does not change a digest and every other
+// change does.
 func digestOrders(digest hash.Hash, now float64, orders []Order) {
-	bits := math.Float64bits
+	floatBits := math.Float64bits
 	write := func(format string, values ...any) {
-		_, _ = fmt.Fprintf(digest, format, values...) // a hash never fails
+		_, _ = fmt.Fprintf(digest, format, values...) // Write of a hash never returns an error
 	}
-	write("batch %x\n", bits(now))
+	write("batch %x\n", floatBits(now))
 	for _, order := range orders {
 		switch order := order.(type) {
 		case SetWeight:
-			write("1 %d %q %x\n", order.Table, order.Endpoint, bits(order.Weight))
+			write("1 %d %q %x\n", order.Table, order.Endpoint, floatBits(order.Weight))
 		case ClearTable:
 			write("2 %d\n", order.Table)
 		case AttachTable:
 			write("3 %d %d %d\n", order.Proxy, order.Table, order.RequestClasses)
 		case SetRateLimit:
-			write("4 %d %d %x %d\n", order.Table, order.RequestClasses, bits(order.Limit), order.Retries)
+			write("4 %d %d %x %d\n", order.Table, order.RequestClasses, floatBits(order.Limit), order.Retries)
 		case AcknowledgmentRequest:
 			write("5 %d %t\n", order.Sequence, order.AllProxies)
 		case SetTimer:
-			write("6 %x %d\n", bits(order.Delay), order.ID)
+			write("6 %x %d\n", floatBits(order.Delay), order.ID)
 		case WatchEndpoints:
 			write("7 %t\n", order.Enabled)
 		case Log:
@@ -45,24 +46,25 @@
 	}
 }
 
-// playZonesDay runs a day that reports busy endpoints in one zone, quick failures at idle endpoints, and then idle ones that
-// answer.
-func playZonesDay(t *testing.T) *model {
+// runZoneLoadScenario runs four phases of 15 s. First the endpoints of zone x are nearly full, then they are
+// moderately busy. In the third phase most attempts at idle endpoints fail quickly, and in the last one idle
+// endpoints answer all attempts.
+func runZoneLoadScenario(t *testing.T) *model {
 	t.Helper()
-	sim := calmModel(t)
+	sim := newFaultFreeModel(t)
 	phases := []struct {
-		busyLocal, busyRemote float64
-		failed                int
+		busyInX, busyElsewhere float64
+		failed                 int
 	}{{0.95, 0.3, 0}, {0.6, 0.3, 0}, {0.3, 0.3, 6}, {0.3, 0.3, 0}}
 	for _, phase := range phases {
 		for range 15 {
 			for _, e := range sim.endpoints {
-				busy := phase.busyRemote
+				busyFraction := phase.busyElsewhere
 				if e.Zone == "x" {
-					busy = phase.busyLocal
+					busyFraction = phase.busyInX
 				}
 				sim.step(0, EndpointLoadReport{Zone: e.Zone, Endpoint: e.Name, Interval: 1, MeanLatency: 0.1, Attempts: 9,
-					Failed: phase.failed, Load: []float64{busy}})
+					Failed: phase.failed, Load: []float64{busyFraction}})
 			}
 			sim.step(0.8)
 		}
@@ -70,76 +72,78 @@
 	return sim
 }
 
-// playOverloadDay runs a day with a wide overload and its end.
-func playOverloadDay(t *testing.T) *model {
+// runOverloadScenario runs an overload of all endpoints for 12 s and then a low load for 40 s.
+func runOverloadScenario(t *testing.T) *model {
 	t.Helper()
-	sim := calmModel(t)
+	sim := newFaultFreeModel(t)
 	sim.run(12, 2.5)
 	sim.run(40, 0.3)
 	return sim
 }
 
-// playReleaseDay digests six seconds of a release in a large fleet.
-func playReleaseDay(t *testing.T) hash.Hash {
+// runReleaseScenario runs six seconds of a release in a large deployment and returns the digest of the orders.
+func runReleaseScenario(t *testing.T) hash.Hash {
 	t.Helper()
 	digest := sha256.New()
-	a, batch := releaseModel(t, 240, 200)
+	assigner, handleBatch := newReleaseAssigner(t, 240, 200)
 	for step := range 60 {
-		now := a.now + 0.1
-		digestOrders(digest, now, a.Handle(now, releaseEvents(step, 240)))
-		batch(0.1)
+		now := assigner.now + 0.1
+		digestOrders(digest, now, assigner.Handle(now, releaseEvents(step, 240)))
+		handleBatch(0.1)
 	}
 	return digest
 }
 
-// digestedDay is a day whose orders are digested.
-type digestedDay struct {
+// digestScenario is a named, seeded scenario. Its run function returns the digest of all orders.
+type digestScenario struct {
 	name string
-	play func(t *testing.T) hash.Hash
+	run  func(t *testing.T) hash.Hash
 }
 
-// roughDays returns rough days of a number of seeds, with another configuration.
-func roughDays(name string, seeds int64, change func(*Config)) (days []digestedDay) {
-	for seed := range seeds {
-		days = append(days, digestedDay{fmt.Sprintf("%s-%d", name, seed), func(*testing.T) hash.Hash {
-			return playRoughDayWith(seed, change).digest
+// randomFaultScenarios returns a scenario of random faults for each seed from 0 up to, but not including, seedCount.
+// The function changeConfig modifies the configuration.
+func randomFaultScenarios(name string, seedCount int64, changeConfig func(*Config)) (scenarios []digestScenario) {
+	for seed := range seedCount {
+		scenarios = append(scenarios, digestScenario{fmt.Sprintf("%s-%d", name, seed), func(*testing.T) hash.Hash {
+			return runRandomFaultsWith(seed, changeConfig).digest
 		}})
 	}
-	return days
+	return scenarios
 }
 
-// digestedDays returns the days in the order of the file in testdata.
-func digestedDays() []digestedDay {
+// digestScenarios returns all scenarios in the order in which testdata/order_digests.txt lists them.
+func digestScenarios() []digestScenario {
 	return slices.Concat(
-		roughDays("rough", 40, func(*Config) {}),
-		roughDays("ratio", 5, func(config *Config) { config.Admission = AdmitByRatio }),
-		roughDays("off", 5, func(config *Config) { config.Admission = AdmitAll }),
-		roughDays("asked", 5, func(config *Config) { config.DiscoveryMode = DiscoveryOnRequest }),
-		roughDays("no-load", 5, func(config *Config) { config.Reports.LoadMetrics = nil }),
-		roughDays("own-zone", 5, func(config *Config) { config.RequestClasses[0].OwnZoneOnly = true }),
-		roughDays("few-settings", 5, func(config *Config) {
+		randomFaultScenarios("rough", 40, func(*Config) {}),
+		randomFaultScenarios("ratio", 5, func(config *Config) { config.Admission = AdmitByRatio }),
+		randomFaultScenarios("off", 5, func(config *Config) { config.Admission = AdmitAll }),
+		randomFaultScenarios("asked", 5, func(config *Config) { config.DiscoveryMode = DiscoveryOnRequest }),
+		randomFaultScenarios("no-load", 5, func(config *Config) { config.Reports.LoadMetrics = nil }),
+		randomFaultScenarios("own-zone", 5, func(config *Config) { config.RequestClasses[0].OwnZoneOnly = true }),
+		randomFaultScenarios("few-settings", 5, func(config *Config) {
 			config.WarmUp = DefaultConfig().WarmUp
 			config.Channel.MessageOverhead = DefaultConfig().Channel.MessageOverhead
 			config.Retries = 0
 		}),
-		[]digestedDay{
-			{"zones", func(t *testing.T) hash.Hash { t.Helper(); return playZonesDay(t).digest }},
-			{"overload", func(t *testing.T) hash.Hash { t.Helper(); return playOverloadDay(t).digest }},
-			{"release", playReleaseDay},
+		[]digestScenario{
+			{"zones", func(t *testing.T) hash.Hash { t.Helper(); return runZoneLoadScenario(t).digest }},
+			{"overload", func(t *testing.T) hash.Hash { t.Helper(); return runOverloadScenario(t).digest }},
+			{"release", runReleaseScenario},
 		},
 	)
 }
 
-// TestOrdersMatchDigests replays seeded days of the model and compares a digest of all their orders with the one recorded
-// in testdata. A change that is meant to keep every decision keeps every digest.
+// TestOrdersMatchDigests runs seeded scenarios of the model and compares a digest of all orders of each scenario with
+// the digest recorded in testdata. It guards against unintended changes of decisions: a refactoring must not change a
+// digest.
 func TestOrdersMatchDigests(t *testing.T) {
-	days := digestedDays()
-	digests := make([]string, len(days))
-	t.Run("days", func(t *testing.T) { // returns once all of them were played
-		for i, day := range days {
-			t.Run(day.name, func(t *testing.T) {
+	scenarios := digestScenarios()
+	digests := make([]string, len(scenarios))
+	t.Run("scenarios", func(t *testing.T) { // returns after all parallel subtests have ended
+		for i, scenario := range scenarios {
+			t.Run(scenario.name, func(t *testing.T) {
 				t.Parallel()
-				digests[i] = fmt.Sprintf("%s %s\n", day.name, hex.EncodeToString(day.play(t).Sum(nil)))
+				digests[i] = fmt.Sprintf("%s %s\n", scenario.name, hex.EncodeToString(scenario.run(t).Sum(nil)))
 			})
 		}
 	})
--- a/assign/example_test.go
+++ b/assign/example_test.go
@@ -6,8 +6,9 @@
 	"madderhollow/assign"
 )
 
-// An assigner orders nothing for a fresh proxy while its zone is healthy. When an endpoint drains, the proxy's default table
-// may hold it, so the proxy gets an assigned table without it.
+// The assigner sends no orders for a newly started proxy while all endpoints of the proxy's zone are healthy. When an
+// endpoint drains, the proxy's default table may have an entry of it. The assigner therefore attaches a table without
+// that endpoint.
 func ExampleAssigner_Handle() {
 	config := assign.DefaultConfig()
 	config.RequestClasses = []assign.RequestClassConfig{{Name: "read", LatencyObjective: 0.5}}
@@ -17,7 +18,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		endpoints = append(endpoints, assign.Endpoint{Zone: "x", Name: name, Weight: 1})
 	}
-	const start = 1000.0 // s
+	const start = 1000.0 // time of the first batch, s
 	show(assigner.Handle(start, []assign.Event{
 		assign.EndpointUpdate{Full: true, Endpoints: endpoints},
 		assign.ProxyConnected{Proxy: 7, Zone: "x", TypicalRate: 10, DefaultTablesOnly: true},
@@ -39,7 +40,8 @@
 	// acknowledge message 1
 }
 
-// show prints the orders of a batch. A host executes them: it sets timers and sends the rest to the proxies.
+// show prints the orders of a batch. A host executes the orders instead: it sets the timers and sends all other
+// orders to the proxies.
 func show(orders []assign.Order) {
 	for _, order := range orders {
 		switch order := order.(type) {
--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -9,210 +9,219 @@
 	"madderhollow/assign/membership"
 )
 
-// Each test of this file guards against a fault that docs/incidents describes.
+// Each test in this file guards against a fault that was found in an earlier version and is described in
+// docs/incidents.
 
-// TestTableOfLastResortKeepsRateCap has tables narrow and every endpoint warming up. Each proxy then holds at least two
-// endpoints, at finite weights, and a rate cap protects them.
-func TestTableOfLastResortKeepsRateCap(t *testing.T) {
+// TestShrunkTablesOfWarmingEndpointsAreRateCapped covers tables that are built while connections are scarce, which
+// shrinks tables, and while every endpoint is warming up. Each table must then have at least two entries of finite
+// weight, and a rate cap must protect the endpoints.
+func TestShrunkTablesOfWarmingEndpointsAreRateCapped(t *testing.T) {
 	config := modelConfig()
 	host := newTestHost(t, config)
-	for range 15 { // most attempts at idle endpoints fail, the others are answered quickly
-		host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: 6, Load: []float64{0.3}})
+	for range 15 { // most attempts at idle endpoints fail, and the other attempts are answered quickly
+		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: 6, Load: []float64{0.3}})
 	}
-	for i := range host.listed {
-		host.listed[i].StartedAt = host.now - config.WarmUp.OverloadWindow - 0.5
+	for i := range host.listedEndpoints {
+		host.listedEndpoints[i].StartedAt = host.now - config.WarmUp.OverloadWindow - 0.5
 	}
-	host.handle(0.1, EndpointUpdate{Full: true, Endpoints: host.listed})
-	checkTables(t, host.assigner)
+	host.handle(0.1, EndpointUpdate{Full: true, Endpoints: host.listedEndpoints})
+	checkBuiltTables(t, host.assigner)
 	host.handle(1)
 	for proxy, zone := range config.Zones {
 		for class := range config.RequestClasses {
-			table := host.tables[tableOf{proxy, class}]
-			if got := len(host.weights[table]); got < 2 {
+			table := host.attachedTables[proxyClassKey{proxy, class}]
+			if got := len(host.entryWeights[table]); got < 2 {
 				t.Errorf("zone %s, class %d: got a table of %d entries, want 2 or more", zone, class, got)
 			}
-			highest := highestRateCap(config)
-			limit, limited := host.limits[limitOf{table, class}]
-			if !limited || limit <= 0 || limit > highest {
+			maxCap := maxRateCap(config)
+			limit, hasLimit := host.rateLimits[tableClassKey{table, class}]
+			if !hasLimit || limit <= 0 || limit > maxCap {
 				t.Errorf("zone %s, class %d: got rate cap %g/s (ordered: %t), want above 0 and at most %g/s",
-					zone, class, limit, limited, highest)
+					zone, class, limit, hasLimit, maxCap)
 			}
 		}
 	}
 }
 
-// TestReportOfUnknownProxyMakesNoZone sends events of a proxy that never connected. They change no order.
-func TestReportOfUnknownProxyMakesNoZone(t *testing.T) {
-	const unknown = 0 // below the connected proxy's number
+// TestEventOfUnknownProxyCreatesNoZone checks that an event of a proxy that never connected creates no zone record
+// without a name and changes no order.
+func TestEventOfUnknownProxyCreatesNoZone(t *testing.T) {
+	const unknownProxy = 0 // proxy number, lower than that of the connected proxy
 	for _, test := range []struct {
 		name  string
 		event Event
 	}{
-		{"traffic report", ProxyTrafficReport{Proxy: unknown, RequestClass: "read", Interval: 1, Requests: 5}},
-		{"acknowledgment", Acknowledged{Proxy: unknown, Sequence: 1}},
-		{"disconnection", ProxyDisconnected{Proxy: unknown}},
+		{"traffic report", ProxyTrafficReport{Proxy: unknownProxy, RequestClass: "read", Interval: 1, Requests: 5}},
+		{"acknowledgment", Acknowledged{Proxy: unknownProxy, Sequence: 1}},
+		{"disconnection", ProxyDisconnected{Proxy: unknownProxy}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			without, _ := ordersInSmallZone()
-			with, assigner := ordersInSmallZone(test.event)
+			weightsWithout, _ := weightsInSmallZone()
+			weightsWith, assigner := weightsInSmallZone(test.event)
 			for _, name := range zoneNames(assigner) {
 				if name == "" {
 					t.Error("got a zone without a name, want none")
 				}
 			}
-			for endpoint, want := range without {
-				if got := with[endpoint]; got != want {
+			for endpoint, want := range weightsWithout {
+				if got := weightsWith[endpoint]; got != want {
 					t.Errorf("endpoint %s: got weight %g, want %g as without the event", endpoint, got, want)
 				}
 			}
-			if len(without) == 0 || len(with) != len(without) {
-				t.Errorf("got a table of %d entries, want %d as without the event", len(with), len(without))
+			if len(weightsWithout) == 0 || len(weightsWith) != len(weightsWithout) {
+				t.Errorf("got a table of %d entries, want %d as without the event", len(weightsWith), len(weightsWithout))
 			}
 		})
 	}
 }
 
-// ordersInSmallZone returns the weights ordered for a proxy of zone x, which has one endpoint while zone y has twelve.
-// The first batch has the additional events too.
-func ordersInSmallZone(additional ...Event) (weights map[string]float64, assigner *Assigner) {
+// weightsInSmallZone returns the weights that the assigner orders for a proxy of zone x. Zone x has one endpoint, and
+// zone y has twelve. The first batch also has additionalEvents.
+func weightsInSmallZone(additionalEvents ...Event) (weights map[string]float64, assigner *Assigner) {
 	assigner = New(1, modelConfig())
-	listed := append(newEndpoints("y", 12), Endpoint{Zone: "x", Name: "x0", Weight: 1})
+	listedEndpoints := append(newEndpoints("y", 12), Endpoint{Zone: "x", Name: "x0", Weight: 1})
 	for i := range 12 {
-		listed[i].Zone = "y"
+		listedEndpoints[i].Zone = "y"
 	}
-	assigner.Handle(1000, append(additional, EndpointUpdate{Full: true, Endpoints: listed}))
+	assigner.Handle(1000, append(additionalEvents, EndpointUpdate{Full: true, Endpoints: listedEndpoints}))
 	weights = map[string]float64{}
 	for _, order := range assigner.Handle(1001, []Event{ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 10}}) {
-		if o, ok := order.(SetWeight); ok && o.Table%modelGroups == 0 {
-			weights[o.Endpoint] = o.Weight
+		if entry, ok := order.(SetWeight); ok && entry.Table%modelTableGroupCount == 0 {
+			weights[entry.Endpoint] = entry.Weight
 		}
 	}
 	return weights, assigner
 }
 
-// TestEndpointWithoutLatencyObjectiveKeepsTotalFinite has a request class without a latency objective and, in a wide
-// overload, an endpoint that answers nothing. The overload still brings a total rate and rate limits.
-func TestEndpointWithoutLatencyObjectiveKeepsTotalFinite(t *testing.T) {
+// TestTotalRateIsFiniteWithoutLatencyObjectives covers request classes without a latency objective during an overload
+// of all endpoints, one of which answers nothing. The overload must still result in a finite total rate and in rate
+// limits.
+func TestTotalRateIsFiniteWithoutLatencyObjectives(t *testing.T) {
 	config := modelConfig()
 	for i := range config.RequestClasses {
 		config.RequestClasses[i].LatencyObjective = 0
 	}
 	host := newTestHost(t, config)
-	host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
-	host.failing[host.listed[0].Name] = true
-	host.requests = 8 // of each class: more than the 48/s that the endpoints answer
+	host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
+	host.failingEndpoints[host.listedEndpoints[0].Name] = true
+	host.requestsPerClass = 8 // requests per second of each class, more in total than the 48/s that the endpoints answer
 	for second := range 5 {
-		host.reportAll(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
+		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
 		if total := totalRate(host.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
-			t.Fatalf("after %d s: got a total of %g/s, want a finite one", second+1, total)
+			t.Fatalf("after %d s: got a total rate of %g/s, want a finite rate", second+1, total)
 		}
 	}
-	if len(host.limits) == 0 {
-		t.Error("got no rate limit in an overload, want some")
+	if len(host.rateLimits) == 0 {
+		t.Error("got no rate limit during an overload, want at least one")
 	}
-	for of, limit := range host.limits {
+	for key, limit := range host.rateLimits {
 		if math.IsNaN(limit) || limit < 0 {
-			t.Errorf("table %d, class %d: got limit %g/s, want 0 or more", of.table, of.class, limit)
+			t.Errorf("table %d, class %d: got rate limit %g/s, want 0 or more", key.table, key.class, limit)
 		}
 	}
 }
 
-// TestWarmingEndpointNextToFailingOnesKeepsRateCap has a class that may not leave its zone, in which one endpoint warms up
-// and all others fail every attempt. A rate cap protects the warming one.
-func TestWarmingEndpointNextToFailingOnesKeepsRateCap(t *testing.T) {
+// TestWarmingEndpointAmongFailingOnesIsRateCapped covers a request class that may not leave its zone, where one
+// endpoint warms up and all others fail every attempt. Proxies avoid the failing endpoints, so a rate cap must
+// protect the warming one.
+func TestWarmingEndpointAmongFailingOnesIsRateCapped(t *testing.T) {
 	config := modelConfig()
 	config.RequestClasses[0].OwnZoneOnly = true
 	host := newTestHost(t, config)
-	table := host.tables[tableOf{0, 0}]
-	warming := &host.listed[1]
-	for _, endpoint := range host.listed {
-		host.failing[endpoint.Name] = endpoint.Zone == warming.Zone && endpoint.Name != warming.Name
+	table := host.attachedTables[proxyClassKey{0, 0}]
+	warmingEndpoint := &host.listedEndpoints[1]
+	for _, endpoint := range host.listedEndpoints {
+		host.failingEndpoints[endpoint.Name] = endpoint.Zone == warmingEndpoint.Zone && endpoint.Name != warmingEndpoint.Name
 	}
-	answers := EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}}
+	answeredReport := EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}}
 	for range 3 {
-		host.reportAll(answers)
+		host.reportAllEndpoints(answeredReport)
 	}
-	warming.StartedAt = host.now - config.WarmUp.OverloadWindow
-	host.handle(0.1, EndpointUpdate{Endpoints: []Endpoint{*warming}})
+	warmingEndpoint.StartedAt = host.now - config.WarmUp.OverloadWindow
+	host.handle(0.1, EndpointUpdate{Endpoints: []Endpoint{*warmingEndpoint}})
 	for range 2 {
-		host.reportAll(answers)
+		host.reportAllEndpoints(answeredReport)
 	}
-	if host.weights[table][warming.Name] == 0 {
-		t.Fatalf("got table %v, want the warming endpoint %s in it", host.weights[table], warming.Name)
+	if host.entryWeights[table][warmingEndpoint.Name] == 0 {
+		t.Fatalf("got table %v, want an entry of the warming endpoint %s", host.entryWeights[table], warmingEndpoint.Name)
 	}
-	highest := highestRateCap(config)
-	if limit, limited := host.limits[limitOf{table, 0}]; !limited || limit > highest {
-		t.Errorf("got rate cap %g/s (ordered: %t), want at most %g/s", limit, limited, highest)
+	maxCap := maxRateCap(config)
+	if limit, hasLimit := host.rateLimits[tableClassKey{table, 0}]; !hasLimit || limit > maxCap {
+		t.Errorf("got rate cap %g/s (ordered: %t), want at most %g/s", limit, hasLimit, maxCap)
 	}
 }
 
-// highestRateCap returns the slow-start rate cap of a class at a proxy of a testHost whose table has its usual weight, 1/s.
-func highestRateCap(config Config) float64 {
-	expected := proxyTypicalRate / float64(len(config.RequestClasses))
-	return 0.5 * config.WarmUp.OverloadMultiple * (expected + 2*math.Sqrt(expected))
+// maxRateCap returns the highest slow-start rate cap, in requests per second, of a request class at a proxy of a
+// testHost. It is the cap of a table that can serve its full usual weight.
+func maxRateCap(config Config) float64 {
+	expectedRate := testHostTypicalRate / float64(len(config.RequestClasses))
+	return 0.5 * config.WarmUp.OverloadMultiple * (expectedRate + 2*math.Sqrt(expectedRate))
 }
 
-// TestOverloadedZoneNewWithinTickGetsTable has the endpoint list, a proxy and reports of nearly full endpoints between the
-// first tick and the second. The proxy gets a table.
-func TestOverloadedZoneNewWithinTickGetsTable(t *testing.T) {
+// TestOverloadedZoneCreatedBetweenTicksGetsTable guards against a panic when a zone is created between two ticks. The
+// endpoint list, a proxy and reports of nearly full endpoints arrive after the first tick. The proxy must get a table
+// before the second.
+func TestOverloadedZoneCreatedBetweenTicksGetsTable(t *testing.T) {
 	defer func() {
-		if reason := recover(); reason != nil {
-			t.Errorf("got panic %q, want orders", reason)
+		if panicValue := recover(); panicValue != nil {
+			t.Errorf("got panic %q, want orders", panicValue)
 		}
 	}()
 	assigner := New(1, modelConfig())
 	assigner.Handle(1000, nil)
-	listed := newEndpoints("t", 6)
-	events := []Event{EndpointUpdate{Full: true, Endpoints: listed}}
-	for _, endpoint := range listed {
+	listedEndpoints := newEndpoints("t", 6)
+	events := []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}}
+	for _, endpoint := range listedEndpoints {
 		events = append(events, EndpointLoadReport{Zone: "x", Endpoint: endpoint.Name, Interval: 1, MeanLatency: 0.1,
 			Attempts: 9, Load: []float64{0.95}})
 	}
 	orders := assigner.Handle(1000.2, append(events, ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 10}))
-	entries := 0
+	entryCount := 0
 	for _, order := range orders {
-		if o, ok := order.(SetWeight); ok && o.Weight > 0 {
-			entries++
+		if entry, ok := order.(SetWeight); ok && entry.Weight > 0 {
+			entryCount++
 		}
 	}
-	if entries == 0 {
-		t.Errorf("got orders %v, want entries of a table", orders)
+	if entryCount == 0 {
+		t.Errorf("got orders %v, want at least one entry of positive weight", orders)
 	}
 }
 
-// TestRetriesReturnWithoutRateLimit has an overload and a recovery by tenths, in which the proxies' rate limits exceed what
-// they receive before the limits are removed. Without a limit each class then makes the configured retries again.
-func TestRetriesReturnWithoutRateLimit(t *testing.T) {
+// TestRetriesAreRestoredAfterRateLimitRemoval covers an overload after which the total rate rises by a tenth per
+// tick. The proxies' rate limits exceed the received rates before the assigner removes the limits. Once the limits
+// are removed, each request class must have the configured number of retries again.
+func TestRetriesAreRestoredAfterRateLimitRemoval(t *testing.T) {
 	host := newTestHost(t, modelConfig())
-	host.requests = 8 // of each class: more than the 48/s that the endpoints answer
+	host.requestsPerClass = 8 // requests per second of each class, more in total than the 48/s that the endpoints answer
 	for range 5 {
-		host.reportAll(EndpointLoadReport{MeanLatency: 0.9, Attempts: 9, Failed: 5, Load: []float64{0.95}})
+		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.9, Attempts: 9, Failed: 5, Load: []float64{0.95}})
 	}
-	if len(host.limits) == 0 {
-		t.Fatal("got no rate limit in an overload, want some")
+	if len(host.rateLimits) == 0 {
+		t.Fatal("got no rate limit during an overload, want at least one")
 	}
 	for range 20 {
-		host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 4, Load: []float64{0.7}})
+		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.1, Attempts: 4, Load: []float64{0.7}})
 	}
-	if len(host.limits) != 0 || totalRate(host.assigner) != 0 {
-		t.Fatalf("got limits %v and a total of %g/s after the overload, want none", host.limits, totalRate(host.assigner))
+	if len(host.rateLimits) != 0 || totalRate(host.assigner) != 0 {
+		t.Fatalf("got rate limits %v and a total rate of %g/s after the overload, want none", host.rateLimits, totalRate(host.assigner))
 	}
-	for of, got := range host.retries {
+	for key, got := range host.retries {
 		if want := host.config.Retries; got != want {
-			t.Errorf("table %d, class %d: got %d retries without a rate limit, want %d", of.table, of.class, got, want)
+			t.Errorf("table %d, class %d: got %d retries without a rate limit, want %d", key.table, key.class, got, want)
 		}
 	}
 }
 
-// proxyTypicalRate is the typical rate of each proxy of a testHost, 1/s.
-const proxyTypicalRate = 9.0
+// testHostTypicalRate is the typical request rate of each proxy of a testHost, in requests per second.
+const testHostTypicalRate = 9.0
 
-// TestEndpointListedAgainAfterRetentionIsReady removes an endpoint and lists it again with the next update, once its record may
-// be deleted. The endpoint has to be ready like any other that an update lists.
-func TestEndpointListedAgainAfterRetentionIsReady(t *testing.T) {
+// TestEndpointRelistedAfterRetentionIsReady removes an endpoint and lists it again in the next update, which arrives
+// when the record of the endpoint may already be deleted. The endpoint must be ready, like any other endpoint that an
+// update lists.
+func TestEndpointRelistedAfterRetentionIsReady(t *testing.T) {
 	for _, test := range []struct {
-		name            string
-		listed, removed float64 // how long it was listed without an answer, and how long removed, s
+		name                  string
+		listedFor, removedFor float64 // durations of the listing, without an answer, and of the removal, s
 	}{
 		{"before the retention", 1, membership.RecordRetention - 2},
 		{"after the retention", 1, membership.RecordRetention + 1},
@@ -221,187 +230,193 @@
 		t.Run(test.name, func(t *testing.T) {
 			assigner := New(1, modelConfig())
 			now := 1000.0
-			listed := newEndpoints("x", 4)
-			assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
-			now += test.listed
-			removed := listed[0]
+			listedEndpoints := newEndpoints("x", 4)
+			assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}})
+			now += test.listedFor
+			removed := listedEndpoints[0]
 			removed.State = Removed
 			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
-			now += test.removed
-			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listed[:1]}})
-			if !isReady(assigner, listed[0].Name) {
-				t.Error("got the endpoint not ready after it was listed again, want ready")
+			now += test.removedFor
+			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listedEndpoints[:1]}})
+			if !hasReadyEndpoint(assigner, listedEndpoints[0].Name) {
+				t.Error("got an endpoint that is not ready after it was listed again, want a ready endpoint")
 			}
 		})
 	}
 }
 
-// TestEndpointWithoutWeightTiesAsWeightOne lists endpoints without a weight, which stands for 1. They break ties as endpoints of
-// weight 1 do.
-func TestEndpointWithoutWeightTiesAsWeightOne(t *testing.T) {
+// TestEndpointWithoutWeightBreaksTiesAsWeightOne checks that endpoints listed without a weight, which stands for a
+// weight of 1, get the same tie-break values as endpoints listed with a weight of 1.
+func TestEndpointWithoutWeightBreaksTiesAsWeightOne(t *testing.T) {
 	tieBreaks := func(weight float64) (values []float64) {
 		assigner := New(1, modelConfig())
-		listed := newEndpoints("x", 6)
-		for i := range listed {
-			listed[i].Weight = weight
+		listedEndpoints := newEndpoints("x", 6)
+		for i := range listedEndpoints {
+			listedEndpoints[i].Weight = weight
 		}
-		assigner.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
+		assigner.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}})
 		for _, e := range assigner.endpointList {
 			values = append(values, e.tieBreak)
 		}
 		return values
 	}
 	if got, want := tieBreaks(0), tieBreaks(1); !slices.Equal(got, want) {
-		t.Errorf("got tie breaks %v, want %v as at weight 1", got, want)
+		t.Errorf("got tie-break values %v, want %v, which weight 1 gives", got, want)
 	}
 }
 
-// TestEndpointListedByFirstOfTwoUpdatesIsReady has two updates in one batch, of which the first lists an endpoint again whose
-// record may be deleted.
-func TestEndpointListedByFirstOfTwoUpdatesIsReady(t *testing.T) {
+// TestEndpointRelistedByFirstOfTwoUpdatesIsReady covers a batch with two endpoint updates. The first update lists an
+// endpoint again whose record may be deleted. The second update must not delete the record.
+func TestEndpointRelistedByFirstOfTwoUpdatesIsReady(t *testing.T) {
 	assigner := New(1, modelConfig())
 	now := 1000.0
-	listed := newEndpoints("x", 4)
-	assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listed}})
-	removed := listed[0]
+	listedEndpoints := newEndpoints("x", 4)
+	assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}})
+	removed := listedEndpoints[0]
 	removed.State = Removed
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
 	now += membership.RecordRetention + 1
-	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listed[:1]}, EndpointUpdate{Endpoints: listed[1:]}})
-	if !isReady(assigner, listed[0].Name) {
-		t.Error("got the endpoint not ready after the first update listed it again, want ready")
+	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listedEndpoints[:1]}, EndpointUpdate{Endpoints: listedEndpoints[1:]}})
+	if !hasReadyEndpoint(assigner, listedEndpoints[0].Name) {
+		t.Error("got an endpoint that is not ready after the first update listed it again, want a ready endpoint")
 	}
 }
 
-// testHost is an assigner with a proxy in each zone, numbered as the zones are, and four endpoints a zone. The proxies
-// have assigned tables from the start. Orders take effect at once and are acknowledged in the next batch.
+// testHost hosts an assigner with four endpoints and one proxy per zone. The number of a proxy is the index of its
+// zone. The proxies have assigned tables from the start. Orders take effect at once and are acknowledged in the next
+// batch.
 type testHost struct {
-	assigner *Assigner
-	config   Config
-	now      float64 // s
-	listed   []Endpoint
-	requests int                // of each class that a proxy reports, 1/s
-	failing  map[string]bool    // endpoints that fail every attempt
-	busy     map[string]float64 // busy fraction of the endpoints of a zone, in place of the report's
-	pending  []Event            // acknowledgments for the next batch
+	assigner               *Assigner
+	config                 Config
+	now                    float64            // simulated time, s
+	listedEndpoints        []Endpoint         // endpoints of the current endpoint list
+	requestsPerClass       int                // requests of each class that a proxy reports, 1/s
+	failingEndpoints       map[string]bool    // names of the endpoints that fail every attempt
+	busyByZone             map[string]float64 // busy fractions by zone, which replace those in reports
+	pendingAcknowledgments []Event            // acknowledgments that the next batch passes to the assigner
 
-	tables  map[tableOf]int            // attached
-	weights map[int]map[string]float64 // above 0, by table and endpoint
-	limits  map[limitOf]float64        // ordered last, 1/s; unlimited is not kept
-	retries map[limitOf]int            // ordered last
+	attachedTables map[proxyClassKey]int      // number of the table that each proxy uses for each class
+	entryWeights   map[int]map[string]float64 // positive entry weights, by table number and endpoint name
+	rateLimits     map[tableClassKey]float64  // rate limits in force, 1/s; a class without a limit has no value
+	retries        map[tableClassKey]int      // number of retries ordered last
 }
 
-// tableOf names what a proxy uses for a request class.
-type tableOf struct{ proxy, class int }
+// proxyClassKey identifies a proxy and a request class, which together determine the table in use.
+type proxyClassKey struct{ proxy, class int }
 
-// limitOf names the rate limit of a request class in a table.
-type limitOf struct{ table, class int }
+// tableClassKey identifies a table and a request class, which together determine the rate limit and the retries.
+type tableClassKey struct{ table, class int }
 
+// newTestHost returns a testHost of a configuration after its proxies have received their assigned tables.
 func newTestHost(t *testing.T, config Config) *testHost {
 	t.Helper()
-	host := &testHost{assigner: New(1, config), config: config, now: 1000, requests: 3, failing: map[string]bool{},
-		tables: map[tableOf]int{}, weights: map[int]map[string]float64{}, limits: map[limitOf]float64{},
-		retries: map[limitOf]int{}, busy: map[string]float64{}}
+	host := &testHost{assigner: New(1, config), config: config, now: 1000, requestsPerClass: 3, failingEndpoints: map[string]bool{},
+		attachedTables: map[proxyClassKey]int{}, entryWeights: map[int]map[string]float64{}, rateLimits: map[tableClassKey]float64{},
+		retries: map[tableClassKey]int{}, busyByZone: map[string]float64{}}
 	for _, zone := range config.Zones {
 		for _, endpoint := range newEndpoints(zone, 4) {
 			endpoint.Zone = zone
-			host.listed = append(host.listed, endpoint)
+			host.listedEndpoints = append(host.listedEndpoints, endpoint)
 		}
 	}
-	host.handle(0, EndpointUpdate{Full: true, Endpoints: host.listed})
+	host.handle(0, EndpointUpdate{Full: true, Endpoints: host.listedEndpoints})
 	for proxy, zone := range config.Zones {
-		host.handle(0.1, ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: proxyTypicalRate})
+		host.handle(0.1, ProxyConnected{Proxy: proxy, Zone: zone, TypicalRate: testHostTypicalRate})
 	}
 	host.handle(1)
-	if len(host.tables) != len(config.Zones)*len(config.RequestClasses) {
-		t.Fatalf("got %d attached tables, want one a proxy and class", len(host.tables))
+	if len(host.attachedTables) != len(config.Zones)*len(config.RequestClasses) {
+		t.Fatalf("got %d attached tables, want one for each proxy and class", len(host.attachedTables))
 	}
 	return host
 }
 
-// handle passes time and applies the orders of one batch.
+// handle advances the clock by the given number of seconds, passes the pending acknowledgments and the events to the
+// assigner, and applies the orders that it returns.
 func (h *testHost) handle(seconds float64, events ...Event) {
 	h.now += seconds
-	orders := h.assigner.Handle(h.now, append(h.pending, events...))
-	h.pending = nil
+	orders := h.assigner.Handle(h.now, append(h.pendingAcknowledgments, events...))
+	h.pendingAcknowledgments = nil
 	for _, order := range orders {
 		switch order := order.(type) {
 		case ClearTable:
-			h.weights[order.Table] = map[string]float64{}
+			h.entryWeights[order.Table] = map[string]float64{}
 		case SetWeight:
-			h.weights[order.Table][order.Endpoint] = order.Weight
+			h.entryWeights[order.Table][order.Endpoint] = order.Weight
 			if order.Weight == 0 {
-				delete(h.weights[order.Table], order.Endpoint)
+				delete(h.entryWeights[order.Table], order.Endpoint)
 			}
 		case SetRateLimit:
-			h.setLimit(order)
+			h.applyRateLimit(order)
 		case AttachTable:
 			for _, class := range order.RequestClasses {
-				h.tables[tableOf{order.Proxy, class}] = order.Table
+				h.attachedTables[proxyClassKey{order.Proxy, class}] = order.Table
 			}
 		case AcknowledgmentRequest:
 			for proxy := range h.config.Zones {
-				h.pending = append(h.pending, Acknowledged{Proxy: proxy, Sequence: order.Sequence})
+				h.pendingAcknowledgments = append(h.pendingAcknowledgments, Acknowledged{Proxy: proxy, Sequence: order.Sequence})
 			}
 		}
 	}
 }
 
-func (h *testHost) setLimit(order SetRateLimit) {
+// applyRateLimit records the rate limit and the retries that an order sets.
+func (h *testHost) applyRateLimit(order SetRateLimit) {
 	for _, class := range order.RequestClasses {
-		of := limitOf{order.Table, class}
-		h.limits[of] = order.Limit
-		h.retries[of] = order.Retries
+		key := tableClassKey{order.Table, class}
+		h.rateLimits[key] = order.Limit
+		h.retries[key] = order.Retries
 		if order.Limit >= admission.Unlimited {
-			delete(h.limits, of)
+			delete(h.rateLimits, key)
 		}
 	}
 }
 
-// reportAll passes a second in which the proxies of each endpoint's zone report the same of it, and each proxy
-// its requests.
-func (h *testHost) reportAll(report EndpointLoadReport) {
+// reportAllEndpoints advances the clock by one second and reports that second. The proxies of each endpoint's zone
+// give the same report on every endpoint, apart from the failing endpoints and the busy fractions of the host. Each
+// proxy reports its traffic.
+func (h *testHost) reportAllEndpoints(report EndpointLoadReport) {
 	var events []Event
-	for _, endpoint := range h.listed {
-		each := report
-		each.Zone, each.Endpoint, each.Interval = endpoint.Zone, endpoint.Name, 1
-		if h.failing[endpoint.Name] {
-			each.Failed, each.MeanLatency = each.Attempts, 0
+	for _, endpoint := range h.listedEndpoints {
+		endpointReport := report
+		endpointReport.Zone, endpointReport.Endpoint, endpointReport.Interval = endpoint.Zone, endpoint.Name, 1
+		if h.failingEndpoints[endpoint.Name] {
+			endpointReport.Failed, endpointReport.MeanLatency = endpointReport.Attempts, 0
 		}
-		if busy, ok := h.busy[endpoint.Zone]; ok {
-			each.Load = []float64{busy}
+		if busy, ok := h.busyByZone[endpoint.Zone]; ok {
+			endpointReport.Load = []float64{busy}
 		}
-		events = append(events, each)
+		events = append(events, endpointReport)
 	}
 	for proxy := range h.config.Zones {
 		for _, class := range h.config.RequestClasses {
-			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: h.requests})
+			events = append(events, ProxyTrafficReport{Proxy: proxy, RequestClass: class.Name, Interval: 1, Requests: h.requestsPerClass})
 		}
 	}
 	h.handle(1, events...)
 }
 
-// The functions below are all that this file knows of the records.
+// The functions below are the only ones in this file that access the internal records of the assigner.
 
-// checkTables checks that each table that a connected proxy would get now has finite weights and carries something.
-func checkTables(t *testing.T, assigner *Assigner) {
+// checkBuiltTables checks every table that the assigner would build now for a proxy. All entries must have finite
+// weights, and the table must have some capacity.
+func checkBuiltTables(t *testing.T, assigner *Assigner) {
 	t.Helper()
-	for _, p := range assigner.proxies {
+	for _, proxy := range assigner.proxies {
 		for _, group := range assigner.tableGroups {
-			table := p.buildTable(assigner, group)
+			table := proxy.buildTable(assigner, group)
 			for _, entry := range table.Entries {
 				if math.IsInf(entry.Weight, 0) || math.IsNaN(entry.Weight) {
-					t.Errorf("proxy %d, table %d: got weight %g of %s, want a finite one", p.id, group.index, entry.Weight, entry.Endpoint.name)
+					t.Errorf("proxy %d, table %d: got weight %g of %s, want a finite weight", proxy.id, group.index, entry.Weight, entry.Endpoint.name)
 				}
 			}
 			if table.WarmingCapacity <= 0 {
-				t.Errorf("proxy %d, table %d: got capacity %g, want above 0", p.id, group.index, table.WarmingCapacity)
+				t.Errorf("proxy %d, table %d: got capacity %g, want above 0", proxy.id, group.index, table.WarmingCapacity)
 			}
 		}
 	}
 }
 
-// zoneNames returns the names of the zones that the assigner has a record of.
+// zoneNames returns the names of all zones of which the assigner has a record.
 func zoneNames(assigner *Assigner) (names []string) {
 	for _, z := range assigner.zones {
 		names = append(names, z.name)
@@ -409,11 +424,11 @@
 	return names
 }
 
-// totalRate returns the total rate, 1/s; 0 if none is set.
+// totalRate returns the total rate that the proxies may admit, in requests per second. It is 0 if no total rate is set.
 func totalRate(assigner *Assigner) float64 { return assigner.totalRate }
 
-// isReady reports whether the assigner has a record of a ready endpoint of a name.
-func isReady(assigner *Assigner, name string) bool {
+// hasReadyEndpoint reports whether the assigner has a record of the named endpoint and the endpoint is ready.
+func hasReadyEndpoint(assigner *Assigner, name string) bool {
 	e := assigner.endpointsByName[name]
 	return e != nil && e.ready()
 }
--- a/assign/known_table_faults_test.go
+++ b/assign/known_table_faults_test.go
@@ -2,12 +2,14 @@
 
 import "testing"
 
-// Like those of known_faults_test.go, the tests of this file guard against faults that docs/incidents describes: here of tables
-// that request classes restricted to some zones, or proxies of the only zone, should hold.
+// Like the tests in known_faults_test.go, each test in this file guards against a fault that docs/incidents
+// describes. These faults concern the tables of request classes that may use only some zones, and the tables of
+// deployments with one zone.
 
-// TestOverloadedZoneFillsTablesWithoutRemoteEndpoints has an overloaded zone of four endpoints and classes that may use no
-// others. What spills over has nowhere to go, so a table holds all four.
-func TestOverloadedZoneFillsTablesWithoutRemoteEndpoints(t *testing.T) {
+// TestOverloadedZoneKeepsFullTablesWithoutRemoteEndpoints covers an overloaded zone of four endpoints where a request
+// class may use no endpoints of other zones. Traffic cannot spill over, so the class's table must have all four
+// endpoints.
+func TestOverloadedZoneKeepsFullTablesWithoutRemoteEndpoints(t *testing.T) {
 	singleZone := modelConfig()
 	singleZone.Zones = []string{"x"}
 	ownZoneOnly := modelConfig()
@@ -21,43 +23,44 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			host := newTestHost(t, test.config)
-			host.busy["x"] = 0.85
+			host.busyByZone["x"] = 0.85
 			for range 20 {
-				host.reportAll(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}})
+				host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.3}})
 			}
-			table := host.weights[host.tables[tableOf{0, 0}]]
+			table := host.entryWeights[host.attachedTables[proxyClassKey{0, 0}]]
 			if got := len(table); got != 4 {
-				t.Errorf("got %d entries %v, want all 4 endpoints of the zone", got, table)
+				t.Errorf("got %d entries %v, want entries of all 4 endpoints of the zone", got, table)
 			}
 		})
 	}
 }
 
-// TestRestrictedTableHoldsUsualWeight has a class that may use two zones of three, and its zone loses half of its weight. The
-// table holds the zone's usual weight, scaled by what remains: three quarters in the zones allowed, five sixths in all zones.
-func TestRestrictedTableHoldsUsualWeight(t *testing.T) {
-	const restricted = 2 // the class "sign"
+// TestRestrictedTableKeepsUsualWeightAfterCapacityLoss covers a request class that may use two of three zones after
+// its own zone has lost half of its weight. Remote entries must make up for the loss, up to the zone's usual weight
+// scaled by the fraction of weight that is left: three quarters in the allowed zones, and five sixths in all zones.
+func TestRestrictedTableKeepsUsualWeightAfterCapacityLoss(t *testing.T) {
+	const restrictedClass = 2 // index of the request class "sign"
 	host := newTestHost(t, modelConfig())
-	var lost []Endpoint
-	for _, endpoint := range host.listed {
-		if endpoint.Zone == "x" && len(lost) < 2 {
+	var removed []Endpoint
+	for _, endpoint := range host.listedEndpoints {
+		if endpoint.Zone == "x" && len(removed) < 2 {
 			endpoint.State = Removed
-			lost = append(lost, endpoint)
+			removed = append(removed, endpoint)
 		}
 	}
-	host.handle(0.1, EndpointUpdate{Endpoints: lost})
+	host.handle(0.1, EndpointUpdate{Endpoints: removed})
 	host.handle(1)
-	var local, remote float64
-	for _, endpoint := range host.listed {
-		weight := host.weights[host.tables[tableOf{0, restricted}]][endpoint.Name]
+	var localWeight, remoteWeight float64
+	for _, endpoint := range host.listedEndpoints {
+		weight := host.entryWeights[host.attachedTables[proxyClassKey{0, restrictedClass}]][endpoint.Name]
 		if endpoint.Zone == "x" {
-			local += weight
+			localWeight += weight
 		} else {
-			remote += weight
+			remoteWeight += weight
 		}
 	}
-	const ofAllowed, ofAll = 1 - 1.0/2/(3.0/4), 1 - 1.0/2/(5.0/6)
-	if got := remote / (local + remote); got < ofAllowed-1e-9 || got > ofAll+1e-9 {
-		t.Errorf("got remote part %g of the table's weight, want %g (of the zones allowed) to %g (of all)", got, ofAllowed, ofAll)
+	const minRemotePart, maxRemotePart = 1 - 1.0/2/(3.0/4), 1 - 1.0/2/(5.0/6)
+	if got := remoteWeight / (localWeight + remoteWeight); got < minRemotePart-1e-9 || got > maxRemotePart+1e-9 {
+		t.Errorf("got remote part %g of the table's weight, want %g (scaled by allowed zones) to %g (scaled by all zones)", got, minRemotePart, maxRemotePart)
 	}
 }
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -11,67 +11,73 @@
 	"madderhollow/assign/subset"
 )
 
-// The model's deployment. Its request classes share two tables per proxy, see modelConfig.
+// The constants describe the deployment that a model simulates. Each proxy has two tables for its three request
+// classes, see modelConfig.
 const (
-	modelStart         = 1000.0 // s
-	modelClasses       = 3
-	modelGroups        = 2
-	modelDefaultSize   = 4  // endpoints of a default table
-	modelMinLocal      = 3  // endpoints of its own zone with which a default table needs no others
-	modelMessageLimit  = 20 // messages to a proxy within modelMessageWindow
-	modelMessageWindow = 10.0
-	modelNominalRate   = 1000.0 // lines per second that the channel should take
-	defaultTable       = -1     // in place of a table's number
+	modelStartTime          = 1000.0 // time at which a simulation starts, s
+	modelClassCount         = 3      // number of request classes
+	modelTableGroupCount    = 2      // number of assigned tables per proxy
+	modelDefaultTableSize   = 4      // number of endpoints in a default table
+	modelMinLocalEndpoints  = 3      // least number of local endpoints with which a default table has no remote ones
+	modelMessageLimit       = 20     // number of messages that a proxy may receive within modelMessageWindow
+	modelMessageWindow      = 10.0   // period over which messages to a proxy are counted, s
+	modelConfiguredLineRate = 1000.0 // number of lines per second that the channel should transmit
+	defaultTableNumber      = -1     // number that stands for the default table of a proxy
 )
 
-// model is a small model of proxies, their tables and the channel: enough to check the guarantees of docs/design.md that
-// orders alone decide. It carries no load.
+// model simulates proxies, their tables and the channel. It checks the guarantees of docs/design.md that can be
+// checked from the orders alone. It does not simulate the load of endpoints.
 type model struct {
-	random          *rand.Rand
+	random          *rand.Rand // source of all random choices of the simulation
 	config          Config
 	assigner        *Assigner
-	now             float64
-	channelRate     float64 // that the channel really takes, lines per second
-	channelFreeAt   float64
+	now             float64 // simulated time, s
+	channelLineRate float64 // rate at which the channel transmits, lines per second; at most modelConfiguredLineRate
+	channelFreeAt   float64 // time at which the channel has transmitted all queued lines, s
 	endpoints       []*modelEndpoint
 	proxies         []*modelProxy
-	timers          []float64
-	inTransit       []modelMessage
-	acknowledgments []Event            // for the next batch
-	goneSince       map[string]float64 // when the assigner was notified that an endpoint drains or is removed
-	log             []string           // every order, to compare two runs
-	digest          hash.Hash          // of every order, to compare with an earlier build
-	violation       string             // the first broken guarantee
+	timers          []float64          // times at which the timers that the assigner set are due, s
+	inTransit       []modelMessage     // messages that no proxy has applied yet
+	acknowledgments []Event            // acknowledgments that the next batch passes to the assigner
+	notReadySince   map[string]float64 // time of the notice that an endpoint drains or is removed, s
+	orderLog        []string           // text of every order, for the comparison of two runs
+	digest          hash.Hash          // digest of every order, for the comparison with a recorded run
+	firstViolation  string             // description of the first violated guarantee; empty if there is none
 }
 
+// modelEndpoint is a simulated endpoint with its current entry of the endpoint list.
 type modelEndpoint struct {
 	Endpoint
-	failing bool
+	failing bool // every attempt at the endpoint fails
 }
 
+// modelProxy is a simulated proxy with the tables and entries that it has received.
 type modelProxy struct {
-	id            int
-	zone          string
-	connected     bool
-	connectedAt   float64
-	stalledUntil  float64     // it applies nothing before
-	tables        map[int]int // by class
-	defaultTables [][]string  // by class
-	withoutPick   []float64   // for how long, by class, s
-	overBudget    []float64   // for how long it gives warming endpoints too much, by class, s
-	messageTimes  []float64
-	entries       map[int]map[string]float64 // weights by table and endpoint
+	id              int
+	zone            string
+	connected       bool
+	connectedAt     float64                    // time of the last connection, s
+	stalledUntil    float64                    // time until which the proxy applies no message, s
+	tables          map[int]int                // number of the table in use, by request class
+	defaultTables   [][]string                 // names of the endpoints in the default table, by request class
+	timeWithoutPick []float64                  // time for which the table has had no usable endpoint, by request class, s
+	warmingExcess   []float64                  // time with too much weight of warming endpoints, by request class, s
+	messageTimes    []float64                  // times of the messages within the last message window, s
+	entries         map[int]map[string]float64 // entry weights, by table number and endpoint name
 }
 
+// modelMessage is a message in the channel or on its way to a proxy.
 type modelMessage struct {
-	to        *modelProxy
+	proxy     *modelProxy
 	orders    []Order
-	lines     int
-	sentAt    float64 // leaves the channel
-	appliedAt float64
+	lines     int     // number of lines that the message occupies in the channel
+	sentAt    float64 // time at which the message leaves the channel, s
+	appliedAt float64 // time at which the proxy applies the message, s
 	sequence  int
 }
 
+// modelConfig returns the configuration of the simulated deployment: three zones, and three request classes of which
+// "sign" may not use zone z.
 func modelConfig() Config {
 	config := DefaultConfig()
 	config.Zone = "x"
@@ -91,15 +97,17 @@
 	return config
 }
 
-// zoneOf returns the zone of an endpoint or proxy by number.
-func zoneOf(i int) string { return string("xyz"[i%3]) }
+// zoneByNumber returns the zone of the endpoint or proxy with a number. The numbers go through the three zones in turn.
+func zoneByNumber(i int) string { return string("xyz"[i%3]) }
 
+// newModel returns a model of 15 endpoints and 8 proxies, none of which is connected yet. The channel transmits
+// between 40% and 100% of the configured lines per second, depending on the seed.
 func newModel(seed int64) *model {
-	m := &model{random: rand.New(rand.NewSource(seed)), config: modelConfig(), now: modelStart,
-		goneSince: map[string]float64{}, digest: sha256.New()}
-	m.channelRate = modelNominalRate * (0.4 + 0.6*m.random.Float64())
+	m := &model{random: rand.New(rand.NewSource(seed)), config: modelConfig(), now: modelStartTime,
+		notReadySince: map[string]float64{}, digest: sha256.New()}
+	m.channelLineRate = modelConfiguredLineRate * (0.4 + 0.6*m.random.Float64())
 	for i := range 15 {
-		entry := Endpoint{Zone: zoneOf(i), Name: fmt.Sprint("t", i), Weight: 1 + float64(i%2)}
+		entry := Endpoint{Zone: zoneByNumber(i), Name: fmt.Sprint("t", i), Weight: 1 + float64(i%2)}
 		m.endpoints = append(m.endpoints, &modelEndpoint{Endpoint: entry})
 	}
 	for i := range 8 {
@@ -108,75 +116,81 @@
 	return m
 }
 
-func newModelProxy(i int) *modelProxy {
-	return &modelProxy{id: i, zone: zoneOf(i), withoutPick: make([]float64, modelClasses), overBudget: make([]float64, modelClasses)}
+// newModelProxy returns the proxy with a number, which is not connected yet.
+func newModelProxy(number int) *modelProxy {
+	return &modelProxy{id: number, zone: zoneByNumber(number), timeWithoutPick: make([]float64, modelClassCount), warmingExcess: make([]float64, modelClassCount)}
 }
 
-// start begins a new incarnation of the assigner with the current endpoint list.
-func (m *model) start() {
+// restartAssigner replaces the assigner with a new one that receives the current endpoint list. Messages in transit
+// are lost, and all proxies are disconnected.
+func (m *model) restartAssigner() {
 	m.assigner = New(m.random.Int63(), m.config)
 	m.inTransit, m.timers = nil, nil
 	m.channelFreeAt = m.now
-	m.goneSince = map[string]float64{}
+	m.notReadySince = map[string]float64{}
 	for _, p := range m.proxies {
 		p.connected, p.messageTimes = false, nil
 	}
-	var listed []Endpoint
+	var listedEndpoints []Endpoint
 	for _, e := range m.endpoints {
 		if e.State != Removed {
-			listed = append(listed, e.Endpoint)
+			listedEndpoints = append(listedEndpoints, e.Endpoint)
 		}
 	}
-	m.handle(EndpointUpdate{Full: true, Endpoints: listed})
+	m.handle(EndpointUpdate{Full: true, Endpoints: listedEndpoints})
 }
 
-// connect opens a proxy's stream, sometimes with its default tables only.
+// connect opens the stream of a proxy. At its first connection, and at a third of the later ones at random, the proxy
+// has only its default tables.
 func (m *model) connect(p *modelProxy) {
 	p.connected, p.connectedAt, p.messageTimes = true, m.now, nil
 	fresh := p.tables == nil || m.random.Intn(3) == 0
 	if fresh {
 		p.tables, p.entries, p.defaultTables = map[int]int{}, map[int]map[string]float64{}, nil
-		for class := range modelClasses {
-			p.tables[class] = defaultTable
+		for class := range modelClassCount {
+			p.tables[class] = defaultTableNumber
 			p.defaultTables = append(p.defaultTables, m.newDefaultTable(class, p.zone))
 		}
 	}
 	m.handle(ProxyConnected{Proxy: p.id, Zone: p.zone, TypicalRate: 10, DefaultTablesOnly: fresh})
 }
 
-// newDefaultTable draws endpoints of the zone at random, and of other zones where the zone has few.
+// newDefaultTable returns up to modelDefaultTableSize random ready endpoints that a class may use in a zone. The
+// table has endpoints of other zones only if the zone has fewer than modelMinLocalEndpoints.
 func (m *model) newDefaultTable(class int, zone string) (table []string) {
-	for _, local := range []bool{true, false} {
+	for _, isLocal := range []bool{true, false} {
 		for _, i := range m.random.Perm(len(m.endpoints)) {
 			e := m.endpoints[i]
-			if e.State == Ready && (e.Zone == zone) == local && m.allows(class, e.Zone) && len(table) < modelDefaultSize {
+			if e.State == Ready && (e.Zone == zone) == isLocal && m.allowsZone(class, e.Zone) && len(table) < modelDefaultTableSize {
 				table = append(table, e.Name)
 			}
 		}
-		if len(table) >= modelMinLocal {
+		if len(table) >= modelMinLocalEndpoints {
 			break
 		}
 	}
 	return table
 }
 
-func (m *model) allows(class int, zone string) bool {
+// allowsZone reports whether a request class may use endpoints of a zone.
+func (m *model) allowsZone(class int, zone string) bool {
 	allowed := m.config.RequestClasses[class].AllowedZones
 	return len(allowed) == 0 || slices.Contains(allowed, zone)
 }
 
-// handle passes events to the assigner and puts its orders into the channel, one message per proxy.
+// handle passes events to the assigner and puts the orders that it returns into the channel. The orders for one proxy
+// form one message.
 func (m *model) handle(events ...Event) {
 	for _, event := range events {
 		if update, ok := event.(EndpointUpdate); ok {
-			m.recordGone(update.Endpoints)
+			m.recordNotices(update.Endpoints)
 		}
 	}
 	orders := m.assigner.Handle(m.now, events)
 	digestOrders(m.digest, m.now, orders)
-	byProxy, sequence := map[int][]Order{}, 0
+	ordersByProxy, sequence := map[int][]Order{}, 0
 	for _, order := range orders {
-		m.log = append(m.log, fmt.Sprintf("%.3f %T%+v", m.now, order, order))
+		m.orderLog = append(m.orderLog, fmt.Sprintf("%.3f %T%+v", m.now, order, order))
 		m.checkOrder(order)
 		switch order := order.(type) {
 		case SetTimer:
@@ -184,43 +198,44 @@
 		case AcknowledgmentRequest:
 			sequence = order.Sequence
 		case ClearTable:
-			byProxy[order.Table/modelGroups] = append(byProxy[order.Table/modelGroups], order)
+			ordersByProxy[order.Table/modelTableGroupCount] = append(ordersByProxy[order.Table/modelTableGroupCount], order)
 		case SetWeight:
-			byProxy[order.Table/modelGroups] = append(byProxy[order.Table/modelGroups], order)
+			ordersByProxy[order.Table/modelTableGroupCount] = append(ordersByProxy[order.Table/modelTableGroupCount], order)
 		case SetRateLimit:
-			byProxy[order.Table/modelGroups] = append(byProxy[order.Table/modelGroups], order)
+			ordersByProxy[order.Table/modelTableGroupCount] = append(ordersByProxy[order.Table/modelTableGroupCount], order)
 		case AttachTable:
-			byProxy[order.Proxy] = append(byProxy[order.Proxy], order)
+			ordersByProxy[order.Proxy] = append(ordersByProxy[order.Proxy], order)
 		}
 	}
-	for id, p := range m.proxies {
-		if len(byProxy[id]) > 0 && p.connected {
-			m.send(p, byProxy[id], sequence)
+	for number, p := range m.proxies {
+		if len(ordersByProxy[number]) > 0 && p.connected {
+			m.send(p, ordersByProxy[number], sequence)
 		}
 	}
-	m.checkChannel()
+	m.checkChannelLimits()
 }
 
-// recordGone records when the assigner was notified that endpoints have to leave the tables.
-func (m *model) recordGone(listed []Endpoint) {
-	for _, e := range listed {
-		binds := e.State == Draining || !m.config.RemovalIsAdvisory
+// recordNotices records the time at which the assigner was notified that proxies must stop using an endpoint: one
+// that drains, or one that is removed where removal is not advisory.
+func (m *model) recordNotices(listedEndpoints []Endpoint) {
+	for _, e := range listedEndpoints {
+		mandatory := e.State == Draining || !m.config.RemovalIsAdvisory
 		if e.State == Ready {
-			delete(m.goneSince, e.Name)
-		} else if m.goneSince[e.Name] == 0 && binds {
-			m.goneSince[e.Name] = m.now
+			delete(m.notReadySince, e.Name)
+		} else if m.notReadySince[e.Name] == 0 && mandatory {
+			m.notReadySince[e.Name] = m.now
 		}
 	}
 }
 
-// send puts a message into the channel. Those to one proxy keep their order.
+// send puts a message into the channel. Messages to the same proxy are applied in the order in which they were sent.
 func (m *model) send(proxy *modelProxy, orders []Order, sequence int) {
-	message := modelMessage{to: proxy, orders: orders, lines: len(orders) + 6, sequence: sequence}
-	message.sentAt = math.Max(m.channelFreeAt, m.now) + float64(message.lines)/m.channelRate
+	message := modelMessage{proxy: proxy, orders: orders, lines: len(orders) + 6, sequence: sequence}
+	message.sentAt = math.Max(m.channelFreeAt, m.now) + float64(message.lines)/m.channelLineRate
 	message.appliedAt = message.sentAt + 0.1 + 0.4*m.random.Float64()
-	for _, earlier := range m.inTransit {
-		if earlier.to == proxy {
-			message.appliedAt = math.Max(message.appliedAt, earlier.appliedAt)
+	for _, earlierMessage := range m.inTransit {
+		if earlierMessage.proxy == proxy {
+			message.appliedAt = math.Max(message.appliedAt, earlierMessage.appliedAt)
 		}
 	}
 	m.channelFreeAt = message.sentAt
@@ -228,7 +243,8 @@
 	proxy.messageTimes = append(proxy.messageTimes, m.now)
 }
 
-// step advances the clock, applies the messages that arrive, passes events to the assigner and checks the guarantees.
+// step advances the clock by a number of seconds, delivers the messages that have arrived, passes events to the
+// assigner and checks the guarantees. Acknowledgments come first in the batch, and timers last.
 func (m *model) step(seconds float64, events ...Event) {
 	m.now += seconds
 	m.deliver()
@@ -241,23 +257,24 @@
 	m.checkGuarantees(seconds)
 }
 
-// deliver applies the messages that have arrived at proxies which are not stalled.
+// deliver applies the messages that have arrived at proxies that are not stalled, and queues their acknowledgments.
 func (m *model) deliver() {
-	waiting := m.inTransit[:0]
+	remaining := m.inTransit[:0]
 	for _, message := range m.inTransit {
-		if message.appliedAt > m.now || message.to.stalledUntil > m.now {
-			waiting = append(waiting, message)
+		if message.appliedAt > m.now || message.proxy.stalledUntil > m.now {
+			remaining = append(remaining, message)
 			continue
 		}
 		for _, order := range message.orders {
-			message.to.apply(order)
+			message.proxy.apply(order)
 		}
 		m.acknowledgments = append(m.acknowledgments,
-			Acknowledged{Proxy: message.to.id, Sequence: message.sequence, Latency: 0.3})
+			Acknowledged{Proxy: message.proxy.id, Sequence: message.sequence, Latency: 0.3})
 	}
-	m.inTransit = waiting
+	m.inTransit = remaining
 }
 
+// apply applies an order to the tables of the proxy.
 func (p *modelProxy) apply(order Order) {
 	switch order := order.(type) {
 	case ClearTable:
@@ -278,40 +295,42 @@
 	}
 }
 
+// dueTimers removes the timers that are due and returns an event for each of them.
 func (m *model) dueTimers() (fired []Event) {
-	waiting := m.timers[:0]
-	for _, at := range m.timers {
-		if at <= m.now {
+	remaining := m.timers[:0]
+	for _, dueAt := range m.timers {
+		if dueAt <= m.now {
 			fired = append(fired, TimerFired{1})
 		} else {
-			waiting = append(waiting, at)
+			remaining = append(remaining, dueAt)
 		}
 	}
-	m.timers = waiting
+	m.timers = remaining
 	return fired
 }
 
-// held returns the table that a proxy uses for a class.
-func (m *model) held(p *modelProxy, class int) map[string]float64 {
-	if table := p.tables[class]; table != defaultTable {
+// tableWeights returns the entry weights of the table that a proxy uses for a request class.
+func (m *model) tableWeights(p *modelProxy, class int) map[string]float64 {
+	if table := p.tables[class]; table != defaultTableNumber {
 		return p.entries[table]
 	}
-	held := map[string]float64{}
+	weights := map[string]float64{}
 	for _, name := range p.defaultTables[class] {
-		held[name] = 1
+		weights[name] = 1
 	}
-	return held
+	return weights
 }
 
-// reports returns the reports of one second. Failing endpoints answer nothing; busy is the busy fraction of the others.
-func (m *model) reports(busy float64) (reports []Event) {
+// randomReports returns random load and traffic reports on one second. Attempts at failing or removed endpoints all
+// fail. All other endpoints report the given busy fraction, on which their latency and failures depend.
+func (m *model) randomReports(busy float64) (reports []Event) {
 	for _, e := range m.endpoints {
 		for zone := range 3 {
 			if m.random.Float64() >= 0.4 {
 				continue
 			}
 			attempts := 4 + m.random.Intn(6)
-			report := EndpointLoadReport{Zone: zoneOf(zone), Endpoint: e.Name, Interval: 1, MeanLatency: 0.3 * math.Exp(busy-0.6),
+			report := EndpointLoadReport{Zone: zoneByNumber(zone), Endpoint: e.Name, Interval: 1, MeanLatency: 0.3 * math.Exp(busy-0.6),
 				Attempts: attempts, Failed: int(busy * 2 * m.random.Float64()), Load: []float64{busy}}
 			if e.failing || e.State == Removed {
 				report.Failed, report.MeanLatency, report.Load = attempts, 0, nil
@@ -329,60 +348,62 @@
 	return reports
 }
 
-// run advances the clock by seconds with reports.
+// run advances the clock by a number of seconds, with reports at the given busy fraction once a second.
 func (m *model) run(seconds int, busy float64) {
 	for range seconds {
-		m.step(0.25, m.reports(busy)...)
+		m.step(0.25, m.randomReports(busy)...)
 		m.step(0.25)
 		m.step(0.5)
 	}
 }
 
-// idle advances the clock by seconds without reports.
-func (m *model) idle(seconds float64) {
-	for passed := 0.0; passed < seconds; passed += 0.1 {
+// runWithoutReports advances the clock by a number of seconds, in steps of 0.1 s, without reports.
+func (m *model) runWithoutReports(seconds float64) {
+	for elapsed := 0.0; elapsed < seconds; elapsed += 0.1 {
 		m.step(0.1)
 	}
 }
 
-// update passes an endpoint update with the current state of some endpoints.
-func (m *model) update(changed ...*modelEndpoint) {
-	var listed []Endpoint
+// updateEndpoints passes an endpoint update with the current state of the changed endpoints to the assigner.
+func (m *model) updateEndpoints(changed ...*modelEndpoint) {
+	var listedEndpoints []Endpoint
 	for _, e := range changed {
-		listed = append(listed, e.Endpoint)
+		listedEndpoints = append(listedEndpoints, e.Endpoint)
 	}
-	m.step(0.01, EndpointUpdate{Endpoints: listed})
+	m.step(0.01, EndpointUpdate{Endpoints: listedEndpoints})
 }
 
-// reportAll reports the same of the first n endpoints, each from its own zone, and advances the clock.
-func (m *model) reportAll(n int, seconds float64, report EndpointLoadReport) {
-	for _, e := range m.endpoints[:n] {
+// reportFirst passes the same report on each of the first count endpoints to the assigner, from the zone of the
+// endpoint. It then advances the clock by a number of seconds.
+func (m *model) reportFirst(count int, seconds float64, report EndpointLoadReport) {
+	for _, e := range m.endpoints[:count] {
 		report.Zone, report.Endpoint, report.Interval = e.Zone, e.Name, 1
 		m.step(0, report)
 	}
 	m.step(seconds)
 }
 
-// readyIn counts the ready endpoints of a zone.
-func (m *model) readyIn(zone string) (n int) {
+// readyCount returns the number of ready endpoints of a zone.
+func (m *model) readyCount(zone string) (count int) {
 	for _, e := range m.endpoints {
 		if e.State == Ready && e.Zone == zone {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// record returns the assigner's record of a proxy.
-func (m *model) record(id int) *proxy { return m.assigner.findProxy(id) }
+// proxyRecord returns the assigner's record of the proxy with a number.
+func (m *model) proxyRecord(id int) *proxy { return m.assigner.findProxy(id) }
 
-// recomputeZoneX recomputes the assigner's record of the zone x.
+// recomputeZoneX makes the assigner recompute its record of zone x from the endpoint records.
 func (m *model) recomputeZoneX() { m.assigner.getOrCreateZone("x").recompute(m.assigner) }
 
-// signGroup returns the table group of the class "sign", which may use the zones x and y.
-func (m *model) signGroup() *tableGroup { return m.assigner.tableGroups[1] }
+// signTableGroup returns the table group of the request class "sign", which may use only the zones x and y.
+func (m *model) signTableGroup() *tableGroup { return m.assigner.tableGroups[1] }
 
-// signTable builds the first proxy's table for the class "sign".
-func (m *model) signTable() subset.Table[*endpoint] {
-	return m.record(0).buildTable(m.assigner, m.signGroup())
+// buildSignTable returns the table that the assigner would build now for the class "sign" at proxy 0, which is in
+// zone x.
+func (m *model) buildSignTable() subset.Table[*endpoint] {
+	return m.proxyRecord(0).buildTable(m.assigner, m.signTableGroup())
 }
--- a/assign/proxy_test.go
+++ b/assign/proxy_test.go
@@ -5,67 +5,73 @@
 	"testing"
 )
 
-// calmModel returns a model without faults in which all proxies have connected with their default tables only.
-func calmModel(t *testing.T) *model {
+// newFaultFreeModel returns a model without faults in which all proxies are connected and have only their default
+// tables.
+func newFaultFreeModel(t *testing.T) *model {
 	t.Helper()
 	sim := newModel(1)
-	sim.start()
+	sim.restartAssigner()
 	for _, p := range sim.proxies {
 		sim.connect(p)
 		sim.step(0.05)
 	}
 	sim.run(10, 0.4)
-	if sim.violation != "" {
-		t.Fatal(sim.violation)
+	if sim.firstViolation != "" {
+		t.Fatal(sim.firstViolation)
 	}
 	return sim
 }
 
-func TestDefaultTablesStayWithoutFaults(t *testing.T) {
-	sim := calmModel(t)
+// TestProxiesKeepDefaultTablesWithoutFaults checks that the assigner assigns no tables to proxies while there are no
+// faults. The proxies of zone z are not checked, because the class "sign" may not use that zone.
+func TestProxiesKeepDefaultTablesWithoutFaults(t *testing.T) {
+	sim := newFaultFreeModel(t)
 	for _, p := range sim.proxies {
-		if p.zone != "z" && sim.record(p.id).hasAssignedTables {
-			t.Errorf("proxy %d: got assigned tables, want its default table", p.id)
+		if p.zone != "z" && sim.proxyRecord(p.id).hasAssignedTables {
+			t.Errorf("proxy %d: got assigned tables, want default tables only", p.id)
 		}
 	}
 }
 
-// The default table of a class that is closed in a zone holds endpoints of other zones; a drain there must reach it.
+// TestDrainReachesRemoteDefaultTables covers a request class that may not use the proxy's own zone. Its default table
+// has endpoints of other zones, so a drain in another zone must change the table in time.
 func TestDrainReachesRemoteDefaultTables(t *testing.T) {
-	sim := calmModel(t)
-	sim.endpoints[0].State = Draining // in x; proxies of z send "sign" to x or y
-	sim.update(sim.endpoints[0])
-	if sim.idle(3); sim.violation != "" {
-		t.Error(sim.violation)
+	sim := newFaultFreeModel(t)
+	sim.endpoints[0].State = Draining // endpoint 0 is in zone x; the class "sign" of proxies in zone z uses zones x and y
+	sim.updateEndpoints(sim.endpoints[0])
+	if sim.runWithoutReports(3); sim.firstViolation != "" {
+		t.Error(sim.firstViolation)
 	}
 }
 
-// A host that lost its event stream reports connected proxies again, without ProxyDisconnected: the messages sent to them
-// before still count.
-func TestReconnectedProxyKeepsItsMessageCount(t *testing.T) {
-	a := New(1, modelConfig())
-	a.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: newEndpoints("x", 12)}})
+// TestReconnectedProxyKeepsMessageCount covers a host that lost its event stream. The host reports connected proxies
+// again without ProxyDisconnected, and the messages sent before must still count toward the message limit.
+func TestReconnectedProxyKeepsMessageCount(t *testing.T) {
+	assigner := New(1, modelConfig())
+	assigner.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: newEndpoints("x", 12)}})
 	var messageTimes []float64
 	sequence := -1
 	for now := 1000.0; now < 1030; now += 0.2 {
 		events := []Event{Acknowledged{Proxy: 1, Sequence: sequence}, ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 5}}
-		for _, order := range a.Handle(now, events) {
-			if o, ok := order.(AcknowledgmentRequest); ok {
-				messageTimes, sequence = append(messageTimes, now), o.Sequence
+		for _, order := range assigner.Handle(now, events) {
+			if request, ok := order.(AcknowledgmentRequest); ok {
+				messageTimes, sequence = append(messageTimes, now), request.Sequence
 			}
 		}
 		for len(messageTimes) > 0 && messageTimes[0] < now-10 {
 			messageTimes = messageTimes[1:]
 		}
 		if len(messageTimes) == 0 || len(messageTimes) > 20 {
-			t.Fatalf("got %d messages within 10 s, want 1 to 20", len(messageTimes))
+			t.Fatalf("got %d messages to the proxy within 10 s, want 1 to 20", len(messageTimes))
 		}
 	}
 }
 
-// The events are of every type, and name unknown endpoints and proxies too.
-func TestOddConfigurationsGiveLegalOrders(t *testing.T) {
-	for name, change := range map[string]func(*Config){
+// TestUnusualConfigurationsGiveValidOrders passes events of every type to assigners with unusual configurations. Some
+// events name endpoints and proxies that the assigner does not know. No table may have an entry of the endpoint that
+// is removed.
+func TestUnusualConfigurationsGiveValidOrders(t *testing.T) {
+	for name, changeConfig := range map[string]func(*Config){
 		"nothing stated": func(*Config) {},
 		"zero":           func(c *Config) { *c = Config{} },
 		"shards":         func(c *Config) { c.ShardCount = 40 },
@@ -74,59 +80,61 @@
 		"on request":     func(c *Config) { c.DiscoveryMode = DiscoveryOnRequest },
 	} {
 		config := DefaultConfig()
-		change(&config)
-		a := New(1, config)
-		a.Handle(1, []Event{
+		changeConfig(&config)
+		assigner := New(1, config)
+		assigner.Handle(1, []Event{
 			EndpointUpdate{Full: true, Endpoints: []Endpoint{{Name: "a", Zone: "q"}, {Name: "b", Weight: 2}}},
 			ProxyConnected{Proxy: 3}, ShardAssigned{3, true}, ShardEntry{3, "a", 1}, EndpointLoadReport{Endpoint: "none"},
 			ProxyTrafficReport{Proxy: 9}, ProxyDisconnected{8}, PeerMessageReceived{1, nil}, HealthCheckResult{},
 			ShardTrafficReport{}, Acknowledged{Proxy: 3, Sequence: 9}})
-		a.Handle(2, []Event{EndpointUpdate{Failed: true}, EndpointUpdate{Endpoints: []Endpoint{{Name: "a", State: Removed}}}})
-		for _, order := range a.Handle(9, []Event{TimerFired{1}}) {
-			if o, ok := order.(SetWeight); ok && o.Weight > 0 && o.Endpoint != "b" {
-				t.Errorf("%s: got %+v, want entries of b only", name, o)
+		assigner.Handle(2, []Event{EndpointUpdate{Failed: true}, EndpointUpdate{Endpoints: []Endpoint{{Name: "a", State: Removed}}}})
+		for _, order := range assigner.Handle(9, []Event{TimerFired{1}}) {
+			if entry, ok := order.(SetWeight); ok && entry.Weight > 0 && entry.Endpoint != "b" {
+				t.Errorf("%s: got order %+v, want entries of endpoint b only", name, entry)
 			}
 		}
 	}
 }
 
-// A rate of one request in a second or two varies by chance: a slow-start cap close to it would reject a third of the
-// requests.
+// TestRateCapLeavesRoomForRandomVariation covers a class with one request in a second or two. Such a rate varies by
+// chance, so a slow-start rate cap close to it would reject a third of the requests.
 func TestRateCapLeavesRoomForRandomVariation(t *testing.T) {
-	sim := calmModel(t)
-	p := sim.record(0)
-	p.classRates = []float64{0.5, 0.5, 0.5}
-	p.typicalRate = 1.5
+	sim := newFaultFreeModel(t)
+	proxy := sim.proxyRecord(0)
+	proxy.classRates = []float64{0.5, 0.5, 0.5}
+	proxy.typicalRate = 1.5
 	var result tableOrders
-	p.addLimitOrders(sim.assigner, sim.signGroup(), desiredTable{Warming: true, WarmingCapacity: 1}, &result)
+	proxy.addLimitOrders(sim.assigner, sim.signTableGroup(), desiredTable{Warming: true, WarmingCapacity: 1}, &result)
 	if order, ok := result.orders[0].(SetRateLimit); !ok || order.Limit < 2 {
-		t.Errorf("got a limit of %g/s, want at least 2/s", order.Limit)
+		t.Errorf("got a rate limit of %g/s, want at least 2/s", order.Limit)
 	}
 }
 
-// After a restart a lost zone returns endpoint by endpoint: the first one must not count as the whole zone.
-func TestFirstEndpointOfAReturningZoneGetsASmallShare(t *testing.T) {
+// TestFirstEndpointOfReturningZoneGetsSmallPart covers a zone that was lost before the assigner restarted, and whose
+// endpoints return one by one. The assigner must not take the first endpoint for the whole zone and give it the
+// zone's full load.
+func TestFirstEndpointOfReturningZoneGetsSmallPart(t *testing.T) {
 	sim := newModel(1)
 	for _, e := range sim.endpoints {
 		if e.Zone == "x" {
 			e.State = Removed
 		}
 	}
-	sim.start()
+	sim.restartAssigner()
 	sim.connect(sim.proxies[0])
 	sim.endpoints[0].State, sim.endpoints[0].StartedAt = Ready, sim.now
-	sim.update(sim.endpoints[0])
-	sim.idle(4.5)
-	held, sum := sim.held(sim.proxies[0], 0), 0.0
-	for _, weight := range held {
-		sum += weight
+	sim.updateEndpoints(sim.endpoints[0])
+	sim.runWithoutReports(4.5)
+	weights, weightSum := sim.tableWeights(sim.proxies[0], 0), 0.0
+	for _, weight := range weights {
+		weightSum += weight
 	}
-	if fraction := held["t0"] / sum; fraction == 0 || fraction > 0.1 {
-		t.Errorf("got a share of %.2f of the table for the first endpoint, want above 0 and at most 0.1", fraction)
+	if fraction := weights["t0"] / weightSum; fraction == 0 || fraction > 0.1 {
+		t.Errorf("got part %.2f of the table's weight for the first endpoint, want above 0 and at most 0.1", fraction)
 	}
-	limits := sim.record(0).heldLimits
-	highest := 1.25*(10/3+2*math.Sqrt(10.0/3)) + 1 // a burst before the first report must not overload the endpoint
-	if limits == nil || limits[0].Rate > highest {
-		t.Errorf("got limits %v, want a first one of at most %g/s", limits, highest)
+	limits := sim.proxyRecord(0).heldLimits
+	maxRate := 1.25*(10/3+2*math.Sqrt(10.0/3)) + 1 // a burst that no report shows yet must not overload the endpoint
+	if limits == nil || limits[0].Rate > maxRate {
+		t.Errorf("got rate limits %v, want a limit of at most %g/s for class 0", limits, maxRate)
 	}
 }
--- a/assign/roughday_test.go
+++ b/assign/roughday_test.go
@@ -8,117 +8,122 @@
 	"testing"
 )
 
-// roughDay is a day of the model with random faults in any mix: proxies connect, disconnect and stall, endpoints
-// drain, start and fail, lists are stale, lose endpoints or name unverified ones, reports are capped and lost, the
-// assigner restarts and is overloaded.
-type roughDay struct {
+// randomFaultRun is a run of a model with random faults in any combination. Proxies connect, disconnect and stall.
+// Endpoints drain, start and fail. Updates of the endpoint list are outdated, drop running endpoints or list
+// endpoints that do not run. Reports are delayed and lost. The assigner restarts and is overloaded.
+type randomFaultRun struct {
 	*model
-	busy    float64
-	reports []Event // pending, since each batch has only some of them
-	step    int
+	busy          float64 // busy fraction that the endpoints report
+	randomReports []Event // reports not passed yet, since each batch passes only some
+	step          int     // number of batches so far
 }
 
-// playRoughDay runs a rough day with few proxies or many.
-func playRoughDay(seed int64) *model { return playRoughDayWith(seed, func(*Config) {}) }
+// runRandomFaults runs a model with random faults. One seed in five has more than the usual eight proxies.
+func runRandomFaults(seed int64) *model { return runRandomFaultsWith(seed, func(*Config) {}) }
 
-// playRoughDayWith is playRoughDay with another configuration.
-func playRoughDayWith(seed int64, change func(*Config)) *model {
+// runRandomFaultsWith is like runRandomFaults with a configuration that the function changeConfig modifies. It stops
+// at the first violation of a guarantee.
+func runRandomFaultsWith(seed int64, changeConfig func(*Config)) *model {
 	sim := newModel(seed)
-	change(&sim.config)
+	changeConfig(&sim.config)
 	sim.config.RemovalIsAdvisory = seed%2 == 0
 	for i := 8; seed%5 == 0 && i < 30; i++ {
 		sim.proxies = append(sim.proxies, newModelProxy(i))
 		sim.config.Channel.QueueLimit, sim.config.ProxyCount = 15.0*float64(i), float64(i)
 	}
-	sim.start()
-	day := &roughDay{model: sim, busy: 0.5}
-	for day.step = 0; day.step < 400 && sim.violation == ""; day.step++ {
-		events := day.happening()
-		n := min(len(day.reports), 15)
-		sim.step(0.02+0.2*sim.random.Float64(), append(events, day.reports[:n]...)...)
-		day.reports = day.reports[n:]
+	sim.restartAssigner()
+	run := &randomFaultRun{model: sim, busy: 0.5}
+	for run.step = 0; run.step < 400 && sim.firstViolation == ""; run.step++ {
+		events := run.nextEvents()
+		reportCount := min(len(run.randomReports), 15)
+		sim.step(0.02+0.2*sim.random.Float64(), append(events, run.randomReports[:reportCount]...)...)
+		run.randomReports = run.randomReports[reportCount:]
 	}
 	return sim
 }
 
-// happening draws the next fault or change at random and returns the events that notify the assigner of it.
-func (d *roughDay) happening() []Event {
-	endpoint := d.endpoints[d.random.Intn(len(d.endpoints))]
-	proxy := d.proxies[d.random.Intn(len(d.proxies))]
-	switch chance := d.random.Float64(); {
+// nextEvents draws the next fault or change at random and returns the events that notify the assigner of it, if there
+// are any.
+func (r *randomFaultRun) nextEvents() []Event {
+	endpoint := r.endpoints[r.random.Intn(len(r.endpoints))]
+	proxy := r.proxies[r.random.Intn(len(r.proxies))]
+	switch chance := r.random.Float64(); {
 	case chance < 0.15:
 		if !proxy.connected {
-			d.connect(proxy)
+			r.connect(proxy)
 		}
 	case chance < 0.18 && proxy.connected:
-		return d.disconnect(proxy)
+		return r.disconnect(proxy)
 	case chance < 0.23:
-		return d.stop(endpoint)
+		return r.drainOrRemove(endpoint)
 	case chance < 0.27:
-		endpoint.State, endpoint.failing, endpoint.StartedAt = Ready, false, d.now-d.random.Float64()/2
-		return listOf(endpoint)
+		endpoint.State, endpoint.failing, endpoint.StartedAt = Ready, false, r.now-r.random.Float64()/2
+		return endpointUpdateOf(endpoint)
 	case chance < 0.29:
 		endpoint.failing = !endpoint.failing
 	case chance < 0.295:
-		d.start()
-		d.reports = nil
+		r.restartAssigner()
+		r.randomReports = nil
 	case chance < 0.3:
-		proxy.stalledUntil = d.now + 2*d.random.Float64()
+		proxy.stalledUntil = r.now + 2*r.random.Float64()
 	case chance < 0.305:
-		return d.wrongList(proxy.zone)
+		return r.incorrectUpdate(proxy.zone)
 	case chance < 0.31:
-		d.busy = 0.3 + 1.5*d.random.Float64()
+		r.busy = 0.3 + 1.5*r.random.Float64()
 	case chance < 0.33:
-		return listOf(d.endpoints...)
+		return endpointUpdateOf(r.endpoints...)
 	case chance < 0.5:
-		d.reports = append(d.reports, d.model.reports(d.busy)...)
+		r.randomReports = append(r.randomReports, r.model.randomReports(r.busy)...)
 	}
 	return nil
 }
 
-func listOf(endpoints ...*modelEndpoint) []Event {
-	var listed []Endpoint
+// endpointUpdateOf returns an endpoint update with the current states of the endpoints, as the events of a batch.
+func endpointUpdateOf(endpoints ...*modelEndpoint) []Event {
+	var listedEndpoints []Endpoint
 	for _, e := range endpoints {
-		listed = append(listed, e.Endpoint)
+		listedEndpoints = append(listedEndpoints, e.Endpoint)
 	}
-	return []Event{EndpointUpdate{Endpoints: listed}}
+	return []Event{EndpointUpdate{Endpoints: listedEndpoints}}
 }
 
-func (d *roughDay) disconnect(p *modelProxy) []Event {
+// disconnect closes the stream of a proxy. Messages in transit to the proxy are lost.
+func (r *randomFaultRun) disconnect(p *modelProxy) []Event {
 	p.connected = false
-	d.inTransit = slices.DeleteFunc(d.inTransit, func(message modelMessage) bool { return message.to == p })
+	r.inTransit = slices.DeleteFunc(r.inTransit, func(message modelMessage) bool { return message.proxy == p })
 	return []Event{ProxyDisconnected{p.id}}
 }
 
-// stop drains or removes an endpoint, unless few of its zone are left.
-func (d *roughDay) stop(e *modelEndpoint) []Event {
-	if e.State != Ready || d.readyIn(e.Zone) <= 2 {
+// drainOrRemove drains or removes a ready endpoint, unless its zone has at most two ready endpoints.
+func (r *randomFaultRun) drainOrRemove(e *modelEndpoint) []Event {
+	if e.State != Ready || r.readyCount(e.Zone) <= 2 {
 		return nil
 	}
-	e.State = []EndpointState{Draining, Removed}[d.random.Intn(2)]
-	return listOf(e)
+	e.State = []EndpointState{Draining, Removed}[r.random.Intn(2)]
+	return endpointUpdateOf(e)
 }
 
-// wrongList returns a list that names running endpoints as removed, or one as ready that does not run.
-func (d *roughDay) wrongList(zone string) []Event {
-	var listed []Endpoint
-	for _, e := range d.endpoints {
+// incorrectUpdate returns an endpoint update that lists running endpoints as removed, or an endpoint that does not
+// run as ready.
+func (r *randomFaultRun) incorrectUpdate(zone string) []Event {
+	var listedEndpoints []Endpoint
+	for _, e := range r.endpoints {
 		if entry := e.Endpoint; entry.State == Ready {
-			entry.State = EndpointState(d.random.Intn(2)) * Removed
-			listed = append(listed, entry)
+			entry.State = EndpointState(r.random.Intn(2)) * Removed
+			listedEndpoints = append(listedEndpoints, entry)
 		}
 	}
-	if d.random.Intn(2) == 0 {
-		name := fmt.Sprint("s", d.step)
-		d.endpoints = append(d.endpoints, &modelEndpoint{Endpoint{Zone: zone, Name: name, Weight: 1, State: Removed}, true})
-		listed = append(listed[:0], Endpoint{Zone: zone, Name: name, Weight: 1})
+	if r.random.Intn(2) == 0 {
+		name := fmt.Sprint("s", r.step)
+		r.endpoints = append(r.endpoints, &modelEndpoint{Endpoint{Zone: zone, Name: name, Weight: 1, State: Removed}, true})
+		listedEndpoints = append(listedEndpoints[:0], Endpoint{Zone: zone, Name: name, Weight: 1})
 	}
-	return []Event{EndpointUpdate{Endpoints: listed}}
+	return []Event{EndpointUpdate{Endpoints: listedEndpoints}}
 }
 
-// forRoughSeeds runs a test for each of a hundred seeds in parallel: under the race detector a day takes a tenth of a second
-// of CPU.
-func forRoughSeeds(t *testing.T, test func(t *testing.T, seed int64)) {
+// forEachSeed runs a test for each of a hundred random seeds in parallel. The number keeps the test short, because a
+// run takes a tenth of a second of CPU time under the race detector.
+func forEachSeed(t *testing.T, test func(t *testing.T, seed int64)) {
 	t.Helper()
 	random := rand.New(rand.NewSource(7))
 	for range 100 {
@@ -130,28 +135,32 @@
 	}
 }
 
+// TestRulesOnRoughDays checks that no guarantee is violated in runs with random faults.
 func TestRulesOnRoughDays(t *testing.T) {
-	forRoughSeeds(t, func(t *testing.T, seed int64) {
+	forEachSeed(t, func(t *testing.T, seed int64) {
 		t.Helper()
-		if sim := playRoughDay(seed); sim.violation != "" {
-			t.Error(sim.violation)
+		if sim := runRandomFaults(seed); sim.firstViolation != "" {
+			t.Error(sim.firstViolation)
 		}
 	})
 }
 
-// TestWarmingEndpointsKeepPartInCrowdedChannel plays a day on which messages reduced to their essential part left warming
-// endpoints too large a part of a table.
-func TestWarmingEndpointsKeepPartInCrowdedChannel(t *testing.T) {
-	if sim := playRoughDay(2248477943952862095); sim.violation != "" {
-		t.Error(sim.violation)
+// TestWarmingEndpointsStayWithinCapacityInCrowdedChannel runs the random faults of one seed. With this seed, messages
+// that were reduced to their essential orders in a crowded channel once left warming endpoints too large a part of a
+// table's weight.
+func TestWarmingEndpointsStayWithinCapacityInCrowdedChannel(t *testing.T) {
+	if sim := runRandomFaults(2248477943952862095); sim.firstViolation != "" {
+		t.Error(sim.firstViolation)
 	}
 }
 
-func TestEqualInputGivesEqualOrders(t *testing.T) {
-	forRoughSeeds(t, func(t *testing.T, seed int64) {
+// TestEqualSeedsGiveEqualOrders checks that the assigner is deterministic: two runs of the same seed give the same
+// orders.
+func TestEqualSeedsGiveEqualOrders(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, seed int64) {
 		t.Helper()
-		if !reflect.DeepEqual(playRoughDay(seed).log, playRoughDay(seed).log) {
-			t.Error("got other orders in the second run, want the same")
+		if !reflect.DeepEqual(runRandomFaults(seed).orderLog, runRandomFaults(seed).orderLog) {
+			t.Error("got different orders in the second run, want the same orders")
 		}
 	})
 }
--- a/assign/tables_test.go
+++ b/assign/tables_test.go
@@ -7,9 +7,9 @@
 	"madderhollow/assign/subset"
 )
 
-// singleZoneModel returns an assigner with sixty proxies and forty endpoints in one zone, all tables assigned, and a
-// function that returns the load of each endpoint per unit of its listed weight.
-func singleZoneModel() (assigner *Assigner, loads func() map[*endpoint]float64) {
+// newSingleZoneAssigner returns an assigner with 60 proxies and 40 endpoints in one zone, where all proxies have
+// assigned tables. The function loads returns the request rate of each endpoint per unit of its listed weight.
+func newSingleZoneAssigner() (assigner *Assigner, loads func() map[*endpoint]float64) {
 	config := DefaultConfig()
 	config.ProxyCount = 60
 	config.RequestClasses = []RequestClassConfig{{Name: "read", LatencyObjective: 1}}
@@ -21,56 +21,58 @@
 	assigner.Handle(1, events)
 	return assigner, func() map[*endpoint]float64 {
 		loads := map[*endpoint]float64{}
-		for _, p := range assigner.proxies {
-			sum := 0.0
-			for _, entry := range p.heldTables[0] {
-				sum += entry.Weight
+		for _, proxy := range assigner.proxies {
+			weightSum := 0.0
+			for _, entry := range proxy.heldTables[0] {
+				weightSum += entry.Weight
 			}
-			for _, entry := range p.heldTables[0] {
-				loads[entry.Endpoint] += p.typicalRate * entry.Weight / sum / entry.Endpoint.listedWeight
+			for _, entry := range proxy.heldTables[0] {
+				loads[entry.Endpoint] += proxy.typicalRate * entry.Weight / weightSum / entry.Endpoint.listedWeight
 			}
 		}
 		return loads
 	}
 }
 
-// Entries drawn at random load some endpoints half as much again as others: in a fleet near its capacity those fail first.
-// Assigned by least load, each endpoint of a zone gets the part of its listed weight, and a second run moves nothing.
+// TestEntriesAreAssignedByLeastLoad checks that tables spread the load by listed weight. Random entries would give
+// some endpoints half as much load again as others, and these would fail first in a deployment near its capacity.
+// Another tick must change no entry.
 func TestEntriesAreAssignedByLeastLoad(t *testing.T) {
-	a, loads := singleZoneModel()
+	assigner, loads := newSingleZoneAssigner()
 	lowest, highest := 1e9, 0.0
 	for _, load := range loads() {
 		lowest, highest = min(lowest, load), max(highest, load)
 	}
 	if highest > 1.25*lowest || len(loads()) < 40 {
-		t.Errorf("got loads per unit of weight from %.2f to %.2f at %d endpoints, want within a quarter at 40", lowest, highest, len(loads()))
+		t.Errorf("got loads per unit of weight from %.2f to %.2f at %d endpoints, want at most a quarter apart at 40 endpoints", lowest, highest, len(loads()))
 	}
-	for _, order := range a.Handle(2, []Event{TimerFired{1}}) {
-		if o, ok := order.(SetWeight); ok {
-			t.Errorf("got %+v, want no change of an entry", o)
+	for _, order := range assigner.Handle(2, []Event{TimerFired{1}}) {
+		if change, ok := order.(SetWeight); ok {
+			t.Errorf("got order %+v, want no change of an entry", change)
 		}
 	}
 }
 
-// A wrong list adds endpoints that claim to have run for long: they get attempts, but only those of an endpoint on
-// probation, until they answer.
+// TestUnverifiedEndpointsStayOnProbationUntilTheyAnswer covers an incorrect endpoint list that adds endpoints which
+// seem to have run for long. Until they answer, these endpoints must get only the few attempts of an endpoint on
+// probation.
 func TestUnverifiedEndpointsStayOnProbationUntilTheyAnswer(t *testing.T) {
-	assigner, loads := singleZoneModel()
+	assigner, loads := newSingleZoneAssigner()
 	now := 20.0
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: newEndpoints("s", 30)}})
-	means := func() (known, added float64) {
+	meanLoads := func() (knownLoad, addedLoad float64) {
 		for e, load := range loads() {
 			if e.name[0] == 's' {
-				added += load / 30
+				addedLoad += load / 30
 			} else {
-				known += load / 40
+				knownLoad += load / 40
 			}
 		}
-		return known, added
+		return knownLoad, addedLoad
 	}
-	if known, added := means(); added == 0 || added > 2*outlier.ProbationWeight*known {
+	if knownLoad, addedLoad := meanLoads(); addedLoad == 0 || addedLoad > 2*outlier.ProbationWeight*knownLoad {
 		t.Errorf("got load %.3f of unverified endpoints and %.3f of others, want above 0 and at most %.3f",
-			added, known, 2*outlier.ProbationWeight*known)
+			addedLoad, knownLoad, 2*outlier.ProbationWeight*knownLoad)
 	}
 	var events []Event
 	for _, e := range newEndpoints("s", 30) {
@@ -83,8 +85,8 @@
 			assigner.Handle(now+i+0.5, []Event{Acknowledged{Proxy: p.id, Sequence: assigner.scheduler.lastSequence}})
 		}
 	}
-	if known, added := means(); added < known/subset.ReassignmentRatio {
+	if knownLoad, addedLoad := meanLoads(); addedLoad < knownLoad/subset.ReassignmentRatio {
 		t.Errorf("got load %.3f of verified endpoints and %.3f of others, want at least %.3f",
-			added, known, known/subset.ReassignmentRatio)
+			addedLoad, knownLoad, knownLoad/subset.ReassignmentRatio)
 	}
 }
--- a/assign/zone_test.go
+++ b/assign/zone_test.go
@@ -2,26 +2,27 @@
 
 import "testing"
 
-// An assigner has reports of its own zone's proxies only. When the zone's endpoints are full and others are not, part of the
-// zone's traffic goes there: as much as evens them out and no more, although reports trail by seconds.
-func TestSpilloverEvensOutAnOverloadedZone(t *testing.T) {
-	sim := calmModel(t)
+// TestSpilloverBalancesOverloadedZone covers a zone whose endpoints are full while those of other zones are not. The
+// assigner receives reports only from the proxies of this zone, and the reports are seconds old. Spill-over must move
+// just as much traffic to the other zones as balances the busy fractions, without oscillation.
+func TestSpilloverBalancesOverloadedZone(t *testing.T) {
+	sim := newFaultFreeModel(t)
 	zone, traffic, spillovers := sim.assigner.getOrCreateZone("x"), 1.6, []float64{0, 0, 0, 0}
 	for range 60 {
 		spillovers = append(spillovers, zone.spillover.Fraction)
-		reported := spillovers[len(spillovers)-4]
+		reportedSpillover := spillovers[len(spillovers)-4]
 		for _, e := range sim.assigner.endpointList {
-			e.busyFraction = 0.4 + traffic*reported/2
+			e.busyFraction = 0.4 + traffic*reportedSpillover/2
 			if e.zone == "x" {
-				e.busyFraction = min(1, traffic*(1-reported))
+				e.busyFraction = min(1, traffic*(1-reportedSpillover))
 			}
 		}
 		zone.recompute(sim.assigner)
 		zone.adjustSpillover(sim.assigner)
 	}
 	for _, spillover := range spillovers[20:] {
-		if local, remote := traffic*(1-spillover), 0.4+traffic*spillover/2; local > 0.99 || local < remote-0.05 {
-			t.Fatalf("got busy fractions %.2f in the zone and %.2f elsewhere, want below 0.99 and even; spill-over %v", local, remote, spillovers)
+		if localBusy, remoteBusy := traffic*(1-spillover), 0.4+traffic*spillover/2; localBusy > 0.99 || localBusy < remoteBusy-0.05 {
+			t.Fatalf("got busy fractions %.2f in the zone and %.2f elsewhere, want at most 0.99 and at most 0.05 less than elsewhere; spill-over %v", localBusy, remoteBusy, spillovers)
 		}
 	}
 	for _, e := range sim.assigner.endpointList {
