--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -119,8 +119,8 @@
 
 // move sets the addresses, and reports whether one has changed.
 func (r *Reloader) move(update *config.Update) bool {
-	discoveryMoved := r.discovery.Move(update.Discovery)
-	relayMoved := r.relay.Move(update.Relay)
+	discoveryMoved := r.discovery.Set(update.Discovery)
+	relayMoved := r.relay.Set(update.Relay)
 	if !discoveryMoved && !relayMoved {
 		return false
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -124,7 +124,7 @@
 	if err := h.Move("", oldOpen); err != nil {
 		t.Fatal(err)
 	}
-	h.address.Move(h.Address())
+	h.address.Set(h.Address())
 }
 
 // write writes a part of an answer. It ignores errors: the client may have closed the connection.
@@ -303,7 +303,7 @@
 	setup.watcher.Watch(true)
 	for i := range 3 {
 		version := firstVersion + 1 + 2*i
-		setup.address.Move("127.0.0.1:1") // refuses connections
+		setup.address.Set("127.0.0.1:1") // refuses connections
 		setup.Change(entry("s", discoverytest.Draining))
 		if update := setup.next(t); update.Version != version || update.Failed {
 			t.Fatalf("from the old agent: got %+v, want version %d", update, version)
@@ -496,7 +496,7 @@
 	}
 	succeed("old")
 	fail(ErrConnectionClosed, false)
-	address.Move("new")
+	address.Set("new")
 	for range 3 {
 		fail(httpconn.ErrStatus, true)
 		succeed("old")
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -7,187 +7,199 @@
 	"madderhollow/internal/backoff"
 )
 
-// Source is what Follow follows. All functions must be set. Receive and Failed are called one at a time, by the goroutine
-// that calls Follow; while one of them blocks, no stream makes progress.
+// Source describes how Follow opens a stream and handles the items of the stream. All functions must be set. Receive
+// and Failed are called by the goroutine that runs Follow, never concurrently. While one of these two functions
+// blocks, no stream makes progress.
 type Source[T any] struct {
-	// Open opens a stream at an address and reads items from it until reading fails or the context ends; it returns why.
-	// It runs in a goroutine of its own, and there may be two at a time. It must release all its resources before it
-	// returns.
+	// Open opens a stream at an address and reads items until reading fails or the context ends. It returns the error
+	// that ended the stream. Each call of Open runs in a goroutine of its own, and two calls may run at the same time.
+	// Open must release all its resources before it returns.
 	//
-	// Open passes each item to deliver, which blocks until Receive has returned for the item and then returns true. It
-	// returns false if the context has ended. Open owns an item before deliver is called, and again if deliver returns
-	// true; if it returns false, Open must return without reading or writing the item, since Receive may still use it.
+	// Open passes each item to deliver. The function deliver blocks until Receive has returned for the item, and then
+	// returns true. It returns false if the context ends first. Open owns an item until it calls deliver, and again
+	// after deliver has returned true. If deliver returns false, Open must return without reading or writing the item,
+	// because Receive may still use the item.
 	Open func(ctx context.Context, address string, deliver func(item T) bool) error
-	// Receive handles an item. During a handover the items of both streams interleave: duringHandover is true for the
-	// items of the new stream, and false for those of the old one. Receive reports whether the new stream is ready to
-	// replace the old one; its result is ignored while duringHandover is false.
+	// Receive handles an item. During a handover the items of the old and the new stream interleave: duringHandover is
+	// true for an item of the new stream and false for an item of the old stream. Outside a handover it is false.
+	// Receive reports whether the new stream is ready to replace the old stream. The result is ignored if
+	// duringHandover is false.
 	Receive func(item T, duringHandover bool) (ready bool)
-	// Failed is called with the error of Open for each stream that Follow has not closed; the context may have ended by
-	// then. duringHandover is true if the stream was the new one of a handover, so that the old one continues.
+	// Failed handles the error with which Open has returned. It is not called for a stream that Follow has closed. The
+	// context of Follow may have ended before the call. The argument duringHandover is true if the stream was the new
+	// stream of a handover, in which case the old stream continues.
 	Failed func(err error, duringHandover bool)
 }
 
-// stream is one call of Source.Open and the goroutine that makes it.
+// stream is one call of Source.Open and the goroutine that runs the call.
 type stream[T any] struct {
-	address string
-	items   chan T        // from deliver; not buffered
-	handled chan struct{} // an element each time Receive has returned for an item
-	ended   chan error    // the result of Source.Open, once; buffered, so that its goroutine never blocks on it
-	cancel  context.CancelFunc
+	address    string
+	items      chan T        // items that Source.Open passes to deliver; unbuffered
+	handled    chan struct{} // receives an element each time Receive has returned for an item
+	openResult chan error    // receives the result of Source.Open once; buffered, so that sending never blocks
+	cancel     context.CancelFunc
 }
 
-// open starts a stream, which the follower owns. Its goroutine ends when Source.Open returns: when reading fails, or
-// after the stream's cancel or the end of the context.
-func open[T any](ctx context.Context, address string, source Source[T]) *stream[T] {
+// openStream starts a stream, which the streamManager owns. The goroutine of the stream ends when Source.Open returns:
+// after reading has failed, after a call of the stream's cancel function, or after the end of the context.
+func openStream[T any](ctx context.Context, address string, source Source[T]) *stream[T] {
 	ctx, cancel := context.WithCancel(ctx)
-	opened := &stream[T]{
-		address: address,
-		items:   make(chan T),
-		handled: make(chan struct{}, 1),
-		ended:   make(chan error, 1),
-		cancel:  cancel,
+	newStream := &stream[T]{
+		address:    address,
+		items:      make(chan T),
+		handled:    make(chan struct{}, 1),
+		openResult: make(chan error, 1),
+		cancel:     cancel,
 	}
 	deliver := func(item T) bool {
 		select {
-		case opened.items <- item:
+		case newStream.items <- item:
 		case <-ctx.Done():
 			return false
 		}
 		select {
-		case <-opened.handled:
+		case <-newStream.handled:
 			return true
 		case <-ctx.Done():
 			return false
 		}
 	}
-	go func() { opened.ended <- source.Open(ctx, address, deliver) }() // ends when Open returns, as stated above
-	return opened
+	go func() { newStream.openResult <- source.Open(ctx, address, deliver) }() // ends when Source.Open returns
+	return newStream
 }
 
-// close cancels a stream and blocks until its Source.Open has returned. A nil stream is closed already.
+// close cancels the stream and blocks until Source.Open has returned. It does nothing if the stream is nil.
 func (s *stream[T]) close() {
 	if s != nil {
 		s.cancel()
-		<-s.ended //nolint:errcheck // the error is that of the cancellation
+		<-s.openResult //nolint:errcheck // the error only reports the cancellation
 	}
 }
 
-// follower keeps the streams of one source. Its states, by the streams that are open:
+// streamManager manages the streams of one source: the active stream and the pending stream, which is to replace the
+// active stream. Its state depends on which of the two streams are open:
 //
-//	idle      none: waiting for the end of the backoff
-//	opening   next: it becomes current with the next item that it delivers, ready or not
-//	active    current: at the address, or at an old address during the backoff after a failed handover
-//	handover  current and next: current at an old address, next at the address
+//	idle      No stream is open. The manager waits for the end of the backoff.
+//	opening   Only the pending stream is open. Its first item makes it the active stream, even if it is not ready.
+//	active    Only the active stream is open. Its address is the current address, or an old address during the backoff
+//	          after a failed handover.
+//	handover  Both streams are open: the active stream at an old address, and the pending stream at the current address.
 //
-// Its transitions. A backoff delays the opening of a stream; a change of the address ends it.
+// The manager changes its state on the events below. A backoff delays the opening of a stream. A change of the address
+// ends the backoff.
 //
-//	idle      backoff over, address changed     -> opening
-//	opening   item of next                      -> active
-//	opening   next ends                         -> idle, backoff
-//	opening   address changed                   -> opening with another next
-//	active    current ends                      -> idle, backoff from the shortest delay
-//	active    backoff over, address changed     -> handover, unless current is at the address
-//	handover  item of next, which is ready      -> active with next as current
-//	handover  current ends                      -> opening with the same next
-//	handover  next ends                         -> active, backoff
-//	handover  address changed                   -> handover with another next, or active if current is at the address
-type follower[T any] struct {
-	source     Source[T]
-	address    *Address
-	delays     *backoff.Backoff
-	current    *stream[T] // nil: none
-	next       *stream[T] // nil: none
-	inBackoff  bool       // open no stream before backoffEnd fires or the address changes
-	backoffEnd *time.Timer
+//	idle      backoff ends, or address changes       -> opening
+//	opening   pending stream delivers an item        -> active, with the pending stream as the active stream
+//	opening   pending stream ends                    -> idle, with a backoff
+//	opening   address changes                        -> opening, with another pending stream
+//	active    active stream ends                     -> idle, with a backoff of the shortest delay
+//	active    backoff ends, or address changes       -> handover, unless the active stream is at the current address
+//	handover  pending stream delivers and is ready   -> active, with the pending stream as the active stream
+//	handover  active stream ends                     -> opening, with the same pending stream
+//	handover  pending stream ends                    -> active, with a backoff
+//	handover  address changes                        -> handover, with another pending stream; or active, if the
+//	                                                    active stream is at the current address
+type streamManager[T any] struct {
+	source       Source[T]
+	address      *Address
+	retryBackoff *backoff.Backoff
+	active       *stream[T] // stream in use, or nil if there is none
+	pending      *stream[T] // stream that is to replace the active stream, or nil if there is none
+	inBackoff    bool       // no stream may be opened until backoffTimer fires or the address changes
+	backoffTimer *time.Timer
 }
 
-// Follow follows a source at an address until the context ends, and returns once all streams are closed. When a stream
-// fails it opens another one after the next of the delays. It starts over from the shortest one when the current stream
-// fails; Receive may reset the delays, too. No other goroutine may use them while Follow runs.
-func Follow[T any](ctx context.Context, address *Address, delays *backoff.Backoff, source Source[T]) {
-	delay := time.NewTimer(0) // fires once without effect: there is no backoff yet
-	f := &follower[T]{source: source, address: address, delays: delays, backoffEnd: delay}
-	defer f.stop()
+// Follow keeps a stream open to a source at the current address until the context ends. It returns after all streams
+// are closed. After the failure of a stream, Follow waits for the next delay of retryBackoff and opens another stream.
+// Follow resets retryBackoff to the shortest delay when the active stream fails, and Receive may reset it, too. No
+// other goroutine may use retryBackoff while Follow runs.
+func Follow[T any](ctx context.Context, address *Address, retryBackoff *backoff.Backoff, source Source[T]) {
+	backoffTimer := time.NewTimer(0) // fires at once, without effect, because no backoff has begun
+	m := &streamManager[T]{source: source, address: address, retryBackoff: retryBackoff, backoffTimer: backoffTimer}
+	defer m.stop()
 	for ctx.Err() == nil {
-		moved := f.openNext(ctx)
-		f.step(ctx, moved)
+		changed := m.openPendingIfNeeded(ctx)
+		m.handleEvent(ctx, changed)
 	}
 }
 
-// stop closes all streams and ends the backoff.
-func (f *follower[T]) stop() {
-	f.backoffEnd.Stop()
-	f.current.close()
-	f.next.close()
+// stop closes all streams and stops the backoff timer.
+func (m *streamManager[T]) stop() {
+	m.backoffTimer.Stop()
+	m.active.close()
+	m.pending.close()
 }
 
-// openNext opens the next stream if the state asks for one. It returns a channel that is closed when the address changes.
-func (f *follower[T]) openNext(ctx context.Context) (moved <-chan struct{}) {
-	address, moved := f.address.Current()
-	if f.next != nil && f.next.address != address {
-		f.next.close()
-		f.next = nil
+// openPendingIfNeeded closes the pending stream if its address is outdated, and opens a pending stream if the state
+// requires one. It returns a channel that is closed when the address changes.
+func (m *streamManager[T]) openPendingIfNeeded(ctx context.Context) (changed <-chan struct{}) {
+	address, changed := m.address.Current()
+	if m.pending != nil && m.pending.address != address {
+		m.pending.close()
+		m.pending = nil
 	}
-	missing := f.current == nil || f.current.address != address
-	if f.next == nil && !f.inBackoff && missing {
-		f.next = open(ctx, address, f.source)
+	needsPending := m.active == nil || m.active.address != address
+	if m.pending == nil && !m.inBackoff && needsPending {
+		m.pending = openStream(ctx, address, m.source)
 	}
-	return moved
+	return changed
 }
 
-// step waits for one event and makes its transition.
-func (f *follower[T]) step(ctx context.Context, moved <-chan struct{}) {
-	var none stream[T] // its channels are nil and block forever
-	current, next := &none, &none
-	if f.current != nil {
-		current = f.current
+// handleEvent waits for one event and makes the state transition for that event.
+func (m *streamManager[T]) handleEvent(ctx context.Context, changed <-chan struct{}) {
+	var noStream stream[T] // takes the place of a stream that is not open; its channels are nil and block forever
+	active, pending := &noStream, &noStream
+	if m.active != nil {
+		active = m.active
 	}
-	if f.next != nil {
-		next = f.next
+	if m.pending != nil {
+		pending = m.pending
 	}
 	select {
 	case <-ctx.Done():
-	case <-moved:
-		f.inBackoff = false
-	case <-f.backoffEnd.C:
-		f.inBackoff = false
-	case item := <-current.items:
-		f.source.Receive(item, false)
-		current.handled <- struct{}{}
-	case item := <-next.items:
-		f.receiveFromNext(item)
-	case err := <-current.ended:
-		f.currentEnded(err)
-	case err := <-next.ended:
-		f.nextEnded(err)
+	case <-changed:
+		m.inBackoff = false
+	case <-m.backoffTimer.C:
+		m.inBackoff = false
+	case item := <-active.items:
+		m.source.Receive(item, false)
+		active.handled <- struct{}{}
+	case item := <-pending.items:
+		m.handlePendingItem(item)
+	case err := <-active.openResult:
+		m.handleActiveEnd(err)
+	case err := <-pending.openResult:
+		m.handlePendingEnd(err)
 	}
 }
 
-// receiveFromNext handles an item of the next stream, which replaces the current one if it is ready or the only one.
-func (f *follower[T]) receiveFromNext(item T) {
-	ready := f.source.Receive(item, f.current != nil)
-	f.next.handled <- struct{}{}
-	if ready || f.current == nil {
-		f.current.close()
-		f.current, f.next = f.next, nil
+// handlePendingItem passes an item of the pending stream to Receive. The pending stream then becomes the active stream
+// if it is ready or if there is no active stream.
+func (m *streamManager[T]) handlePendingItem(item T) {
+	ready := m.source.Receive(item, m.active != nil)
+	m.pending.handled <- struct{}{}
+	if ready || m.active == nil {
+		m.active.close()
+		m.active, m.pending = m.pending, nil
 	}
 }
 
-// currentEnded reports the end of the current stream. If no next stream is open, one is opened after the shortest delay.
-func (f *follower[T]) currentEnded(err error) {
-	f.current.cancel() // Open has returned; this releases the context
-	f.source.Failed(err, false)
-	f.current = nil
-	f.inBackoff = f.next == nil
-	f.delays.Reset()
-	f.backoffEnd.Reset(f.delays.Next())
+// handleActiveEnd reports the end of the active stream to Failed. If no pending stream is open, a stream is opened
+// after the shortest delay.
+func (m *streamManager[T]) handleActiveEnd(err error) {
+	m.active.cancel() // Open has already returned, so cancel only releases the context
+	m.source.Failed(err, false)
+	m.active = nil
+	m.inBackoff = m.pending == nil
+	m.retryBackoff.Reset()
+	m.backoffTimer.Reset(m.retryBackoff.Next())
 }
 
-// nextEnded reports the end of the next stream, which is opened again after a delay.
-func (f *follower[T]) nextEnded(err error) {
-	f.next.cancel() // Open has returned; this releases the context
-	f.source.Failed(err, f.current != nil)
-	f.next = nil
-	f.inBackoff = true
-	f.backoffEnd.Reset(f.delays.Next())
+// handlePendingEnd reports the end of the pending stream to Failed. Another pending stream is opened after a delay.
+func (m *streamManager[T]) handlePendingEnd(err error) {
+	m.pending.cancel() // Open has already returned, so cancel only releases the context
+	m.source.Failed(err, m.active != nil)
+	m.pending = nil
+	m.inBackoff = true
+	m.backoffTimer.Reset(m.retryBackoff.Next())
 }
--- a/internal/handover/follow_test.go
+++ b/internal/handover/follow_test.go
@@ -9,26 +9,27 @@
 	"madderhollow/internal/backoff"
 )
 
-// testTimeout bounds any wait. It is long enough for a busy machine.
+// testTimeout bounds each wait of the tests. It is long enough for a heavily loaded machine.
 const testTimeout = 10 * time.Second
 
-// readyItem is an item with which a new stream is ready.
+// readyItem is the item for which Receive reports that a new stream is ready.
 const readyItem = "ready"
 
-// Errors of Source.Open.
+// Errors that Source.Open returns in the tests.
 var (
 	errBroken = errors.New("broken")
 	errClosed = errors.New("closed by Follow")
 )
 
-// testStream is one call of Source.Open, which delivers the items and returns the error that the test sends.
+// testStream is one call of Source.Open. It delivers the items and returns the error that the test sends to it.
 type testStream struct {
 	address string
-	items   chan string
-	fail    chan error
-	closed  <-chan struct{} // by Follow
+	items   chan string     // items that the stream delivers
+	fail    chan error      // error with which the stream ends
+	closed  <-chan struct{} // closed when Follow closes the stream
 }
 
+// open delivers items until the test sends an error, deliver returns false or the context ends.
 func (s *testStream) open(ctx context.Context, deliver func(string) bool) error {
 	for {
 		select {
@@ -44,34 +45,34 @@
 	}
 }
 
-// received is one call of Source.Receive.
-type received struct {
+// receiveCall holds the arguments of one call of Source.Receive.
+type receiveCall struct {
 	item           string
 	duringHandover bool
 }
 
-// failed is one call of Source.Failed.
-type failed struct {
+// failedCall holds the arguments of one call of Source.Failed.
+type failedCall struct {
 	err            error
 	duringHandover bool
 }
 
-// harness runs Follow with a source whose calls it passes to the test.
+// harness runs Follow with a source that forwards all its calls to the test.
 type harness struct {
 	address  *Address
-	opened   chan *testStream
-	received chan received
-	failed   chan failed
+	opened   chan *testStream // streams in the order in which Source.Open was called
+	received chan receiveCall // calls of Source.Receive
+	failed   chan failedCall  // calls of Source.Failed
 }
 
-// follow runs Follow at address "a" until the test ends.
-func follow(t *testing.T) *harness {
+// startHarness starts Follow at address "a". Follow ends with the test.
+func startHarness(t *testing.T) *harness {
 	t.Helper()
 	setup := &harness{
 		address:  NewAddress("a"),
 		opened:   make(chan *testStream, 100),
-		received: make(chan received, 100),
-		failed:   make(chan failed, 100),
+		received: make(chan receiveCall, 100),
+		failed:   make(chan failedCall, 100),
 	}
 	source := Source[string]{
 		Open: func(ctx context.Context, address string, deliver func(string) bool) error {
@@ -80,14 +81,14 @@
 			return stream.open(ctx, deliver)
 		},
 		Receive: func(item string, duringHandover bool) bool {
-			setup.received <- received{item, duringHandover}
+			setup.received <- receiveCall{item, duringHandover}
 			return item == readyItem
 		},
-		Failed: func(err error, duringHandover bool) { setup.failed <- failed{err, duringHandover} },
+		Failed: func(err error, duringHandover bool) { setup.failed <- failedCall{err, duringHandover} },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { // ends with ctx, which the cleanup cancels
+	go func() { // ends when the cleanup function cancels ctx
 		defer close(ended)
 		Follow(ctx, setup.address, backoff.New(time.Millisecond, time.Millisecond, 1), source)
 	}()
@@ -98,20 +99,20 @@
 	return setup
 }
 
-// await returns what a channel delivers.
-func await[T any](t *testing.T, from <-chan T, what string) T {
+// await returns the next value of a channel. It fails the test if no value arrives within testTimeout.
+func await[T any](t *testing.T, from <-chan T, description string) T {
 	t.Helper()
 	select {
 	case got := <-from:
 		return got
 	case <-time.After(testTimeout):
-		t.Fatalf("got nothing, want %s", what)
+		t.Fatalf("got nothing, want %s", description)
 	}
-	var none T // not reached
-	return none
+	var zero T // not reached, because Fatalf ends the test
+	return zero
 }
 
-// send sends a value to a channel.
+// send sends a value to a channel. It fails the test if the value is not received within testTimeout.
 func send[T any](t *testing.T, to chan<- T, value T) {
 	t.Helper()
 	select {
@@ -121,7 +122,7 @@
 	}
 }
 
-// mustOpen awaits the opening of a stream at an address.
+// mustOpen waits until Follow opens a stream, and checks the address of the stream.
 func (h *harness) mustOpen(t *testing.T, address string) *testStream {
 	t.Helper()
 	stream := await(t, h.opened, "a stream at "+address)
@@ -131,42 +132,43 @@
 	return stream
 }
 
-// mustReceive has a stream deliver an item and checks that it is received.
+// mustReceive makes a stream deliver an item, and checks that Receive is called with the item and with duringHandover.
 func (h *harness) mustReceive(t *testing.T, from *testStream, item string, duringHandover bool) {
 	t.Helper()
 	send(t, from.items, item)
-	want := received{item, duringHandover}
+	want := receiveCall{item, duringHandover}
 	if got := await(t, h.received, "an item"); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 }
 
-// mustFail breaks a stream and checks that its failure is reported.
+// mustFail makes a stream fail, and checks that Failed is called with the error and with duringHandover.
 func (h *harness) mustFail(t *testing.T, stream *testStream, duringHandover bool) {
 	t.Helper()
 	send(t, stream.fail, errBroken)
-	want := failed{errBroken, duringHandover}
+	want := failedCall{errBroken, duringHandover}
 	if got := await(t, h.failed, "a failure"); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 }
 
-// startHandover brings Follow into the state handover, from address "a" to "b".
-func startHandover(t *testing.T) (h *harness, current, next *testStream) {
+// startHandover brings Follow into the handover state, with the active stream at address "a" and the pending stream at
+// address "b".
+func startHandover(t *testing.T) (h *harness, active, pending *testStream) {
 	t.Helper()
-	h = follow(t)
-	current = h.mustOpen(t, "a")
-	h.mustReceive(t, current, "first", false)
-	h.address.Move("b")
-	next = h.mustOpen(t, "b")
-	h.mustReceive(t, next, "not ready", true)
-	h.mustReceive(t, current, "second", false)
-	return h, current, next
+	h = startHarness(t)
+	active = h.mustOpen(t, "a")
+	h.mustReceive(t, active, "first", false)
+	h.address.Set("b")
+	pending = h.mustOpen(t, "b")
+	h.mustReceive(t, pending, "not ready", true)
+	h.mustReceive(t, active, "second", false)
+	return h, active, pending
 }
 
 func TestFollowReopensStreamAfterFailure(t *testing.T) {
 	for _, items := range [][]string{nil, {"first", "second"}} {
-		h := follow(t)
+		h := startHarness(t)
 		for range 3 {
 			stream := h.mustOpen(t, "a")
 			for _, item := range items {
@@ -178,55 +180,56 @@
 }
 
 func TestFollowClosesOldStreamWhenNewOneIsReady(t *testing.T) {
-	h, current, next := startHandover(t)
-	h.mustReceive(t, next, readyItem, true)
-	await(t, current.closed, "the old stream's end")
-	h.mustReceive(t, next, "third", false)
-	h.mustFail(t, next, false)
+	h, active, pending := startHandover(t)
+	h.mustReceive(t, pending, readyItem, true)
+	await(t, active.closed, "the old stream's end")
+	h.mustReceive(t, pending, "third", false)
+	h.mustFail(t, pending, false)
 	h.mustOpen(t, "b")
 }
 
 func TestFollowKeepsOldStreamWhileNewOneFails(t *testing.T) {
-	h, current, next := startHandover(t)
+	h, active, pending := startHandover(t)
 	for range 3 {
-		h.mustFail(t, next, true)
-		h.mustReceive(t, current, "third", false)
-		next = h.mustOpen(t, "b")
+		h.mustFail(t, pending, true)
+		h.mustReceive(t, active, "third", false)
+		pending = h.mustOpen(t, "b")
 	}
-	h.mustReceive(t, next, readyItem, true)
-	await(t, current.closed, "the old stream's end")
+	h.mustReceive(t, pending, readyItem, true)
+	await(t, active.closed, "the old stream's end")
 }
 
 func TestFollowKeepsNewStreamWhenOldOneFails(t *testing.T) {
-	h, current, next := startHandover(t)
-	h.mustFail(t, current, false)
-	h.mustReceive(t, next, "not ready either", false)
-	h.mustFail(t, next, false)
+	h, active, pending := startHandover(t)
+	h.mustFail(t, active, false)
+	h.mustReceive(t, pending, "not ready either", false)
+	h.mustFail(t, pending, false)
 	h.mustOpen(t, "b")
 }
 
 func TestFollowClosesNewStreamWhenAddressChangesAgain(t *testing.T) {
-	h, current, next := startHandover(t)
-	h.address.Move("c")
-	await(t, next.closed, "the end of the stream at b")
-	next = h.mustOpen(t, "c")
-	h.address.Move("a")
-	await(t, next.closed, "the end of the stream at c")
-	h.mustReceive(t, current, "third", false)
+	h, active, pending := startHandover(t)
+	h.address.Set("c")
+	await(t, pending.closed, "the end of the stream at b")
+	pending = h.mustOpen(t, "c")
+	h.address.Set("a")
+	await(t, pending.closed, "the end of the stream at c")
+	h.mustReceive(t, active, "third", false)
 	if len(h.failed) > 0 || len(h.opened) > 0 {
 		t.Errorf("got %d failures and %d more streams, want none", len(h.failed), len(h.opened))
 	}
 }
 
 func TestFollowClosesAllStreamsWhenContextEnds(t *testing.T) {
-	var current, next *testStream
-	t.Run("handover", func(t *testing.T) { _, current, next = startHandover(t) }) // its cleanup ends Follow
-	await(t, current.closed, "the old stream's end")
-	await(t, next.closed, "the new stream's end")
+	var active, pending *testStream
+	t.Run("handover", func(t *testing.T) { _, active, pending = startHandover(t) }) // cleanup ends Follow
+	await(t, active.closed, "the old stream's end")
+	await(t, pending.closed, "the new stream's end")
 }
 
-// A source that delivers items at all times is the usual case, in which the events of both streams race.
-func TestFollowMovesAndReopensWhileItemsArrive(t *testing.T) {
+// In normal operation a source delivers items all the time, so that items of the old and the new stream race. The test
+// changes the address and then breaks the new stream under this load.
+func TestFollowSwitchesAddressAndReopensWhileItemsArrive(t *testing.T) {
 	items, failures, breakStream := make(chan string), make(chan bool, 10), make(chan struct{})
 	source := Source[string]{
 		Open: func(ctx context.Context, address string, deliver func(string) bool) error {
@@ -246,7 +249,7 @@
 	address := NewAddress("a")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { // ends with ctx, below
+	go func() { // ends when ctx is canceled below
 		defer close(ended)
 		Follow(ctx, address, backoff.New(time.Millisecond, time.Millisecond, 1), source)
 	}()
@@ -256,12 +259,12 @@
 		}
 	}
 	awaitItem("a")
-	address.Move("b")
+	address.Set("b")
 	awaitItem("b")
 	if got := await(t, items, "an item"); got != "b" {
-		t.Errorf("got an item of %s after one of b, want b", got)
+		t.Errorf("got an item of the stream at %s after an item of the stream at b, want the stream at b", got)
 	}
-	go func() { breakStream <- struct{}{} }() // ends when the stream receives it
+	go func() { breakStream <- struct{}{} }() // ends when the stream has received the signal
 	for len(failures) == 0 {
 		awaitItem("b")
 	}
@@ -272,7 +275,7 @@
 	cancel()
 	for {
 		select {
-		case <-items: // the last ones, which Receive must not block on
+		case <-items: // received until Follow has ended, because Receive blocks until its item is received
 			continue
 		case <-ended:
 		case <-time.After(testTimeout):
--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -8,13 +8,13 @@
 	"madderhollow/internal/wire"
 )
 
-// callConditions log the reasons for which calls fail, each as a condition that lasts. A condition ends only with an answer
-// that shows its end: a relay that is down or breaks every call never ends one.
+// callConditions holds one logged condition for each reason why calls fail. A condition ends only with an answer that
+// rules it out. While the relay is down or breaks every call, no condition ends.
 type callConditions struct {
-	unsent     *conditionlog.Condition // calls cannot be written
-	unanswered *conditionlog.Condition // calls are ambiguous
-	busy       *conditionlog.Condition // the relay delays calls
-	syntax     *conditionlog.Condition // the relay cannot parse calls
+	unsent     *conditionlog.Condition // calls cannot be sent
+	unanswered *conditionlog.Condition // the outcome of calls is unknown, because no valid answer arrives
+	busy       *conditionlog.Condition // the relay answers that it is busy
+	unparsable *conditionlog.Condition // the relay answers that it cannot parse calls
 }
 
 func newCallConditions(log zerolog.Logger) callConditions {
@@ -34,7 +34,7 @@
 			Failing:   "relay busy; call delayed",
 			Recovered: "relay no longer busy",
 		}),
-		syntax: conditionlog.New(conditionlog.Config{
+		unparsable: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "relay cannot parse call; retrying",
 			Recovered: "relay parses calls again",
@@ -42,19 +42,20 @@
 	}
 }
 
-// answered ends the conditions that an answer with this error code rules out; empty: no error.
-func (c *callConditions) answered(code string) {
+// recordAnswer ends the conditions that are ruled out by an answer with this error code. The code is empty if the
+// answer reports no error.
+func (c *callConditions) recordAnswer(code string) {
 	c.unsent.Recover()
 	c.unanswered.Recover()
 	if code == "" || code == wire.CodeSyntax {
 		c.busy.Recover()
 	}
 	if code == "" {
-		c.syntax.Recover()
+		c.unparsable.Recover()
 	}
 }
 
-// addOrderCount returns a function that adds a call's number of orders to a log line.
+// addOrderCount returns a function that adds the number of orders of a call to a log line.
 func addOrderCount(call orderqueue.Call) func(line *zerolog.Event) {
 	return func(line *zerolog.Event) { line.Int("orders", len(call.Orders)) }
 }
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -17,48 +17,54 @@
 	"madderhollow/internal/wire"
 )
 
-// The request of a call; package wire has its body and the names in the answer.
+// Path and content type of the HTTP request of a call. Package wire defines the request body and the answer.
 const (
 	callPath        = "/"
 	callContentType = "application/x-www-form-urlencoded"
 )
 
 const (
-	// answerTimeout is four times the 50 ms within which the relay answers, if it does at all.
+	// answerTimeout bounds the time from sending a call until its answer has been read. It is four times the 50 ms
+	// within which the relay answers, if it answers at all.
 	answerTimeout = 200 * time.Millisecond
-	// maxIdle is below the 10 s after which the relay may close an idle connection. A close that has arrived is detected
-	// before a call is sent; one that is in transit would make the call ambiguous.
-	maxIdle = 2 * time.Second
-	// moveRetryDelay is the delay between attempts to connect to a new address while the old connection is in use.
-	moveRetryDelay = 250 * time.Millisecond
-	// maxAnswerSize bounds an answer, in bytes; the rest of a longer one is not read. The relay's answers have about a hundred.
-	maxAnswerSize = 64 << 10
+	// maxIdleTime is the longest idle time after which a connection is used again. It is below the 10 s after which
+	// the relay may close an idle connection. A close that has arrived is detected before a call is sent. A close that
+	// is still in transit would make the call ambiguous.
+	maxIdleTime = 2 * time.Second
+	// handoverRetryDelay is the delay between two attempts to connect to a new address while the connection to the old
+	// address is in use.
+	handoverRetryDelay = 250 * time.Millisecond
+	// maxAnswerBytes bounds the part of an answer that is read, in bytes. The answers of the relay have about a
+	// hundred bytes.
+	maxAnswerBytes = 64 << 10
 )
 
-// ErrTooManyAccepted is an answer that reports more accepted orders than the call has.
+// ErrTooManyAccepted reports an answer that counts more accepted orders than the call contained.
 var ErrTooManyAccepted = errors.New("more orders accepted than sent")
 
-// callConn is the connection for calls. It has three states: closed (conn is nil), connected to the current address, and
-// connected to an old address, which is used until a connection to the current one is open. One goroutine may use it.
+// callConn manages the connection over which calls are sent. It has three states: closed (conn is nil), connected to
+// the current address, and connected to an old address. A connection to an old address is used until a connection to
+// the current address is open. A callConn is not safe for concurrent use.
 type callConn struct {
-	address     *handover.Address
-	conn        *httpconn.Conn
-	lastUsed    time.Time
-	moveRetryAt time.Time               // no attempt to connect to a new address before
-	moveFailing *conditionlog.Condition // the current address cannot be connected to while the old connection is in use
+	address         *handover.Address
+	conn            *httpconn.Conn          // open connection, or nil in the closed state
+	lastUsed        time.Time               // time of the last answer, or of opening the connection
+	handoverRetryAt time.Time               // earliest time of the next attempt to connect to a new address
+	handoverFailing *conditionlog.Condition // connecting to the current address fails while the old connection is in use
 }
 
-// newCallConn returns a closed connection.
+// newCallConn returns a callConn in the closed state.
 func newCallConn(address *handover.Address, log zerolog.Logger) callConn {
-	return callConn{address: address, moveFailing: conditionlog.New(conditionlog.Config{
+	return callConn{address: address, handoverFailing: conditionlog.New(conditionlog.Config{
 		Log:       log,
 		Failing:   "connect to new relay address failed; keeping old connection",
 		Recovered: "calls use current relay address",
 	})}
 }
 
-// ensure opens a connection unless there is one that can be used. After an error it is closed; otherwise it is connected.
-func (c *callConn) ensure(ctx context.Context) error {
+// ensureConnected opens a connection unless a usable connection is open. If it returns an error, no connection is
+// open.
+func (c *callConn) ensureConnected(ctx context.Context) error {
 	address, _ := c.address.Current()
 	if c.conn != nil && c.stale() {
 		c.close()
@@ -67,70 +73,75 @@
 		return c.connect(ctx, address)
 	}
 	if c.conn.Address == address {
-		c.moveFailing.Recover()
+		c.handoverFailing.Recover()
 		return nil
 	}
-	c.move(ctx, address)
+	c.handOver(ctx, address)
 	return nil
 }
 
-// connect opens a connection while there is none.
+// connect opens a connection to an address. No connection may be open before.
 func (c *callConn) connect(ctx context.Context, address string) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
-	c.use(conn)
+	c.setConn(conn)
 	return nil
 }
 
-// move replaces the connection to an old address by one to the current address. It keeps the old one if that fails.
-func (c *callConn) move(ctx context.Context, address string) {
-	if time.Now().Before(c.moveRetryAt) {
+// handOver replaces the connection to an old address by a connection to the current address. It keeps the old
+// connection if connecting fails, or if the next attempt is not due yet.
+func (c *callConn) handOver(ctx context.Context, address string) {
+	if time.Now().Before(c.handoverRetryAt) {
 		return
 	}
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
-		c.moveRetryAt = time.Now().Add(moveRetryDelay)
-		c.moveFailing.Fail(err, func(line *zerolog.Event) {
+		c.handoverRetryAt = time.Now().Add(handoverRetryDelay)
+		c.handoverFailing.Fail(err, func(line *zerolog.Event) {
 			line.Str("address", address).Str("old_address", c.conn.Address)
 		})
 		return
 	}
 	c.close()
-	c.use(conn)
+	c.setConn(conn)
 }
 
-// use makes a new connection to the current address the one for calls.
-func (c *callConn) use(conn *httpconn.Conn) {
+// setConn makes a new connection to the current address the connection for calls.
+func (c *callConn) setConn(conn *httpconn.Conn) {
 	c.conn = conn
 	c.lastUsed = time.Now()
-	c.moveFailing.Recover()
+	c.handoverFailing.Recover()
 }
 
-// stale reports whether a call over the open connection might be ambiguous.
+// stale reports whether a call over the open connection might become ambiguous because the relay has closed the
+// connection or may close it soon, or because unread bytes have arrived.
 func (c *callConn) stale() bool {
-	return time.Since(c.lastUsed) > maxIdle || c.conn.HasUnread() || c.conn.ServerClosed()
+	return time.Since(c.lastUsed) > maxIdleTime || c.conn.HasUnread() || c.conn.ServerClosed()
 }
 
-// close closes the connection, if one is open.
-func (c *callConn) close() { c.closeBy((*httpconn.Conn).Close) }
+// close closes the connection if one is open.
+func (c *callConn) close() { c.discard((*httpconn.Conn).Close) }
 
-// reset closes the connection, if one is open, such that a call under way cannot arrive after its repeat.
-func (c *callConn) reset() { c.closeBy((*httpconn.Conn).Reset) }
+// reset resets the connection if one is open, so that a call in flight cannot arrive at the relay after the repeat of
+// the call.
+func (c *callConn) reset() { c.discard((*httpconn.Conn).Reset) }
 
-func (c *callConn) closeBy(closeConn func(*httpconn.Conn) error) {
+// discard closes the connection with the given function if one is open.
+func (c *callConn) discard(closeConn func(*httpconn.Conn) error) {
 	if c.conn == nil {
 		return
 	}
-	_ = closeConn(c.conn) // the connection is not used again, whether or not closing it succeeded
+	_ = closeConn(c.conn) // an error has no effect, because the connection is not used again
 	c.conn = nil
 }
 
-// call makes one call and blocks until it is answered, fails or times out. Sent reports whether it was written completely,
-// so that it is ambiguous after an error.
+// call makes one call and blocks until the call is answered, fails or times out. The result sent reports whether the
+// whole request was written. If the request was written and an error is returned, the outcome of the call is
+// ambiguous.
 func (c *callConn) call(ctx context.Context, orders []string) (answer wire.Answer, sent bool, err error) {
-	if err := c.ensure(ctx); err != nil {
+	if err := c.ensureConnected(ctx); err != nil {
 		return answer, false, err
 	}
 	stop := c.conn.CloseWith(ctx)
@@ -155,9 +166,9 @@
 	return answer, true, nil
 }
 
-// readAnswer reads, decodes and checks the answer to a call with this number of orders.
+// readAnswer reads, decodes and checks the answer to a call with the given number of orders.
 func readAnswer(response *http.Response, orders int) (answer wire.Answer, err error) {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return answer, fmt.Errorf("read answer: %w", err)
 	}
@@ -165,7 +176,7 @@
 		return answer, fmt.Errorf("decode answer: %w", err)
 	}
 	if answer.Accepted > orders {
-		return answer, fmt.Errorf("answer: %w: %d of %d", ErrTooManyAccepted, answer.Accepted, orders)
+		return answer, fmt.Errorf("check answer: %w: %d of %d", ErrTooManyAccepted, answer.Accepted, orders)
 	}
 	return answer, nil
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,16 +1,18 @@
-// Package relay is the client of the relay, which forwards orders to the proxies and reports their connections and
-// acknowledgments. OrderClient makes the calls with orders; EventReader reads the event stream. Each owns its connections
-// and makes no decision.
+// Package relay is the client of the relay, which forwards orders to the proxies and reports the connections and
+// acknowledgments of the proxies. OrderClient sends calls, each with one or more orders. EventReader reads the event
+// stream. Each of the two types owns its connections. Neither decides which orders are sent.
 //
-// Run of either type blocks until its context ends, and calls the queue or the sink from its own goroutine. OrderClient also
-// makes its calls there; nothing else waits for them. EventReader reads each stream in a goroutine that ends before Run
-// returns. Its sink may block, which delays the reading of events and nothing else.
+// The Run method of either type blocks until its context ends. It calls the order queue or the event sink from the
+// goroutine that called Run. OrderClient also makes its calls in this goroutine, and nothing else waits for a call.
+// EventReader reads each stream in a separate goroutine, which ends before Run returns. The sink of EventReader may
+// block, which delays only the reading of events.
 //
 // # Event stream
 //
-// A stream starts with a snapshot, a ProxyConnected for each connected proxy. Changes and heartbeats follow; the first of
-// them completes the snapshot. While no stream is open, the proxies reported before are assumed to be connected: most are,
-// and the relay drops orders for the others. Each stream goes through these states:
+// A stream starts with a snapshot, which has one ProxyConnected event for each connected proxy. Changes and heartbeats
+// follow. The first of them completes the snapshot. While no stream is open, the proxies that were last reported as
+// connected are assumed to be still connected: most of them are, and the relay drops orders for the others. Each stream
+// goes through these states:
 //
 //	           first item               resync or handover
 //	opening --------------> buffering ----------------------> forwarding
@@ -19,34 +21,42 @@
 //	 |    v                     v within heartbeatTimeout         v
 //	 +-- backoff <------------------------------------------------+
 //
-// The states, and the two ways from buffering to forwarding:
-//
-//   - opening: the connection is being opened, and nothing has been received.
-//   - buffering: events are kept until it is certain whether any change was missed. This takes time only for a stream at a
-//     new address, during the handover from the old one; otherwise the first item starts a resync.
-//   - handover: the old stream delivered an item after the new one had started, and the new snapshot is complete, so no
-//     change can have been missed. Only the differences to what was reported before are forwarded.
-//   - resync: changes may have been missed, as after a break. The whole snapshot is forwarded, since a proxy may have
-//     reconnected without its tables. Proxies that it does not contain are reported as disconnected once it is complete.
-//   - forwarding: each event goes to the sink when it arrives.
-//   - backoff: the stream has ended, and a new one is opened after a delay. An event that cannot be decoded ends a stream
-//     too, because the next snapshot makes up for it. Within that snapshot it would recur, so it is skipped there.
+// The states, and the two transitions from buffering to forwarding, are:
+//
+//   - opening: The connection is being opened, and no item has been received.
+//   - buffering: Events are buffered until it is known whether a change may have been missed. Only a stream at a new
+//     address stays in this state, during the handover from the stream at the old address. The first item of any other
+//     stream starts a resync.
+//   - handover: The old stream has delivered an item since the new stream started, and the snapshot of the new stream
+//     is complete. No change can have been missed, so only the differences between the snapshot and the proxies
+//     reported before are forwarded.
+//   - resync: Changes may have been missed, for example after a connection was lost. The whole snapshot is forwarded,
+//     because a proxy may have reconnected without its tables. Once the snapshot is complete, the proxies that it does
+//     not contain are reported as disconnected.
+//   - forwarding: Each event is passed to the sink when it arrives.
+//   - backoff: The stream has ended, and a new stream is opened after a delay. An event that cannot be decoded also
+//     ends the stream, because the snapshot of the next stream makes up for the event. An undecodable event in that
+//     snapshot is skipped, because it would recur in each further snapshot.
 //
 // # Calls
 //
-// A call ends in one of these ways; orderqueue has the states that follow:
-//
-//   - acknowledged: the relay accepted all orders.
-//   - rejected: the relay accepted the orders before one. That order is sent once more, then dropped.
-//   - delayed: the relay is busy, or cannot parse the call. The call is sent again after deferredDelay; one that cannot be
-//     parsed maxSyntaxErrors times is dropped.
-//   - not sent: the connection failed before the last byte was written. The call is sent again after a backoff.
-//   - ambiguous: the call was sent, but no valid answer arrived, so all of it or nothing was applied. The connection is
-//     reset, so that nothing arrives after the repeat, and the queue decides whether to repeat the call.
+// A call ends in one of the following ways. Package orderqueue documents the states that follow.
+//
+//   - acknowledged: The relay accepted all orders.
+//   - rejected: The relay accepted only the orders before the rejected order. The rejected order is sent once more. If
+//     it is rejected again, it is dropped.
+//   - refused: The relay is busy or cannot parse the call. The call is sent again after refusedRetryDelay. A call that
+//     cannot be parsed maxSyntaxErrors times is dropped.
+//   - not sent: The connection failed before the last byte of the call was written. The call is sent again after a
+//     backoff.
+//   - ambiguous: The call was sent, but no valid answer arrived, so either all of its orders or none of them were
+//     applied. The connection is reset, so that nothing of the call arrives after its repeat. The queue decides whether
+//     to repeat the call.
 package relay
 
 import "time"
 
-// dialTimeout is far above the milliseconds that a connection takes on the platform's network. It is short, because an
-// attempt that began while the relay was down may not succeed after the relay's return, and would delay a drain.
+// dialTimeout bounds the time for connecting to the relay. It is far above the few milliseconds that connecting takes
+// on the platform's network. It is short because an attempt that began while the relay was down may not succeed after
+// the relay has returned, and would delay a drain.
 const dialTimeout = 150 * time.Millisecond
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -13,8 +13,8 @@
 	"madderhollow/internal/wire"
 )
 
-// minReopenDelay and maxReopenDelay bound the delays between two attempts to open the event stream. The platform allows
-// 4 s without one.
+// minReopenDelay and maxReopenDelay bound the delay between two attempts to open the event stream. The platform
+// tolerates 4 s without an event stream.
 const (
 	minReopenDelay = 10 * time.Millisecond
 	maxReopenDelay = 100 * time.Millisecond
@@ -22,38 +22,38 @@
 
 // EventReaderConfig configures an EventReader.
 type EventReaderConfig struct {
-	Address *handover.Address // of the relay; its owner may move it at any time; required
-	Codec   *wire.Codec       // decodes the events; required
-	Sink    eventqueue.Sink   // receives the events, from the goroutine that calls Run; its error ends the stream; required
-	Seed    int64             // of the random part of the delays between attempts; any value
-	Log     zerolog.Logger    // default: no log
+	Address *handover.Address // address of the relay, which may change at any time; required
+	Codec   *wire.Codec       // codec that decodes the events; required
+	Sink    eventqueue.Sink   // sink that Run passes the events to; an error of the sink ends the stream; required
+	Seed    int64             // seed of the jitter of the delays between attempts; any value
+	Log     zerolog.Logger    // logger of the reader; the zero value logs nothing
 }
 
-// EventReader reads the relay's event stream over one connection, or over two during the handover to a new address. Use
-// NewEventReader.
+// EventReader reads the event stream of the relay over one connection, or over two connections during the handover to
+// a new address. NewEventReader creates an EventReader.
 type EventReader struct {
-	address      *handover.Address
-	codec        *wire.Codec
-	merger       *streamMerger
-	delays       *backoff.Backoff
-	disconnected *conditionlog.Condition // no stream is forwarding
-	moveFailing  *conditionlog.Condition // the stream at the new address fails while the old one is forwarding
+	address         *handover.Address
+	codec           *wire.Codec
+	merger          *streamMerger
+	retryBackoff    *backoff.Backoff
+	disconnected    *conditionlog.Condition // no stream is in the forwarding state
+	handoverFailing *conditionlog.Condition // the stream at the new address fails while the old stream is forwarding
 }
 
-// NewEventReader returns a reader that has not opened a stream yet.
+// NewEventReader returns an EventReader that has not opened a stream yet.
 func NewEventReader(config EventReaderConfig) *EventReader {
 	log := componentLogger(config.Log)
 	return &EventReader{
-		address: config.Address,
-		codec:   config.Codec,
-		merger:  newStreamMerger(config.Sink, log),
-		delays:  backoff.New(minReopenDelay, maxReopenDelay, config.Seed),
+		address:      config.Address,
+		codec:        config.Codec,
+		merger:       newStreamMerger(config.Sink, log),
+		retryBackoff: backoff.New(minReopenDelay, maxReopenDelay, config.Seed),
 		disconnected: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "event stream disconnected; retrying",
 			Recovered: "event stream connected",
 		}),
-		moveFailing: conditionlog.New(conditionlog.Config{
+		handoverFailing: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "event stream at new relay address failed; keeping old stream",
 			Recovered: "event stream uses current relay address",
@@ -61,10 +61,10 @@
 	}
 }
 
-// Run reads until the context ends. It returns after its connections are closed and the goroutines that read them have
-// ended. It is called once.
+// Run reads the event stream until the context ends. It returns after its connections are closed and the goroutines
+// that read from them have ended. Run must be called only once.
 func (r *EventReader) Run(ctx context.Context) {
-	handover.Follow(ctx, r.address, r.delays, handover.Source[*streamItem]{
+	handover.Follow(ctx, r.address, r.retryBackoff, handover.Source[*streamItem]{
 		Open: r.readStream,
 		Receive: func(item *streamItem, duringHandover bool) (ready bool) {
 			return r.receive(ctx, item, duringHandover)
@@ -77,20 +77,21 @@
 	})
 }
 
-// receive passes an item on to the merger, and reports whether its stream is forwarding.
+// receive passes an item to the merger, and reports whether the stream of the item is in the forwarding state.
 func (r *EventReader) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool) {
-	forwarding, item.err = r.merger.receive(ctx, item, duringHandover)
+	forwarding, item.receiveErr = r.merger.receive(ctx, item, duringHandover)
 	if forwarding && item.isHeartbeat() {
 		r.recoverConditions(item.stream)
 	}
 	return forwarding
 }
 
-// logFailure logs that a stream has ended.
+// logFailure logs the error that ended a stream. The argument duringHandover is true if the stream was the new stream
+// of a handover.
 func (r *EventReader) logFailure(err error, duringHandover bool) {
 	condition := r.disconnected
 	if duringHandover {
-		condition = r.moveFailing
+		condition = r.handoverFailing
 	}
 	address, _ := r.address.Current()
 	condition.Fail(err, func(line *zerolog.Event) {
@@ -98,16 +99,16 @@
 	})
 }
 
-// recoverConditions ends the failures that a stream which forwards a heartbeat disproves. An event does not suffice, because
-// a stream that breaks after its snapshot each time has not recovered.
+// recoverConditions ends the conditions that are ruled out by a heartbeat from a stream in the forwarding state. An
+// event does not rule them out, because a stream that breaks after each snapshot has not recovered.
 func (r *EventReader) recoverConditions(stream *streamState) {
 	r.disconnected.Recover()
 	if address, _ := r.address.Current(); stream.address == address {
-		r.moveFailing.Recover()
+		r.handoverFailing.Recover()
 	}
 }
 
-// componentLogger returns a logger whose lines name the component of this package.
+// componentLogger returns a logger that adds the component name of this package to each line.
 func componentLogger(log zerolog.Logger) zerolog.Logger {
 	return log.With().Str("component", "relay").Logger()
 }
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -17,8 +17,8 @@
 	"madderhollow/internal/relaytest"
 )
 
-// After a break all connected proxies are reported again and missing ones as disconnected. A proxy to which a table was
-// attached is not reported as fresh.
+// After the event stream breaks, all connected proxies are reported again, and proxies that have disconnected in the
+// meantime are reported as disconnected. A proxy to which a table was attached is not reported as fresh.
 func TestEventReaderResyncsAfterBreak(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -34,7 +34,7 @@
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 	setup.Inspect(func(state *relaytest.State) {
-		delete(state.Proxies, 2) // it disconnects without an event
+		delete(state.Proxies, 2) // proxy 2 disconnects without an event
 		state.Proxies[1].Tables = map[string]int{}
 	})
 	setup.CutStreams("")
@@ -48,7 +48,8 @@
 	}
 }
 
-// An event that cannot be decoded ends the stream. Within the next stream's snapshot it is skipped.
+// An event that cannot be decoded ends the stream. If the snapshot of the next stream contains such an event, the
+// event is skipped, because it would otherwise end each further stream.
 func TestEventReaderSkipsUndecodableEventOfSnapshot(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -59,18 +60,18 @@
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, DefaultTablesOnly: true}
 	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
-	for len(got) > 0 && reflect.DeepEqual(got[0], repeated) { // in one or two snapshots
+	for len(got) > 0 && reflect.DeepEqual(got[0], repeated) { // one or two snapshots report proxy 0 again
 		got = got[1:]
 	}
 	if !reflect.DeepEqual(got, []assign.Event{disconnected}) {
 		got = append(got, setup.takeEvents(1)...)
 	}
 	if !slices.Contains(got, assign.Event(disconnected)) {
-		t.Errorf("got %+v, want %+v in it", got, disconnected)
+		t.Errorf("got %+v, want it to contain %+v", got, disconnected)
 	}
 }
 
-// A stream without heartbeats has ended, even if its connection is open.
+// A stream without heartbeats counts as ended, even if its connection is still open.
 func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -82,56 +83,59 @@
 	}
 }
 
-// moveOnce moves the relay, sometimes by way of an address at which nothing listens.
-func (h *harness) moveOnce(t *testing.T, random *rand.Rand) {
+// moveRelay moves the relay to another address. With a probability of one third, the reader and the client are first
+// given an address at which nothing listens.
+func (h *harness) moveRelay(t *testing.T, random *rand.Rand) {
 	t.Helper()
 	if random.Intn(3) == 0 {
-		h.address.Move("127.0.0.1:1")
+		h.address.Set("127.0.0.1:1")
 	}
 	if err := h.Move("", time.Duration(60+random.Intn(60))*time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	h.address.Move(h.Address())
+	h.address.Set(h.Address())
 }
 
-// countReports takes the events so far and counts how many times each proxy was reported as connected since it was reported
-// as disconnected, which counts as -1.
-func (h *harness) countReports(connections map[int]int) {
+// countReports removes the events received so far and counts them in reports. For each proxy, reports holds the number
+// of times that the proxy was reported as connected since it was last reported as disconnected. The value is -1 if the
+// last report is that the proxy disconnected.
+func (h *harness) countReports(reports map[int]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, event := range h.events {
 		switch event := event.(type) {
 		case assign.ProxyConnected:
-			connections[event.Proxy] = max(0, connections[event.Proxy]) + 1
+			reports[event.Proxy] = max(0, reports[event.Proxy]) + 1
 		case assign.ProxyDisconnected:
-			connections[event.Proxy] = -1
+			reports[event.Proxy] = -1
 		}
 	}
 	h.events = nil
 }
 
-// randomPause lets a random time of up to 40 ms pass, so that a test's steps fall into different phases of a handover.
+// randomPause sleeps for up to 40 ms, so that the steps of a test fall into different phases of a handover.
 func randomPause(random *rand.Rand) {
 	time.Sleep(time.Duration(random.Intn(40)) * time.Millisecond)
 }
 
-// During the relay's moves connected proxies are not reported again, each change is reported and no call is lost.
+// While the relay moves to other addresses, connected proxies are not reported again, each change of a proxy's
+// connection is reported, and no call is lost.
 func TestEventReaderFollowsMovesWithoutRepeatedOrLostEvents(t *testing.T) {
 	t.Parallel()
-	const staying = 6 // proxies that stay connected; two more connect and disconnect
+	const stableProxies = 6 // number of proxies that stay connected; two further proxies connect and disconnect
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		setup := newHarness(t, seed, zerolog.Nop())
-		defer setup.end(t)
+		defer setup.stop(t)
 		setup.SetHeartbeat(30 * time.Millisecond)
-		setup.connectProxies(staying)
+		setup.connectProxies(stableProxies)
 		connected, orders := map[int]bool{}, 0
 		for range 4 {
-			setup.moveOnce(t, random)
+			setup.moveRelay(t, random)
 			for range 3 {
 				orders++
-				setup.queue.Submit(entry(fmt.Sprint("t", orders), orders))
-				proxy := staying + random.Intn(2)
+				setup.queue.Submit(entryBatch(fmt.Sprint("t", orders), orders))
+				proxy := stableProxies + random.Intn(2)
 				connected[proxy] = !connected[proxy]
 				if connected[proxy] {
 					setup.Connect(proxy, "b", 1, true)
@@ -142,12 +146,12 @@
 			}
 		}
 		reported := map[int]int{}
-		same := eventually.True(soon, func() (complete bool) {
+		same := eventually.True(testTimeout, func() (complete bool) {
 			setup.countReports(reported)
 			setup.Inspect(func(state *relaytest.State) { complete = len(state.Tables[1]) == orders })
-			return complete && reported[staying] > 0 == connected[staying] && reported[staying+1] > 0 == connected[staying+1]
+			return complete && reported[stableProxies] > 0 == connected[stableProxies] && reported[stableProxies+1] > 0 == connected[stableProxies+1]
 		})
-		for proxy := range staying {
+		for proxy := range stableProxies {
 			same = same && reported[proxy] == 0
 		}
 		if !same {
@@ -165,8 +169,9 @@
 	return entries
 }
 
-// A proxy reconnects while a call with its attachment is in flight, so either connection may have received the attachment. The
-// proxy is not reported as fresh, and the acknowledgment still counts for the call's other orders.
+// A proxy reconnects while a call that attaches a table to it is in flight, so either connection may have received the
+// attachment. The proxy must not be reported as fresh, and the acknowledgment must still count for the other orders of
+// the call.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -200,8 +205,8 @@
 	if got := setup.takeEvents(2); len(got) < 2 {
 		t.Errorf("got acknowledgments %+v, want two", got)
 	}
-	setup.queue.Submit(entry("b", 6))
-	if !eventually.True(soon, func() bool { return setup.tableHas("a", "b") }) {
+	setup.queue.Submit(entryBatch("b", 6))
+	if !eventually.True(testTimeout, func() bool { return setup.tableHasExactly("a", "b") }) {
 		t.Error("got no entry for the next order, want one")
 	}
 	setup.Inspect(func(state *relaytest.State) {
@@ -215,25 +220,25 @@
 	})
 }
 
-// The old stream breaks during the handover, so changes may have been missed: connected proxies are reported again, and
-// missing ones as disconnected.
+// The old stream breaks during the handover, so changes may have been missed. Connected proxies must be reported
+// again, and proxies that have disconnected must be reported as disconnected.
 func TestEventReaderResyncsWhenOldStreamBreaksDuringHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeat(time.Hour) // the new stream waits for a heartbeat of the old one
+	setup.SetHeartbeat(time.Hour) // keeps the new stream waiting for a heartbeat of the old stream
 	setup.connectProxies(3)
 	setup.Inspect(func(state *relaytest.State) { delete(state.Proxies, 1) })
 	if err := setup.Move("", time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	setup.address.Move(setup.Address())
-	if !eventually.True(soon, func() bool { return setup.Readers() == 2 }) {
+	setup.address.Set(setup.Address())
+	if !eventually.True(testTimeout, func() bool { return setup.Readers() == 2 }) {
 		t.Fatalf("got %d streams, want 2", setup.Readers())
 	}
 	setup.CutOldestStream()
 	setup.Disconnect(2)
 	got, want := map[int]int{}, map[int]int{0: 1, 1: -1, 2: -1}
-	same := eventually.True(soon, func() bool {
+	same := eventually.True(testTimeout, func() bool {
 		setup.SendHeartbeat()
 		setup.countReports(got)
 		return reflect.DeepEqual(got, want)
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -11,48 +11,50 @@
 	"madderhollow/internal/wire"
 )
 
-// The request for the event stream; package wire has the names of its events.
+// Path and media type of the HTTP request for the event stream. Package wire defines the names of the events.
 const (
 	eventStreamPath = "/stream"
 	eventStreamType = "text/event-stream"
 )
 
 const (
-	// heartbeatTimeout is the longest time between two items. The relay sends a heartbeat each second; one may be late.
+	// heartbeatTimeout is the longest permitted time between two items of a stream. The relay sends a heartbeat each
+	// second. The timeout tolerates one late heartbeat.
 	heartbeatTimeout = 2200 * time.Millisecond
-	// headTimeout bounds the request for the stream and the head of its response.
-	headTimeout = time.Second
+	// responseHeaderTimeout bounds the time for sending the request for a stream and reading the header of the
+	// response.
+	responseHeaderTimeout = time.Second
 )
 
-// streamItem is one event of a stream, or a heartbeat. EventReader.receive owns it while deliver blocks in readStream, which
-// owns it before and after.
+// streamItem is one event of a stream or one heartbeat. EventReader.receive owns an item while readStream blocks in
+// its call of deliver. At all other times readStream owns the item.
 type streamItem struct {
-	stream    *streamState
-	event     assign.Event // nil for a heartbeat
-	decodeErr error        // the event could not be decoded
-	err       error        // set by EventReader.receive to end the stream
+	stream     *streamState // state of the stream that delivered the item
+	event      assign.Event // decoded event; nil for a heartbeat
+	decodeErr  error        // error of decoding the event, or nil
+	receiveErr error        // error that EventReader.receive sets to end the stream
 }
 
-// isHeartbeat reports whether the item is a heartbeat.
 func (i *streamItem) isHeartbeat() bool { return i.event == nil && i.decodeErr == nil }
 
-// readStream opens a stream at an address and delivers its items until reading fails, an item is rejected, deliver returns
-// false or the context ends. It closes the connection and returns the reason. It is the Open of a handover.Source.
+// readStream opens a stream at an address and delivers the items of the stream. It ends when reading fails, when
+// EventReader.receive rejects an item, when deliver returns false or when the context ends. It then closes the
+// connection and returns the reason. EventReader.Run passes it to handover.Follow as Source.Open.
 func (r *EventReader) readStream(ctx context.Context, address string, deliver func(*streamItem) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
 		return fmt.Errorf("open event stream: %w", err)
 	}
-	defer func() { _ = conn.Close() }() // the connection is only read, so an error of closing it loses nothing
+	defer func() { _ = conn.Close() }() // no data is written after the request, so an error on closing loses nothing
 	stop := conn.CloseWith(ctx)
 	defer stop()
 	request := conn.NewRequest(http.MethodGet, eventStreamPath)
 	request.Header.Set("Accept", eventStreamType)
-	response, _, err := conn.Do(request, headTimeout)
+	response, _, err := conn.Do(request, responseHeaderTimeout)
 	if err != nil {
 		return fmt.Errorf("open event stream: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // the connection is closed with it
+	defer func() { _ = response.Body.Close() }() // an error has no effect, because the connection is closed, too
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrStatus, response.Status)
 	}
@@ -68,13 +70,14 @@
 		if !deliver(item) {
 			return fmt.Errorf("read event stream: %w", ctx.Err())
 		}
-		if item.err != nil {
-			return item.err
+		if item.receiveErr != nil {
+			return item.receiveErr
 		}
 	}
 }
 
-// readItem reads and decodes the next item. An event that cannot be decoded is no error: it sets item.decodeErr.
+// readItem reads and decodes the next item of a stream. It returns no error for an event that cannot be decoded, and
+// sets item.decodeErr instead.
 func (r *EventReader) readItem(events *wire.Stream, item *streamItem) error {
 	name, data, err := events.Next()
 	if err != nil {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -19,10 +19,11 @@
 	"madderhollow/internal/wire"
 )
 
-// soon bounds the time that any step takes on a busy machine.
-const soon = 5 * time.Second
+// testTimeout bounds each wait of the tests. It is long enough for a heavily loaded machine.
+const testTimeout = 5 * time.Second
 
-// The limit is low and the window short, so that tests reach the limit.
+// Limit of messages to a proxy within a time window. The limit is low and the window is short, so that tests reach the
+// limit.
 const (
 	messageLimit  = 4
 	messageWindow = 500 * time.Millisecond
@@ -36,31 +37,33 @@
 	return assign.ChannelConfig{MessageLimit: messageLimit, MessageWindow: messageWindow.Seconds(), MeanTransitTime: 0.05}
 }
 
-// Texts of the protocol that tests send or look for.
+// Protocol texts that the tests send or look for.
 const (
 	heartbeat      = ":\n\n"
-	malformedEvent = "event: joined\ndata: node=x\n\n" // of a proxy that connected, without a valid number
-	attachPrefix   = "attach,"                         // of an encoded assign.AttachTable; the proxy's number follows
+	malformedEvent = "event: joined\ndata: node=x\n\n" // event of a connected proxy, without a valid proxy number
+	attachPrefix   = "attach,"                         // start of an encoded assign.AttachTable, before the proxy number
 )
 
-// acceptedAnswer returns an answer that reports a number of accepted orders.
+// acceptedAnswer returns an answer of the relay that reports the given number of accepted orders.
 func acceptedAnswer(accepted int) string {
 	return fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", accepted)
 }
 
-// harness is a fake relay with an order client, its queue, and an event reader whose events it keeps.
+// harness connects a fake relay with an order client and its queue, and with an event reader. It records the events of
+// the reader.
 type harness struct {
 	*relaytest.Relay
 	address  *handover.Address
 	queue    *orderqueue.Queue
-	shutdown func()         // asks client and reader to end
-	running  sync.WaitGroup // their goroutines
+	shutdown func()         // cancels the context of the client and the reader
+	running  sync.WaitGroup // waits for the goroutines of the client and the reader
 
 	mu     sync.Mutex
-	events []assign.Event
+	events []assign.Event // recorded events, guarded by mu
 }
 
-// newHarness returns a running harness, whose client and reader use this seed and logger. The caller ends it.
+// newHarness starts a harness, whose client and reader use the given seed and logger. The caller must stop the
+// harness.
 func newHarness(t *testing.T, seed int64, log zerolog.Logger) *harness {
 	t.Helper()
 	relay, err := relaytest.New("", "read", "sign")
@@ -78,7 +81,7 @@
 	reader := NewEventReader(EventReaderConfig{Address: setup.address, Codec: testCodec(), Sink: setup.receive, Seed: seed, Log: log})
 	for _, run := range []func(context.Context){client.Run, reader.Run} {
 		setup.running.Add(1)
-		go func() { // ends after shutdown
+		go func() { // ends after shutdown is called
 			defer setup.running.Done()
 			run(ctx)
 		}()
@@ -86,25 +89,26 @@
 	return setup
 }
 
-// startHarness returns a running harness that logs nothing and ends with the test.
+// startHarness starts a harness that logs nothing and is stopped at the end of the test.
 func startHarness(t *testing.T) *harness {
 	t.Helper()
 	setup := newHarness(t, 1, zerolog.Nop())
-	t.Cleanup(func() { setup.end(t) })
+	t.Cleanup(func() { setup.stop(t) })
 	return setup
 }
 
-// startLoggingHarness returns a running harness that ends with the test, and its log.
+// startLoggingHarness starts a harness that is stopped at the end of the test. It returns the harness and the recorder
+// of its log.
 func startLoggingHarness(t *testing.T) (*harness, *logtest.Recorder) {
 	t.Helper()
 	logs := logtest.New(t, "relay")
 	setup := newHarness(t, 1, logs.Logger())
-	t.Cleanup(func() { setup.end(t) })
+	t.Cleanup(func() { setup.stop(t) })
 	return setup, logs
 }
 
-// end shuts client and reader down, waits for their end and closes the relay.
-func (h *harness) end(t *testing.T) {
+// stop shuts the client and the reader down, waits until they have ended and closes the relay.
+func (h *harness) stop(t *testing.T) {
 	t.Helper()
 	h.shutdown()
 	h.running.Wait()
@@ -113,7 +117,7 @@
 	}
 }
 
-// receive is the event reader's sink.
+// receive records an event. It is the sink of the event reader.
 func (h *harness) receive(_ context.Context, event assign.Event) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,8 +125,8 @@
 	return nil
 }
 
-// connectProxies connects proxies 0 to n-1 of zone "a", which are fresh and usually receive 2 requests a second, and takes
-// their events.
+// connectProxies connects proxies 0 to n-1 in zone "a" and removes their events from the record. The proxies are fresh
+// and usually receive 2 requests per second.
 func (h *harness) connectProxies(n int) {
 	for proxy := range n {
 		h.Connect(proxy, "a", 2, true)
@@ -130,9 +134,10 @@
 	h.takeEvents(n)
 }
 
-// takeEvents returns the events since the last call, once there are at least n; none if that takes too long.
+// takeEvents waits until at least n events are recorded. It returns the recorded events and removes them from the
+// record. It returns nil if there are fewer than n events after testTimeout.
 func (h *harness) takeEvents(n int) (events []assign.Event) {
-	eventually.True(soon, func() bool {
+	eventually.True(testTimeout, func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if len(h.events) >= n {
@@ -143,13 +148,13 @@
 	return events
 }
 
-// calls returns the number of calls that the relay has applied.
-func (h *harness) calls() (n int) {
+// callCount returns the number of calls that the relay has applied.
+func (h *harness) callCount() (n int) {
 	h.Inspect(func(state *relaytest.State) { n = len(state.Calls) })
 	return n
 }
 
-// exceedsMessageLimit reports whether a proxy received more messages within the window than the limit.
+// exceedsMessageLimit reports whether any proxy received more than messageLimit messages within messageWindow.
 func (h *harness) exceedsMessageLimit() (exceeded bool) {
 	h.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
@@ -161,8 +166,8 @@
 	return exceeded
 }
 
-// tableHas reports whether table 1 has exactly these endpoints, with weight 1.
-func (h *harness) tableHas(endpoints ...string) (same bool) {
+// tableHasExactly reports whether table 1 has these endpoints, each with weight 1, and no others.
+func (h *harness) tableHasExactly(endpoints ...string) (same bool) {
 	h.Inspect(func(state *relaytest.State) {
 		same = len(state.Tables[1]) == len(endpoints)
 		for _, endpoint := range endpoints {
@@ -172,16 +177,17 @@
 	return same
 }
 
-// entry returns a batch that sets an entry of table 1 to weight 1.
-func entry(endpoint string, sequence int) []assign.Order {
+// entryBatch returns a batch that sets the weight of an endpoint in table 1 to 1 and requests an acknowledgment with
+// the given sequence number.
+func entryBatch(endpoint string, sequence int) []assign.Order {
 	return []assign.Order{
 		assign.SetWeight{Table: 1, Endpoint: endpoint, Weight: 1},
 		assign.AcknowledgmentRequest{Sequence: sequence},
 	}
 }
 
-// encode returns orders in the form in which they are sent.
-func encode(t *testing.T, orders []assign.Order) []string {
+// encodeOrders returns the wire format of orders.
+func encodeOrders(t *testing.T, orders []assign.Order) []string {
 	t.Helper()
 	codec := testCodec()
 	texts := make([]string, len(orders))
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -20,10 +20,11 @@
 	"madderhollow/internal/servertest"
 )
 
-// closedAddress is one at which nothing listens.
+// closedAddress is an address at which nothing listens.
 const closedAddress = "127.0.0.1:1"
 
-// However many attempts fail, the event reader logs the beginning and the end of the condition.
+// The event reader logs a disconnection once when it begins and once when it ends, however many attempts to reconnect
+// fail.
 func TestEventReaderLogsDisconnectOnce(t *testing.T) {
 	t.Parallel()
 	const failures = 5
@@ -33,8 +34,8 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = w.Write([]byte(heartbeat))         // fails if the reader has ended
-		_ = http.NewResponseController(w).Flush() // as above
+		_, _ = w.Write([]byte(heartbeat))         // fails only if the reader has already ended
+		_ = http.NewResponseController(w).Flush() // fails only if the reader has already ended
 		<-request.Context().Done()
 	}).Address()
 	logs := logtest.New(t, "relay")
@@ -47,37 +48,38 @@
 	})
 	var running sync.WaitGroup
 	running.Add(1)
-	go func() { // ends with the test's context
+	go func() { // ends when the context of the test ends
 		defer running.Done()
 		reader.Run(t.Context())
 	}()
 	t.Cleanup(running.Wait)
-	logs.Await(t, soon, "event stream connected")
+	logs.Await(t, testTimeout, "event stream connected")
 	logs.ExpectOnce(t, "event stream disconnected; retrying", "event stream connected")
 	if got := requests.Load(); got <= failures {
 		t.Errorf("got %d requests, want more than %d", got, failures)
 	}
 }
 
-// While the stream at a new address fails, the old one is kept, and the condition ends with the move back.
-func TestEventReaderLogsFailingMoveOnce(t *testing.T) {
+// While the stream at a new address fails, the old stream is kept. The condition ends when the address changes back to
+// the old address.
+func TestEventReaderLogsFailingHandoverOnce(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
 	setup.SetHeartbeat(20 * time.Millisecond)
 	setup.Connect(0, "a", 1, true)
 	setup.takeEvents(1)
-	setup.address.Move(closedAddress)
-	logs.Await(t, soon, "event stream at new relay address failed; keeping old stream")
+	setup.address.Set(closedAddress)
+	logs.Await(t, testTimeout, "event stream at new relay address failed; keeping old stream")
 	setup.Connect(1, "a", 1, true)
 	if got := setup.takeEvents(1); got == nil {
 		t.Error("got no event of the old stream, want one")
 	}
-	setup.address.Move(setup.Address())
-	logs.Await(t, soon, "event stream uses current relay address")
+	setup.address.Set(setup.Address())
+	logs.Await(t, testTimeout, "event stream uses current relay address")
 	logs.ExpectOnce(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
 }
 
-func TestEventReaderSeparatesDisconnectFromFailingMove(t *testing.T) {
+func TestEventReaderSeparatesDisconnectFromFailingHandover(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		duringHandover bool
@@ -105,13 +107,13 @@
 	}
 }
 
-// However many calls fail, the order client logs the beginning and the end of the condition.
+// The order client logs a failure condition once when it begins and once when it ends, however many calls fail.
 func TestOrderClientLogsFailingCallsOnce(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		fault    relaytest.Fault
 		failures int
-		want     []string // the last one marks the end
+		want     []string // expected messages; the last message marks the end of the condition
 	}{
 		{
 			name:     "ambiguous",
@@ -149,7 +151,7 @@
 				return relaytest.NoFault
 			})
 			setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-			logs.Await(t, soon, test.want[len(test.want)-1])
+			logs.Await(t, testTimeout, test.want[len(test.want)-1])
 			logs.ExpectOnce(t, test.want...)
 		})
 	}
@@ -158,26 +160,26 @@
 func TestOrderClientLogsUnsentCallsOnce(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
-	setup.address.Move(closedAddress)
+	setup.address.Set(closedAddress)
 	setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-	if !eventually.True(soon, func() bool { return setup.queue.Stats().RepeatedCalls >= 5 }) {
+	if !eventually.True(testTimeout, func() bool { return setup.queue.Stats().RepeatedCalls >= 5 }) {
 		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().RepeatedCalls)
 	}
-	setup.address.Move(setup.Address())
-	logs.Await(t, soon, "calls sent again")
+	setup.address.Set(setup.Address())
+	logs.Await(t, testTimeout, "calls sent again")
 	logs.ExpectOnce(t, "call not sent; retrying", "calls sent again")
 }
 
 func TestOrderClientLogsRejections(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
-	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // the proxy never connected
-	logs.Await(t, soon, "order rejected twice; dropped")
+	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // proxy 5 is not connected
+	logs.Await(t, testTimeout, "order rejected twice; dropped")
 	logs.ExpectOnce(t, "order rejected; retrying", "order rejected twice; dropped")
 }
 
-// While the new address cannot be connected to, calls keep the old connection.
-func TestCallConnKeepsOldConnectionWhileMoveFails(t *testing.T) {
+// While connecting to the new address fails, calls still use the connection to the old address.
+func TestCallConnKeepsOldConnectionWhileHandoverFails(t *testing.T) {
 	t.Parallel()
 	serverAddress := servertest.Start(t, func(http.ResponseWriter, *http.Request) {}).Address()
 	address := handover.NewAddress(serverAddress)
@@ -186,8 +188,8 @@
 	t.Cleanup(conn.close)
 	expectConnected := func() {
 		t.Helper()
-		conn.moveRetryAt = time.Time{}
-		if err := conn.ensure(t.Context()); err != nil {
+		conn.handoverRetryAt = time.Time{}
+		if err := conn.ensureConnected(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if conn.conn.Address != serverAddress {
@@ -195,11 +197,11 @@
 		}
 	}
 	expectConnected()
-	address.Move(closedAddress)
+	address.Set(closedAddress)
 	for range 3 {
 		expectConnected()
 	}
-	address.Move(serverAddress)
+	address.Set(serverAddress)
 	expectConnected()
 	logs.ExpectOnce(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
 }
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -13,63 +13,66 @@
 )
 
 const (
-	// shutdownTimeout bounds the calls after the context has ended: the program may be killed 0.7 s after it was asked to
-	// end.
+	// shutdownTimeout bounds the time for calls after the context has ended. The program may be killed 0.7 s after it
+	// was asked to end.
 	shutdownTimeout = 400 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the delays after calls that were not sent. They are short, because the grace
-	// period of a drain runs on while the relay is down. A failed connect does not load the relay.
-	minRetryDelay = 5 * time.Millisecond
-	maxRetryDelay = 60 * time.Millisecond
-	// deferredDelay is the delay after a call that the relay delays or cannot parse.
-	deferredDelay = 50 * time.Millisecond
-	// maxSyntaxErrors is the number of syntax errors, without an accepted call between, after which a call is dropped, so
-	// that it does not block all others.
+	// minUnsentRetryDelay and maxUnsentRetryDelay bound the delay before a call that was not sent is tried again. They
+	// are short because the grace period of a drain continues while the relay is down. A failed attempt to connect
+	// puts no load on the relay.
+	minUnsentRetryDelay = 5 * time.Millisecond
+	maxUnsentRetryDelay = 60 * time.Millisecond
+	// refusedRetryDelay is the delay before a call is sent again that the relay refused because it was busy or could
+	// not parse the call.
+	refusedRetryDelay = 50 * time.Millisecond
+	// maxSyntaxErrors is the number of syntax errors, without an accepted call between them, after which a call is
+	// dropped. A call that can never be parsed would otherwise block all other calls.
 	maxSyntaxErrors = 3
-	// maxLoggedOrder bounds the part of an order in a log line, in bytes.
-	maxLoggedOrder = 200
+	// maxLoggedOrderBytes bounds the part of an order that is written to a log line, in bytes.
+	maxLoggedOrderBytes = 200
 )
 
 // OrderClientConfig configures an OrderClient.
 type OrderClientConfig struct {
-	Address *handover.Address // of the relay; its owner may move it at any time; required
-	Queue   *orderqueue.Queue // provides the calls; nothing else may take or requeue them; required
-	Seed    int64             // of the random part of the delays between attempts; any value
-	Log     zerolog.Logger    // default: no log
+	Address *handover.Address // address of the relay, which may change at any time; required
+	Queue   *orderqueue.Queue // queue of the calls, which only this client may take and requeue; required
+	Seed    int64             // seed of the jitter of the delays between attempts; any value
+	Log     zerolog.Logger    // logger of the client; the zero value logs nothing
 }
 
-// OrderClient makes a queue's calls, one at a time. Use NewOrderClient.
+// OrderClient takes calls from a queue and makes one call at a time. NewOrderClient creates an OrderClient.
 type OrderClient struct {
 	queue        *orderqueue.Queue
 	conn         callConn
 	log          zerolog.Logger
 	conditions   callConditions
-	delays       *backoff.Backoff
-	rejected     string // the order that the relay rejected last; empty after a call was accepted or an order dropped
-	syntaxErrors int    // since the last call that was accepted or dropped
+	retryBackoff *backoff.Backoff
+	lastRejected string // order that the relay rejected last; empty after a call was accepted or an order was dropped
+	syntaxErrors int    // number of syntax errors since the last call that was accepted or dropped
 }
 
-// NewOrderClient returns a client that has not opened a connection yet.
+// NewOrderClient returns an OrderClient that has not opened a connection yet.
 func NewOrderClient(config OrderClientConfig) *OrderClient {
 	log := componentLogger(config.Log)
 	return &OrderClient{
-		queue:      config.Queue,
-		conn:       newCallConn(config.Address, log),
-		log:        log,
-		conditions: newCallConditions(log),
-		delays:     backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+		queue:        config.Queue,
+		conn:         newCallConn(config.Address, log),
+		log:          log,
+		conditions:   newCallConditions(log),
+		retryBackoff: backoff.New(minUnsentRetryDelay, maxUnsentRetryDelay, config.Seed),
 	}
 }
 
-// Run makes calls until the context ends, and closes the connection before it returns. After the context's end it
-// completes the call under way and makes calls with the pending orders, within shutdownTimeout. It is called once.
+// Run makes calls until the context ends, and closes the connection before it returns. After the end of the context it
+// completes the call in flight and makes calls with the pending orders, for at most shutdownTimeout. Run must be
+// called only once.
 func (c *OrderClient) Run(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) }) // callCtx outlives ctx by so long
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) }) // ends callCtx after ctx
 	defer stop()
 	defer c.conn.close()
 	for {
-		call, ok := c.next(ctx, callCtx)
+		call, ok := c.nextCall(ctx, callCtx)
 		if !ok {
 			return
 		}
@@ -82,8 +85,10 @@
 	}
 }
 
-// next blocks until there is a call. Once ctx has ended it returns what can be sent at once, until callCtx ends too.
-func (c *OrderClient) next(ctx, callCtx context.Context) (orderqueue.Call, bool) {
+// nextCall blocks until a call is available. After ctx has ended it does not block, and returns the call that is
+// available at once, if any. After callCtx has ended it returns no call. The second result reports whether a call is
+// returned.
+func (c *OrderClient) nextCall(ctx, callCtx context.Context) (orderqueue.Call, bool) {
 	call, err := c.queue.Take(ctx)
 	if err == nil {
 		return call, true
@@ -92,23 +97,24 @@
 	return call, ok && callCtx.Err() == nil
 }
 
-// handleFailure requeues a call that got no answer. One that was sent is ambiguous and may be repeated: a repeat costs a
-// message to each proxy, while a loss could break a drain or leave a proxy without an endpoint.
+// handleFailure requeues a call that received no valid answer. A call that was sent is ambiguous and may be repeated:
+// a repeat costs one message to each proxy, while a lost call could break a drain or leave a proxy without an
+// endpoint.
 func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
 		c.conditions.unanswered.Fail(err, addOrderCount(call))
-		c.queue.RequeueAmbiguous(call) // which delays the next call, too
+		c.queue.RequeueAmbiguous(call) // also delays the next call
 		return
 	}
 	c.conditions.unsent.Fail(err, addOrderCount(call))
 	c.queue.Requeue(call)
-	c.delays.Wait(ctx)
+	c.retryBackoff.Wait(ctx)
 }
 
-// handleAnswer handles the relay's answer to a call.
+// handleAnswer handles the relay's answer to a call. It requeues or drops the orders that the relay did not accept.
 func (c *OrderClient) handleAnswer(ctx context.Context, call orderqueue.Call, answer wire.Answer) {
-	c.conditions.answered(answer.Code)
+	c.conditions.recordAnswer(answer.Code)
 	switch {
 	case answer.Code == wire.CodeSyntax:
 		c.handleSyntaxError(ctx, call)
@@ -117,7 +123,7 @@
 			line.Str("code", answer.Code).Int("orders", len(call.Orders))
 		})
 		c.queue.Requeue(call)
-		backoff.Sleep(ctx, deferredDelay)
+		backoff.Sleep(ctx, refusedRetryDelay)
 	case answer.Accepted < len(call.Orders):
 		c.handleRejection(call, answer.Accepted)
 	default:
@@ -125,20 +131,21 @@
 	}
 }
 
-// resetRetries forgets the failed attempts of a call that was accepted or dropped.
+// resetRetries resets the retry state after a call was accepted or dropped.
 func (c *OrderClient) resetRetries() {
-	c.rejected = ""
+	c.lastRejected = ""
 	c.syntaxErrors = 0
-	c.delays.Reset()
+	c.retryBackoff.Reset()
 }
 
-// handleSyntaxError repeats a call that the relay cannot parse, and finally drops it.
+// handleSyntaxError requeues a call that the relay cannot parse. After maxSyntaxErrors syntax errors it drops the
+// call.
 func (c *OrderClient) handleSyntaxError(ctx context.Context, call orderqueue.Call) {
 	addFields := func(line *zerolog.Event) {
 		first := call.Orders[0]
-		line.Int("orders", len(call.Orders)).Str("first_order", first[:min(len(first), maxLoggedOrder)])
+		line.Int("orders", len(call.Orders)).Str("first_order", first[:min(len(first), maxLoggedOrderBytes)])
 	}
-	c.conditions.syntax.Fail(nil, addFields)
+	c.conditions.unparsable.Fail(nil, addFields)
 	c.syntaxErrors++
 	if c.syntaxErrors >= maxSyntaxErrors {
 		c.log.Error().Func(addFields).Msg("call dropped; relay cannot parse it")
@@ -146,21 +153,22 @@
 		return
 	}
 	c.queue.Requeue(call)
-	backoff.Sleep(ctx, deferredDelay)
+	backoff.Sleep(ctx, refusedRetryDelay)
 }
 
-// handleRejection requeues a call from the order on that the relay rejected. A drain or an attachment may depend on that
-// order, and the relay may learn of its endpoint or proxy a moment later than the assigner, so it is sent a second time,
-// without a delay, before it is dropped.
+// handleRejection requeues the orders of a call from a position on, at which the relay rejected an order. The rejected
+// order is sent a second time without a delay, because a drain or an attachment may depend on it, and because the
+// relay may learn of its endpoint or proxy a moment later than the assigner. An order that is rejected twice is
+// dropped.
 func (c *OrderClient) handleRejection(call orderqueue.Call, position int) {
 	order := call.Orders[position]
-	if order == c.rejected {
+	if order == c.lastRejected {
 		c.log.Warn().Str("order", order).Msg("order rejected twice; dropped")
-		c.rejected = ""
+		c.lastRejected = ""
 		c.queue.RequeueAfterRejected(call, position)
 		return
 	}
 	c.log.Warn().Str("order", order).Msg("order rejected; retrying")
-	c.rejected = order
+	c.lastRejected = order
 	c.queue.RequeueFromRejected(call, position)
 }
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -18,13 +18,13 @@
 	"madderhollow/internal/relaytest"
 )
 
-// expectation is the state that the relay must reach, however calls end.
+// expectation is the state that the relay must reach, regardless of how calls end.
 type expectation struct {
-	tables map[int]map[string]float64
-	limits map[string]string
+	tables map[int]map[string]float64 // weights by table and endpoint
+	limits map[string]string          // rate limits by "table,class", as in relaytest.State
 }
 
-// randomOrder returns a random order and applies it to the expectation.
+// randomOrder returns a random order and applies it to the expected state.
 func (e *expectation) randomOrder(random *rand.Rand, batch int) assign.Order {
 	table, endpoint := random.Intn(3), fmt.Sprint("t", random.Intn(4))
 	switch random.Intn(6) {
@@ -39,7 +39,7 @@
 		e.limits[fmt.Sprint(table, ",sign")] = fmt.Sprint(batch)
 		return assign.SetRateLimit{Table: table, RequestClasses: []int{1}, Limit: float64(batch)}
 	case 3:
-		return assign.AttachTable{Proxy: 7, Table: table} // never connected: the relay rejects the order
+		return assign.AttachTable{Proxy: 7, Table: table} // proxy 7 never connects, so the relay rejects the order
 	case 4:
 		return assign.AttachTable{Proxy: random.Intn(2), Table: table}
 	}
@@ -51,22 +51,23 @@
 	return assign.SetWeight{Table: table, Endpoint: endpoint, Weight: weight}
 }
 
-// holds reports whether the relay's state is the expected one.
-func (e *expectation) holds(state *relaytest.State) bool {
+// matches reports whether the state of the relay is the expected state, apart from empty tables.
+func (e *expectation) matches(state *relaytest.State) bool {
 	isEmpty := func(_ int, table map[string]float64) bool { return len(table) == 0 }
 	maps.DeleteFunc(state.Tables, isEmpty)
 	maps.DeleteFunc(e.tables, isEmpty)
 	return reflect.DeepEqual(state.Tables, e.tables) && maps.Equal(state.Limits, e.limits)
 }
 
-// randomFaults returns a function that breaks four calls in ten until stop is called.
+// randomFaults returns a function that chooses a random fault for four calls in ten, and a function that stops the
+// faults.
 func randomFaults(seed int64) (fault func([]string) relaytest.Fault, stop func()) {
 	var mu sync.Mutex
-	odds, random := 0.4, rand.New(rand.NewSource(seed))
+	faultProbability, random := 0.4, rand.New(rand.NewSource(seed))
 	fault = func([]string) relaytest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if random.Float64() >= odds {
+		if random.Float64() >= faultProbability {
 			return relaytest.NoFault
 		}
 		return []relaytest.Fault{relaytest.ResetBefore, relaytest.ResetAfter, relaytest.GarbledAnswer, relaytest.BusyAnswer,
@@ -75,19 +76,19 @@
 	return fault, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		odds = 0
+		faultProbability = 0
 	}
 }
 
-// However calls end, the relay's tables reach the ordered state, and repeated calls never exceed the message limit of a
-// proxy.
+// Regardless of how calls end, the tables of the relay reach the ordered state, and repeated calls never exceed the
+// message limit of a proxy.
 func TestOrderClientReachesOrderedStateDespiteFaults(t *testing.T) {
 	t.Parallel()
 	const batches = 12
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		setup := newHarness(t, seed, zerolog.Nop())
-		defer setup.end(t)
+		defer setup.stop(t)
 		fault, stopFaults := randomFaults(seed + 1)
 		setup.SetFault(fault)
 		setup.Connect(0, "a", 1, true)
@@ -101,8 +102,8 @@
 			}
 			setup.queue.Submit(append(orders, assign.AcknowledgmentRequest{Sequence: batch}))
 			if random.Intn(2) == 0 {
-				n := setup.calls()
-				eventually.True(50*time.Millisecond, func() bool { return setup.calls() > n })
+				n := setup.callCount()
+				eventually.True(50*time.Millisecond, func() bool { return setup.callCount() > n })
 			}
 		}
 		stopFaults()
@@ -110,8 +111,8 @@
 			assign.EjectEndpoint{Endpoint: "last", Ejected: true},
 			assign.AcknowledgmentRequest{Sequence: batches},
 		})
-		same := eventually.True(soon, func() (same bool) {
-			setup.Inspect(func(state *relaytest.State) { same = state.Ejected["last"] && want.holds(state) })
+		same := eventually.True(testTimeout, func() (same bool) {
+			setup.Inspect(func(state *relaytest.State) { same = state.Ejected["last"] && want.matches(state) })
 			return same
 		})
 		if !same {
@@ -122,8 +123,8 @@
 	quickcheck.Seeds(t, 20, property)
 }
 
-// The relay may learn of an endpoint or a proxy a moment later than the assigner: an order that is rejected once is sent
-// again. One that is always rejected is dropped, and the rest of the call is sent.
+// The relay may learn of an endpoint or a proxy a moment later than the assigner, so an order that is rejected once is
+// sent again. An order that is always rejected is dropped, and the rest of the call is sent.
 func TestRejectedOrderIsSentTwice(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -137,7 +138,7 @@
 		calls++
 		switch calls {
 		case 1:
-			return relaytest.ResetBefore // so that all orders are in one call
+			return relaytest.ResetBefore // makes the next call contain all orders
 		case 2:
 			return relaytest.HalfApplied
 		}
@@ -148,7 +149,7 @@
 		assign.SetWeight{Table: 1, Endpoint: "b", Weight: 1},
 		assign.SetWeight{Table: 1, Endpoint: "c", Weight: 1},
 		assign.AttachTable{Proxy: 3, Table: 1},
-		assign.AttachTable{Proxy: 5, Table: 1}, // never connected: always rejected
+		assign.AttachTable{Proxy: 5, Table: 1}, // proxy 5 never connects, so the relay always rejects the order
 		assign.SetWeight{Table: 1, Endpoint: "d", Weight: 1},
 		assign.AcknowledgmentRequest{Sequence: 1},
 	})
@@ -164,8 +165,8 @@
 	})
 }
 
-// Orders that were pending while the relay was unreachable are sent as one message to a proxy. Its acknowledgment stands
-// for all batches.
+// Orders that were pending while the relay was unreachable are sent to a proxy as one message. The acknowledgment of
+// that message counts for all batches.
 func TestPendingBatchesAreSentAsOneMessage(t *testing.T) {
 	t.Parallel()
 	const batches = 30
@@ -210,25 +211,26 @@
 	})
 }
 
-// A close of the idle connection is detected before the next call, which uses a new connection and is not ambiguous.
+// If the relay closes the idle connection, the client detects this before the next call. The call uses a new
+// connection and does not become ambiguous.
 func TestIdleConnectionClosedByRelayIsReplaced(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
 	for i, endpoint := range []string{"a", "b", "c"} {
-		setup.queue.Submit(entry(endpoint, i))
-		if !eventually.True(soon, func() bool { return setup.calls() == i+1 }) {
-			t.Fatalf("got %d calls, want %d", setup.calls(), i+1)
+		setup.queue.Submit(entryBatch(endpoint, i))
+		if !eventually.True(testTimeout, func() bool { return setup.callCount() == i+1 }) {
+			t.Fatalf("got %d calls, want %d", setup.callCount(), i+1)
 		}
-		if !eventually.True(soon, func() bool { return setup.CloseIdle() > 0 }) {
+		if !eventually.True(testTimeout, func() bool { return setup.CloseIdle() > 0 }) {
 			t.Fatal("got no idle connection, want one")
 		}
 	}
-	if n := setup.queue.Stats().RepeatedCalls; n > 0 || !setup.tableHas("a", "b", "c") {
-		t.Errorf("got %d calls repeated, all entries set %t; want 0, true", n, setup.tableHas("a", "b", "c"))
+	if n := setup.queue.Stats().RepeatedCalls; n > 0 || !setup.tableHasExactly("a", "b", "c") {
+		t.Errorf("got %d calls repeated, all entries set %t; want 0, true", n, setup.tableHasExactly("a", "b", "c"))
 	}
 }
 
-// A call in flight is completed, and orders submitted meanwhile are sent too.
+// At shutdown the call in flight is completed, and orders that were submitted in the meantime are also sent.
 func TestShutdownCompletesCallInFlightAndPendingOrders(t *testing.T) {
 	t.Parallel()
 	setup := newHarness(t, 1, zerolog.Nop())
@@ -238,17 +240,17 @@
 		<-release
 		return relaytest.NoFault
 	})
-	setup.queue.Submit(entry("a", 1))
+	setup.queue.Submit(entryBatch("a", 1))
 	<-calls
-	setup.queue.Submit(entry("b", 2))
+	setup.queue.Submit(entryBatch("b", 2))
 	setup.shutdown()
 	close(release)
 	setup.running.Wait()
-	defer setup.end(t)
-	if stats := setup.queue.Stats(); stats.RepeatedCalls > 0 || stats.PendingOrders > 0 || !setup.tableHas("a", "b") {
-		t.Errorf("got %+v, both entries set %t; want 0 repeated, 0 waiting, true", stats, setup.tableHas("a", "b"))
+	defer setup.stop(t)
+	if stats := setup.queue.Stats(); stats.RepeatedCalls > 0 || stats.PendingOrders > 0 || !setup.tableHasExactly("a", "b") {
+		t.Errorf("got %+v, both entries set %t; want 0 repeated, 0 waiting, true", stats, setup.tableHasExactly("a", "b"))
 	}
-	want := [][]string{encode(t, entry("a", 1)), encode(t, entry("b", 2))}
+	want := [][]string{encodeOrders(t, entryBatch("a", 1)), encodeOrders(t, entryBatch("b", 2))}
 	setup.Inspect(func(state *relaytest.State) {
 		if !reflect.DeepEqual(state.Calls, want) {
 			t.Errorf("got calls %v, want %v", state.Calls, want)
@@ -272,16 +274,16 @@
 			setup := newHarness(t, 1, zerolog.Nop())
 			calls := make(chan struct{}, 1000)
 			setup.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return fault })
-			setup.queue.Submit(entry("a", 1))
+			setup.queue.Submit(entryBatch("a", 1))
 			<-calls
-			setup.queue.Submit(entry("b", 2))
+			setup.queue.Submit(entryBatch("b", 2))
 			began := time.Now()
 			setup.shutdown()
 			setup.running.Wait()
-			if took := time.Since(began); took > soon/2 { // shutdownTimeout, with a margin for a busy machine
-				t.Errorf("got end after %v, want at most %v", took, soon/2)
+			if took := time.Since(began); took > testTimeout/2 { // shutdownTimeout with a margin for a loaded machine
+				t.Errorf("got shutdown within %v, want at most %v", took, testTimeout/2)
 			}
-			setup.end(t)
+			setup.stop(t)
 		})
 	}
 }
@@ -293,18 +295,18 @@
 		t.Fatal(err)
 	}
 	setup.queue.Submit([]assign.Order{assign.ClearTable{Table: 1}, assign.AcknowledgmentRequest{Sequence: 1}})
-	if !eventually.True(soon, func() bool { return setup.queue.Stats().RepeatedCalls > 1 }) {
+	if !eventually.True(testTimeout, func() bool { return setup.queue.Stats().RepeatedCalls > 1 }) {
 		t.Errorf("got %d calls repeated, want more than 1", setup.queue.Stats().RepeatedCalls)
 	}
 	ended := make(chan struct{})
-	go func() { // ends when client and reader do
+	go func() { // ends when the client and the reader have ended
 		defer close(ended)
 		setup.shutdown()
 		setup.running.Wait()
 	}()
 	select {
 	case <-ended:
-	case <-time.After(soon):
-		t.Errorf("got no end within %v, want one", soon)
+	case <-time.After(testTimeout):
+		t.Errorf("got no end of the shutdown within %v, want it to end", testTimeout)
 	}
 }
--- a/internal/relay/streammerger.go
+++ b/internal/relay/streammerger.go
@@ -11,58 +11,59 @@
 	"madderhollow/internal/eventqueue"
 )
 
-// maxBuffered bounds the events of a stream at a new address that are buffered until the old stream's next heartbeat,
-// which arrives within a second.
-const maxBuffered = 4096
+// maxBufferedEvents bounds the number of buffered events of a stream at a new address. The stream is buffered until
+// the next heartbeat of the old stream, which arrives within a second.
+const maxBufferedEvents = 4096
 
-// streamPhase is the state of one event stream; the package comment has the transitions.
+// streamPhase is the state of one event stream. The package comment describes the transitions.
 type streamPhase int
 
 const (
-	phaseOpening    streamPhase = iota // nothing has been received
-	phaseBuffering                     // events are kept until it is certain whether any change was missed
-	phaseForwarding                    // events go to the sink when they arrive
+	phaseOpening    streamPhase = iota // no item has been received
+	phaseBuffering                     // events are buffered until it is known whether a change may have been missed
+	phaseForwarding                    // each event is passed to the sink when it arrives
 )
 
-// streamState is what one stream has delivered. Its reader creates it; after that only the merger uses it.
+// streamState is the state of one event stream. The goroutine that reads the stream creates it. After that only the
+// goroutine that runs EventReader.Run uses it.
 type streamState struct {
-	address          string
-	phase            streamPhase
-	forwardedBefore  int            // streamMerger.forwarded when the stream started
-	buffered         []assign.Event // nil for a heartbeat
-	snapshotComplete bool
-	unconfirmed      map[int]reportedProxy // in a resync: reported proxies that the snapshot has not contained so far
-	skipUndecodable  bool                  // events of the snapshot that cannot be decoded are skipped
+	address               string                // address at which the stream was opened
+	phase                 streamPhase           // current state of the stream
+	forwardedItemsAtStart int                   // streamMerger.forwardedItems at the first item of the stream
+	buffered              []assign.Event        // buffered events; a nil element is a heartbeat
+	snapshotComplete      bool                  // an item other than ProxyConnected has been received
+	unconfirmed           map[int]reportedProxy // reported proxies that the snapshot has not contained during a resync
+	skipUndecodable       bool                  // undecodable events of the snapshot are skipped
 }
 
-// reportedProxy is a proxy that was last reported as connected.
+// reportedProxy describes a proxy that was last reported as connected.
 type reportedProxy struct {
-	fresh bool // in that report
+	fresh bool // the proxy was reported as fresh
 }
 
-// streamMerger merges successive event streams, two at a time during a handover, into one sequence of events: each proxy is
-// reported as connected and disconnected in turn, and no change is missed. It does no I/O but through its sink, which may
-// block. It must not be used by two goroutines at once.
+// streamMerger merges successive event streams, two at a time during a handover, into one sequence of events. No
+// change is missed in this sequence, and a proxy is reported as disconnected only after it was reported as connected.
+// The merger does no I/O except through its sink, which may block. It is not safe for concurrent use.
 type streamMerger struct {
-	sink        eventqueue.Sink
-	log         zerolog.Logger
-	reported    map[int]reportedProxy // by proxy
-	undecodable bool                  // the last stream ended with an event that could not be decoded
-	forwarded   int                   // items forwarded when they arrived, heartbeats included
+	sink           eventqueue.Sink
+	log            zerolog.Logger
+	reported       map[int]reportedProxy // proxies last reported as connected, by number
+	decodeFailed   bool                  // the last stream ended because an event could not be decoded
+	forwardedItems int                   // number of items, including heartbeats, that were forwarded on arrival
 }
 
-// newStreamMerger returns a merger that has reported no proxy yet.
+// newStreamMerger returns a streamMerger that has reported no proxy yet.
 func newStreamMerger(sink eventqueue.Sink, log zerolog.Logger) *streamMerger {
 	return &streamMerger{sink: sink, log: log, reported: map[int]reportedProxy{}}
 }
 
-// receive forwards an item or buffers it, and reports whether its stream is forwarding, so that no other is needed. After an
-// error, which is that of the sink or of decoding the item, the stream has to end. DuringHandover: another stream is
-// forwarding.
+// receive forwards or buffers an item. It reports whether the stream of the item is in the forwarding state, so that
+// no other stream is needed. The error is that of the sink or of decoding the item. After an error the stream must
+// end. The argument duringHandover is true if another stream is in the forwarding state.
 func (m *streamMerger) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool, err error) {
 	stream := item.stream
 	if stream.phase == phaseOpening {
-		m.begin(stream)
+		m.startStream(stream)
 	}
 	if item.decodeErr != nil {
 		return false, m.handleUndecodable(item)
@@ -71,67 +72,69 @@
 		stream.snapshotComplete = true
 	}
 	if stream.phase == phaseForwarding {
-		m.forwarded++
+		m.forwardedItems++
 		return true, m.forward(ctx, stream, item.event)
 	}
 	stream.buffered = append(stream.buffered, item.event)
-	switch m.decide(stream, duringHandover) {
+	switch m.decideBuffered(stream, duringHandover) {
 	case keepBuffering:
 		return false, nil
 	case completeHandover:
-		stream.buffered = m.changes(stream.buffered)
-	case resync:
+		stream.buffered = m.diffSnapshot(stream.buffered)
+	case startResync:
 		stream.unconfirmed = maps.Clone(m.reported)
 	}
 	stream.phase = phaseForwarding
 	return true, m.forwardBuffered(ctx, stream)
 }
 
-// begin prepares a stream for its first item.
-func (m *streamMerger) begin(stream *streamState) {
+// startStream initializes the state of a stream when the first item of the stream has arrived.
+func (m *streamMerger) startStream(stream *streamState) {
 	stream.phase = phaseBuffering
-	stream.forwardedBefore = m.forwarded
-	stream.skipUndecodable = m.undecodable
-	m.undecodable = false
+	stream.forwardedItemsAtStart = m.forwardedItems
+	stream.skipUndecodable = m.decodeFailed
+	m.decodeFailed = false
 }
 
-// handleUndecodable skips an event that cannot be decoded, or returns its error to end the stream.
+// handleUndecodable handles an event that cannot be decoded. It skips the event if the event is in the snapshot and
+// the previous stream ended with an undecodable event. Otherwise it returns the decoding error, which ends the stream.
 func (m *streamMerger) handleUndecodable(item *streamItem) error {
 	if item.stream.skipUndecodable && !item.stream.snapshotComplete {
-		m.undecodable = false
+		m.decodeFailed = false
 		m.log.Warn().Err(item.decodeErr).Msg("undecodable event skipped")
 		return nil
 	}
-	m.undecodable = true
+	m.decodeFailed = true
 	return item.decodeErr
 }
 
-// bufferDecision is what happens to the events that a stream has delivered so far.
+// bufferDecision states what is done with the buffered events of a stream.
 type bufferDecision int
 
 const (
-	keepBuffering bufferDecision = iota
-	completeHandover
-	resync
+	keepBuffering    bufferDecision = iota // continue to buffer events
+	completeHandover                       // forward the differences between the snapshot and the proxies reported before
+	startResync                            // forward the whole snapshot
 )
 
-// decide returns what happens to a stream's buffered events. The old stream has to deliver an item after the new one has
-// started: until then it may be broken, and changes may have been missed.
-func (m *streamMerger) decide(stream *streamState, duringHandover bool) bufferDecision {
-	oldStreamDelivered := m.forwarded > stream.forwardedBefore
+// decideBuffered returns what is done with the buffered events of a stream. A handover is complete only after the old
+// stream has delivered an item since the new stream started. Until then the old stream may be broken, and changes may
+// have been missed.
+func (m *streamMerger) decideBuffered(stream *streamState, duringHandover bool) bufferDecision {
+	oldStreamDelivered := m.forwardedItems > stream.forwardedItemsAtStart
 	if oldStreamDelivered && stream.snapshotComplete {
 		return completeHandover
 	}
 	oldStreamOpen := duringHandover
-	if (oldStreamDelivered || oldStreamOpen) && len(stream.buffered) < maxBuffered {
+	if (oldStreamDelivered || oldStreamOpen) && len(stream.buffered) < maxBufferedEvents {
 		return keepBuffering
 	}
-	return resync
+	return startResync
 }
 
-// changes returns the differences between a complete snapshot and what was reported before, followed by the events after
-// the snapshot.
-func (m *streamMerger) changes(buffered []assign.Event) (changes []assign.Event) {
+// diffSnapshot returns the differences between a complete snapshot, which starts the buffered events, and the proxies
+// reported before. The events after the snapshot follow the differences.
+func (m *streamMerger) diffSnapshot(buffered []assign.Event) (changes []assign.Event) {
 	missing := maps.Clone(m.reported)
 	snapshotLength := 0
 	for ; snapshotLength < len(buffered); snapshotLength++ {
@@ -152,7 +155,7 @@
 	return append(changes, buffered[snapshotLength:]...)
 }
 
-// forwardBuffered forwards a stream's buffered events.
+// forwardBuffered empties the buffer of a stream and forwards its events.
 func (m *streamMerger) forwardBuffered(ctx context.Context, stream *streamState) error {
 	buffered := stream.buffered
 	stream.buffered = nil
@@ -164,7 +167,8 @@
 	return nil
 }
 
-// forward sends one event to the sink. The first one that is not of the snapshot completes a resync.
+// forward passes one event to the sink. The first event or heartbeat after the snapshot completes a resync. A
+// heartbeat is not passed to the sink.
 func (m *streamMerger) forward(ctx context.Context, stream *streamState, event assign.Event) error {
 	if connected, ok := event.(assign.ProxyConnected); ok {
 		delete(stream.unconfirmed, connected.Proxy)
@@ -178,15 +182,16 @@
 	case nil: // a heartbeat
 		return nil
 	case assign.ProxyDisconnected:
-		return m.disconnect(ctx, event.Proxy)
+		return m.reportDisconnected(ctx, event.Proxy)
 	}
 	return m.sink(ctx, event)
 }
 
-// completeResync reports the proxies as disconnected that a stream's snapshot did not contain.
+// completeResync reports the proxies that the snapshot of a stream did not contain as disconnected. It does nothing
+// after the resync is complete.
 func (m *streamMerger) completeResync(ctx context.Context, stream *streamState) error {
 	for _, id := range slices.Sorted(maps.Keys(stream.unconfirmed)) {
-		if err := m.disconnect(ctx, id); err != nil {
+		if err := m.reportDisconnected(ctx, id); err != nil {
 			return err
 		}
 	}
@@ -194,8 +199,8 @@
 	return nil
 }
 
-// disconnect reports a proxy as disconnected, if it was last reported as connected.
-func (m *streamMerger) disconnect(ctx context.Context, id int) error {
+// reportDisconnected reports a proxy as disconnected if it was last reported as connected.
+func (m *streamMerger) reportDisconnected(ctx context.Context, id int) error {
 	if _, reported := m.reported[id]; !reported {
 		return nil
 	}
--- a/internal/relay/streammerger_test.go
+++ b/internal/relay/streammerger_test.go
@@ -14,17 +14,17 @@
 
 var errUndecodable = errors.New("undecodable")
 
-// delivery is one item of a stream.
+// delivery is one item that a stream delivers to the merger.
 type delivery struct {
-	stream         string // which of them
-	event          assign.Event
-	undecodable    bool
-	duringHandover bool
+	stream         string       // name of the stream that delivers the item
+	event          assign.Event // event of the item; nil for a heartbeat
+	undecodable    bool         // the item is an event that cannot be decoded
+	duringHandover bool         // another stream is in the forwarding state
 }
 
-// deliver passes deliveries to a merger. It returns the events for the sink, the streams that are forwarding afterwards and
-// those that were ended by an error.
-func deliver(ctx context.Context, merger *streamMerger, deliveries []delivery) (got []assign.Event, forwarding, failed map[string]bool) {
+// deliverAll passes deliveries to a merger. It returns the events that reached the sink, the streams that have reached
+// the forwarding state, and the streams that were ended by an undecodable event.
+func deliverAll(ctx context.Context, merger *streamMerger, deliveries []delivery) (got []assign.Event, forwarding, failed map[string]bool) {
 	merger.sink = func(_ context.Context, event assign.Event) error {
 		got = append(got, event)
 		return nil
@@ -50,32 +50,33 @@
 	return got, forwarding, failed
 }
 
-// connected returns the event of a proxy that is not fresh.
-func connected(proxy int) assign.Event { return assign.ProxyConnected{Proxy: proxy, Zone: "a"} }
+// connectedEvent returns the event that reports a proxy, which is not fresh, as connected.
+func connectedEvent(proxy int) assign.Event { return assign.ProxyConnected{Proxy: proxy, Zone: "a"} }
 
-func disconnected(proxy int) assign.Event { return assign.ProxyDisconnected{Proxy: proxy} }
+func disconnectedEvent(proxy int) assign.Event { return assign.ProxyDisconnected{Proxy: proxy} }
 
-// mergerCase is a new stream after one that reported proxies 1 and 2.
+// mergerCase describes the items of a new stream that follows an old stream, which reported proxies 1 and 2.
 type mergerCase struct {
 	name           string
 	deliveries     []delivery
-	want           []assign.Event // after those of the old stream
-	wantForwarding bool           // the new stream is
-	wantFailed     bool           // the new stream has
+	want           []assign.Event // events that are expected after the events of the old stream
+	wantForwarding bool           // the new stream reaches the forwarding state
+	wantFailed     bool           // the new stream is ended by an undecodable event
 }
 
-func testMerger(t *testing.T, cases []mergerCase) {
+// runMergerCases delivers the items of the old stream and of each case to a new merger and checks the result.
+func runMergerCases(t *testing.T, cases []mergerCase) {
 	t.Helper()
 	oldStream := []delivery{
-		{stream: "old", event: connected(1)},
-		{stream: "old", event: connected(2)},
-		{stream: "old"}, // a heartbeat
+		{stream: "old", event: connectedEvent(1)},
+		{stream: "old", event: connectedEvent(2)},
+		{stream: "old"}, // heartbeat
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			merger := newStreamMerger(nil, zerolog.Nop())
-			got, forwarding, failed := deliver(t.Context(), merger, slices.Concat(oldStream, test.deliveries))
-			want := append([]assign.Event{connected(1), connected(2)}, test.want...)
+			got, forwarding, failed := deliverAll(t.Context(), merger, slices.Concat(oldStream, test.deliveries))
+			want := append([]assign.Event{connectedEvent(1), connectedEvent(2)}, test.want...)
 			if !reflect.DeepEqual(got, want) {
 				t.Errorf("got events %+v, want %+v", got, want)
 			}
@@ -87,63 +88,64 @@
 	}
 }
 
-// After a break the snapshot is reported again, and proxies that it does not contain as disconnected.
+// After a stream breaks, the snapshot of the new stream is reported, and proxies that the snapshot does not contain
+// are reported as disconnected.
 func TestStreamMergerResyncsAfterBreak(t *testing.T) {
-	testMerger(t, []mergerCase{
+	runMergerCases(t, []mergerCase{
 		{
 			name: "proxy missing",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1)},
+				{stream: "new", event: connectedEvent(1)},
 				{stream: "new"},
 			},
-			want:           []assign.Event{connected(1), disconnected(2)},
+			want:           []assign.Event{connectedEvent(1), disconnectedEvent(2)},
 			wantForwarding: true,
 		},
 		{
 			name:           "empty snapshot",
-			deliveries:     []delivery{{stream: "new", event: disconnected(2)}},
-			want:           []assign.Event{disconnected(1), disconnected(2)},
+			deliveries:     []delivery{{stream: "new", event: disconnectedEvent(2)}},
+			want:           []assign.Event{disconnectedEvent(1), disconnectedEvent(2)},
 			wantForwarding: true,
 		},
 		{
 			name: "disconnect of unreported proxy",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1)},
-				{stream: "new", event: connected(2)},
-				{stream: "new", event: disconnected(7)},
+				{stream: "new", event: connectedEvent(1)},
+				{stream: "new", event: connectedEvent(2)},
+				{stream: "new", event: disconnectedEvent(7)},
 			},
-			want:           []assign.Event{connected(1), connected(2)},
+			want:           []assign.Event{connectedEvent(1), connectedEvent(2)},
 			wantForwarding: true,
 		},
 	})
 }
 
-// A stream at a new address takes over once the old one is known to be alive and the snapshot is complete. Only changes are
-// reported then.
+// A stream at a new address replaces the old stream once the old stream is known to work and the snapshot of the new
+// stream is complete. Only changes are then reported.
 func TestStreamMergerReportsChangesAfterHandover(t *testing.T) {
 	fresh := assign.ProxyConnected{Proxy: 1, Zone: "a", DefaultTablesOnly: true}
 	acknowledged := assign.Acknowledged{Proxy: 1, Sequence: 4}
-	testMerger(t, []mergerCase{
+	runMergerCases(t, []mergerCase{
 		{
 			name: "before old stream's heartbeat",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1), duringHandover: true},
+				{stream: "new", event: connectedEvent(1), duringHandover: true},
 				{stream: "new", duringHandover: true},
 			},
 		},
 		{
 			name: "before complete snapshot",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1), duringHandover: true},
+				{stream: "new", event: connectedEvent(1), duringHandover: true},
 				{stream: "old"},
-				{stream: "new", event: connected(2), duringHandover: true},
+				{stream: "new", event: connectedEvent(2), duringHandover: true},
 			},
 		},
 		{
 			name: "without change",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1), duringHandover: true},
-				{stream: "new", event: connected(2), duringHandover: true},
+				{stream: "new", event: connectedEvent(1), duringHandover: true},
+				{stream: "new", event: connectedEvent(2), duringHandover: true},
 				{stream: "old"},
 				{stream: "new", duringHandover: true},
 			},
@@ -153,28 +155,29 @@
 			name: "with changes",
 			deliveries: []delivery{
 				{stream: "new", event: fresh, duringHandover: true},
-				{stream: "new", event: connected(3), duringHandover: true},
+				{stream: "new", event: connectedEvent(3), duringHandover: true},
 				{stream: "old"},
 				{stream: "new", event: acknowledged, duringHandover: true},
 			},
-			want:           []assign.Event{fresh, connected(3), disconnected(2), acknowledged},
+			want:           []assign.Event{fresh, connectedEvent(3), disconnectedEvent(2), acknowledged},
 			wantForwarding: true,
 		},
 		{
 			name: "old stream breaks",
 			deliveries: []delivery{
-				{stream: "new", event: connected(1), duringHandover: true},
+				{stream: "new", event: connectedEvent(1), duringHandover: true},
 				{stream: "new"},
 			},
-			want:           []assign.Event{connected(1), disconnected(2)},
+			want:           []assign.Event{connectedEvent(1), disconnectedEvent(2)},
 			wantForwarding: true,
 		},
 	})
 }
 
-// An event that cannot be decoded ends its stream, unless it is in the snapshot after a stream that ended so.
+// An event that cannot be decoded ends its stream, unless the event is in the snapshot and the previous stream ended
+// with such an event.
 func TestStreamMergerSkipsRepeatedUndecodableEvent(t *testing.T) {
-	testMerger(t, []mergerCase{
+	runMergerCases(t, []mergerCase{
 		{
 			name:       "first",
 			deliveries: []delivery{{stream: "new", undecodable: true}},
@@ -185,10 +188,10 @@
 			deliveries: []delivery{
 				{stream: "failed", undecodable: true},
 				{stream: "new", undecodable: true},
-				{stream: "new", event: connected(2)},
+				{stream: "new", event: connectedEvent(2)},
 				{stream: "new"},
 			},
-			want:           []assign.Event{connected(2), disconnected(1)},
+			want:           []assign.Event{connectedEvent(2), disconnectedEvent(1)},
 			wantForwarding: true,
 		},
 		{
@@ -198,21 +201,22 @@
 				{stream: "new"},
 				{stream: "new", undecodable: true},
 			},
-			want:           []assign.Event{disconnected(1), disconnected(2)},
+			want:           []assign.Event{disconnectedEvent(1), disconnectedEvent(2)},
 			wantForwarding: true,
 			wantFailed:     true,
 		},
 	})
 }
 
-// A new stream whose old one stays silent is resynchronized at maxBuffered events.
+// If the old stream stays silent during a handover, the new stream starts a resync when maxBufferedEvents events are
+// buffered.
 func TestStreamMergerBufferIsBounded(t *testing.T) {
-	for length, want := range map[int]int{maxBuffered - 1: 0, maxBuffered: maxBuffered} {
+	for length, want := range map[int]int{maxBufferedEvents - 1: 0, maxBufferedEvents: maxBufferedEvents} {
 		deliveries := make([]delivery, length)
 		for i := range deliveries {
-			deliveries[i] = delivery{stream: "new", event: connected(i), duringHandover: true}
+			deliveries[i] = delivery{stream: "new", event: connectedEvent(i), duringHandover: true}
 		}
-		got, _, _ := deliver(t.Context(), newStreamMerger(nil, zerolog.Nop()), deliveries)
+		got, _, _ := deliverAll(t.Context(), newStreamMerger(nil, zerolog.Nop()), deliveries)
 		if len(got) != want {
 			t.Errorf("after %d events: got %d forwarded, want %d", length, len(got), want)
 		}
