--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -119,12 +119,12 @@
 	}
 	a.makeRelayClients()
 	a.server = reportserver.New(reportserver.Config{
-		Codec:       a.codec,
-		Sink:        a.events.PostReport,
-		Descriptors: a.config.Descriptors,
-		Zones:       len(a.config.Settings.Zones),
-		MemoryMB:    a.config.MemoryMB,
-		Log:         a.log,
+		Codec:           a.codec,
+		Sink:            a.events.PostReport,
+		DescriptorLimit: a.config.Descriptors,
+		ZoneCount:       len(a.config.Settings.Zones),
+		MemoryLimitMB:   a.config.MemoryMB,
+		Log:             a.log,
 	})
 	if err := a.makePeerSocket(); err != nil {
 		return err
@@ -181,11 +181,11 @@
 		return nil
 	}
 	a.peers, err = peer.Open(peer.Config{
-		Listen:    a.config.PeerListen,
-		Peers:     a.config.Peers,
-		Broadcast: a.config.PeersBroadcast,
-		Sink:      a.events.PostEvent,
-		Log:       a.log,
+		ListenAddress:    a.config.PeerListen,
+		PeerAddresses:    a.config.Peers,
+		BroadcastAddress: a.config.PeersBroadcast,
+		Sink:             a.events.PostEvent,
+		Log:              a.log,
 	})
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
--- a/cmd/madderhollow/listen.go
+++ b/cmd/madderhollow/listen.go
@@ -32,13 +32,13 @@
 	for {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
-			condition.Recover()
+			condition.RecordSuccess()
 			return listener, nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return nil, fmt.Errorf("listener: %w", err)
 		}
-		condition.Fail(err, nil)
+		condition.RecordFailure(err, nil)
 		delays.Wait(ctx)
 	}
 }
--- a/internal/conditionlog/conditionlog_test.go
+++ b/internal/conditionlog/conditionlog_test.go
@@ -17,13 +17,13 @@
 	now := time.Unix(1000, 0)
 	condition := New(Config{Log: zerolog.New(&output), Failing: "connect failed", Recovered: "connected"})
 	condition.now = func() time.Time { return now }
-	condition.Recover() // logs nothing: no attempt has failed
+	condition.RecordSuccess() // logs nothing because no attempt has failed
 	for range 21 {
-		condition.Fail(errRefused, func(line *zerolog.Event) { line.Str("address", "a") })
+		condition.RecordFailure(errRefused, func(line *zerolog.Event) { line.Str("address", "a") })
 		now = now.Add(RepeatInterval / 10)
 	}
-	condition.Recover()
-	condition.Recover() // logs nothing: the condition has ended
+	condition.RecordSuccess()
+	condition.RecordSuccess() // logs nothing because the condition has ended already
 	want := []string{
 		`{"level":"warn","error":"connection refused","attempts":1,"address":"a","message":"connect failed"}`,
 		`{"level":"warn","error":"connection refused","attempts":10,"address":"a","message":"connect failed"}`,
@@ -39,8 +39,8 @@
 	var output bytes.Buffer
 	condition := New(Config{Log: zerolog.New(&output), Failing: "connect failed", Recovered: "connected"})
 	for range 2 {
-		condition.Fail(errRefused, nil)
-		condition.Recover()
+		condition.RecordFailure(errRefused, nil)
+		condition.RecordSuccess()
 	}
 	if got := strings.Count(output.String(), `"attempts":1,"message":"connect failed"`); got != 2 {
 		t.Errorf("got %d lines for two conditions, want 2:\n%s", got, output.String())
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -72,7 +72,7 @@
 		return fmt.Errorf("agent %s: %w", address, err)
 	}
 	defer func() { _ = conn.Close() }() // the connection is not used again, so an error of closing it changes nothing
-	defer conn.CloseWith(ctx)()
+	defer conn.CloseOnContextDone(ctx)()
 	poll := &pollState{address: address}
 	if !deliver(poll) { // sets the first request
 		return fmt.Errorf("agent %s: %w", address, ctx.Err())
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%w: %s", httpconn.ErrStatus, response.Status)
+		return nil, fmt.Errorf("%w: %s", httpconn.ErrUnexpectedStatus, response.Status)
 	}
 	return body, nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -129,11 +129,11 @@
 	addVersion := func(line *zerolog.Event) { line.Int("version", w.version.held) }
 	switch {
 	case duringHandover:
-		w.handoverFailures.Fail(err, addVersion)
+		w.handoverFailures.RecordFailure(err, addVersion)
 	case errors.Is(err, ErrConnectionClosed): // after an answer that was applied
 		w.log.Debug().Msg("agent closed connection; reconnecting")
 	default:
-		w.watchFailures.Fail(err, addVersion)
+		w.watchFailures.RecordFailure(err, addVersion)
 	}
 }
 
@@ -148,9 +148,9 @@
 		return false
 	}
 	w.delays.Reset()
-	w.watchFailures.Recover()
+	w.watchFailures.RecordSuccess()
 	if address, _ := w.address.Current(); poll.address == address {
-		w.handoverFailures.Recover()
+		w.handoverFailures.RecordSuccess()
 	}
 	if poll.next.full {
 		w.fetchesFulfilled = poll.next.fetches
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -492,13 +492,13 @@
 		watcher.receive(t.Context(), &pollState{address: from, answered: true, update: update}, false)
 	}
 	for range 3 {
-		fail(httpconn.ErrStatus, false)
+		fail(httpconn.ErrUnexpectedStatus, false)
 	}
 	succeed("old")
 	fail(ErrConnectionClosed, false)
 	address.Set("new")
 	for range 3 {
-		fail(httpconn.ErrStatus, true)
+		fail(httpconn.ErrUnexpectedStatus, true)
 		succeed("old")
 	}
 	succeed("new")
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -1,5 +1,6 @@
-// Package httpconn makes HTTP/1.1 requests over a single connection that the caller owns and closes. Unlike net/http's
-// client it reports whether a request was written completely before it failed: only then can the server have processed it.
+// Package httpconn makes HTTP/1.1 requests over a single connection that the caller owns and closes. Unlike http.Client
+// it reports whether a failed request had been written completely. Only a completely written request can have been
+// processed by the server.
 package httpconn
 
 import (
@@ -13,18 +14,20 @@
 	"time"
 )
 
-// ErrStatus is a response with another status than the caller expects. The callers check it, because some servers answer
-// errors that can be decoded.
-var ErrStatus = errors.New("unexpected status")
+// ErrUnexpectedStatus is the error for a response whose status is not the status that the caller expects. This package
+// does not check the status. The callers do, because some servers send errors in a body that the callers can decode.
+var ErrUnexpectedStatus = errors.New("unexpected status")
 
-// Conn is one connection to an HTTP server. Use Dial. One goroutine at a time may use it, but any may call Close.
+// Conn is one connection to an HTTP server. Create it with Dial. Only one goroutine at a time may use it, except that
+// Close may be called at any time by any goroutine.
 type Conn struct {
 	net.Conn
-	Address string // host and port, as passed to Dial
+	Address string // host and port of the server, as passed to Dial
 	reader  *bufio.Reader
 }
 
-// Dial connects to a host and port. It blocks until the connection is open, the timeout is over or the context ends.
+// Dial connects to the host and port in address. It blocks until the connection is open, the timeout expires or the
+// context ends.
 func Dial(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -33,14 +36,15 @@
 	return &Conn{Conn: conn, Address: address, reader: bufio.NewReader(conn)}, nil
 }
 
-// CloseWith closes the connection when the context ends, unless stop is called before. Requests under way then fail.
-func (c *Conn) CloseWith(ctx context.Context) (stop func() bool) {
+// CloseOnContextDone arranges for the connection to be closed when the context ends. Requests in progress then fail.
+// The caller can cancel the arrangement by calling stop before the context ends.
+func (c *Conn) CloseOnContextDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
-		_ = c.Close() // the connection is unusable afterwards, whether or not closing it succeeded
+		_ = c.Close() // the connection is unusable after Close, even if Close returns an error
 	})
 }
 
-// NewRequest returns a request to the connection's address, without a body.
+// NewRequest returns a request without a body to the server of the connection.
 func (c *Conn) NewRequest(method, path string) *http.Request {
 	return &http.Request{
 		Method: method,
@@ -50,10 +54,11 @@
 	}
 }
 
-// Do sends a request and reads the head of the response. The timeout also bounds reading the body, which the caller closes.
+// Do sends a request and reads the status line and the headers of the response. The caller reads and closes the
+// response body. The timeout bounds the whole exchange, including reading the body.
 //
-// Sent reports whether the whole request was written. If it was and an error follows, the outcome is unknown: the server
-// may have processed the request or not.
+// The result sent reports whether the whole request was written. If sent is true and err is not nil, the outcome is
+// unknown: the server may or may not have processed the request.
 func (c *Conn) Do(request *http.Request, timeout time.Duration) (response *http.Response, sent bool, err error) {
 	if err := c.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, false, fmt.Errorf("set deadline: %w", err)
@@ -68,11 +73,12 @@
 	return response, true, nil
 }
 
-// HasUnread reports whether bytes are buffered that belong to no request. The connection should not be used again then.
-func (c *Conn) HasUnread() bool { return c.reader.Buffered() > 0 }
+// HasUnreadBytes reports whether the read buffer holds bytes. If it does after a response has been read completely,
+// these bytes belong to no request, and the connection should not be used again.
+func (c *Conn) HasUnreadBytes() bool { return c.reader.Buffered() > 0 }
 
-// Reset closes the connection with a TCP reset. Bytes that the kernel has not delivered yet are discarded, so that they
-// cannot arrive after a repeat of the request over another connection.
+// Reset closes the connection with a TCP reset. Bytes of a request that the kernel has not sent yet are discarded.
+// Otherwise they could reach the server after the same request was repeated over another connection.
 func (c *Conn) Reset() error {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil {
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -16,7 +16,8 @@
 
 const timeout = 5 * time.Second
 
-// dialServer returns a connection to a server with this handler. Both are closed at the end of the test.
+// dialServer starts a server with the handler and returns the server and a connection to it. Both are closed at the end
+// of the test.
 func dialServer(t *testing.T, handler http.HandlerFunc) (*testserver.Server, *Conn) {
 	t.Helper()
 	server := servertest.Start(t, handler)
@@ -24,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // some tests close it themselves
+	t.Cleanup(func() { _ = conn.Close() }) // some tests have closed the connection already, so the error is ignored
 	return server, conn
 }
 
@@ -34,19 +35,19 @@
 		"closed after sent": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	}
 	for _, test := range []struct {
-		name        string
-		handler     http.HandlerFunc
-		closeBefore bool
-		wantSent    bool
-		wantErr     error
+		name             string
+		handler          http.HandlerFunc
+		closeBeforeWrite bool
+		wantSent         bool
+		wantErr          error
 	}{
 		{name: "response", handler: handlers["answered"], wantSent: true},
 		{name: "closed by server", handler: handlers["closed after sent"], wantSent: true, wantErr: io.ErrUnexpectedEOF},
-		{name: "closed before write", handler: handlers["answered"], closeBefore: true, wantErr: net.ErrClosed},
+		{name: "closed before write", handler: handlers["answered"], closeBeforeWrite: true, wantErr: net.ErrClosed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, conn := dialServer(t, test.handler)
-			if test.closeBefore {
+			if test.closeBeforeWrite {
 				if err := conn.Close(); err != nil {
 					t.Fatal(err)
 				}
@@ -75,7 +76,7 @@
 	}
 	if response != nil {
 		t.Errorf("got response %v, want none", response.Status)
-		_ = response.Body.Close() // the test has failed already
+		_ = response.Body.Close() // the error is ignored because the test has failed already
 	}
 }
 
@@ -88,8 +89,8 @@
 	if err := response.Body.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if conn.ServerClosed() || conn.HasUnread() {
-		t.Errorf("open connection: got server closed %t, unread %t; want false, false", conn.ServerClosed(), conn.HasUnread())
+	if conn.ServerClosed() || conn.HasUnreadBytes() {
+		t.Errorf("open connection: got server closed %t, unread %t; want false, false", conn.ServerClosed(), conn.HasUnreadBytes())
 	}
 	if !eventually.True(timeout, func() bool { return server.CloseIdle() > 0 }) {
 		t.Fatal("got no idle connection, want one")
--- a/internal/httpconn/serverclosed.go
+++ b/internal/httpconn/serverclosed.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// ServerClosed reports whether the server closed the connection or sent bytes that belong to no request; a request over such
-// a connection would fail after it was sent. It returns false if the connection offers no system calls. It does not block.
+// ServerClosed reports whether the server closed the connection or sent bytes that belong to no request. A request over
+// such a connection would fail after it was sent. ServerClosed must be called between requests, and it does not block.
+// It returns false if the connection does not implement syscall.Conn.
 func (c *Conn) ServerClosed() bool {
 	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := syscallConn.SyscallConn()
+	rawConn, err := syscallConn.SyscallConn()
 	if err != nil || c.SetReadDeadline(time.Time{}) != nil {
 		return true
 	}
 	open := false
-	err = raw.Read(func(fd uintptr) bool {
+	err = rawConn.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), make([]byte, 1))
-		open = errors.Is(err, syscall.EAGAIN) // the connection is open and there is nothing to read
+		open = errors.Is(err, syscall.EAGAIN) // EAGAIN means that the connection is open and has no bytes to read
 		return true
 	})
 	return err != nil || !open
--- a/internal/loglimit/loglimit.go
+++ b/internal/loglimit/loglimit.go
@@ -1,5 +1,5 @@
-// Package loglimit limits log lines about events that may occur by the hundreds. The counters of their owner have them
-// all.
+// Package loglimit limits the rate of log lines about events that may occur hundreds of times in a short time. The
+// package that logs such events also counts them, and its counters include the events whose lines were dropped.
 package loglimit
 
 import (
@@ -9,14 +9,14 @@
 )
 
 const (
-	// Burst lines are logged in each Period; further ones are dropped.
+	// Burst is the maximum number of lines logged in each Period. Further lines are dropped.
 	Burst = 5
-	// Period begins with the first line after the end of the one before.
+	// Period is the time over which lines are counted. A period begins with the first line after the previous period.
 	Period = 10 * time.Second
 )
 
-// New returns a logger that logs at most Burst lines in each Period, of all its messages together. It shares the output
-// of log, not its sampler, and any goroutine may use it.
+// New returns a logger that writes at most Burst lines in each Period to the output of log. All its messages count
+// together, and a sampler of log does not apply. The returned logger is safe for concurrent use.
 func New(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&zerolog.BurstSampler{Burst: Burst, Period: Period})
 }
--- a/internal/logtest/logtest.go
+++ b/internal/logtest/logtest.go
@@ -1,4 +1,4 @@
-// Package logtest records the log lines of one component, so that its tests can compare them.
+// Package logtest records the log lines of one component, so that the component's tests can check them.
 package logtest
 
 import (
@@ -14,20 +14,20 @@
 	"madderhollow/internal/eventually"
 )
 
-// Recorder keeps the level and the message of each line. Use New. Any goroutine may use it, but none may log to it after the
-// end of its test.
+// Recorder records the level and the message of each log line. Create it with New. It is safe for concurrent use, but
+// no goroutine may log to it after the end of the test.
 type Recorder struct {
 	t         *testing.T
 	component string
 
 	mu    sync.Mutex
-	lines []line
+	lines []logLine
 }
 
-// line has the fields of a log line that a Recorder checks or keeps.
-type line struct{ Level, Component, Message string }
+// logLine holds those fields of a log line that a Recorder checks or records.
+type logLine struct{ Level, Component, Message string }
 
-// New returns a recorder without lines. A line without this component fails the test.
+// New returns an empty recorder. The test fails if a recorded line does not have the given component.
 func New(t *testing.T, component string) *Recorder {
 	t.Helper()
 	return &Recorder{t: t, component: component}
@@ -36,19 +36,19 @@
 // Logger returns a logger that writes to the recorder.
 func (r *Recorder) Logger() zerolog.Logger { return zerolog.New(r) }
 
-// Write records one line, as zerolog writes it.
+// Write records one log line. zerolog calls it once for each line, with the line as JSON.
 func (r *Recorder) Write(text []byte) (int, error) {
-	var written line
-	if err := json.Unmarshal(text, &written); err != nil || written.Component != r.component {
-		r.t.Errorf("log line %s: got component %q, error %v; want component %q", text, written.Component, err, r.component)
+	var recorded logLine
+	if err := json.Unmarshal(text, &recorded); err != nil || recorded.Component != r.component {
+		r.t.Errorf("log line %s: got component %q, error %v; want component %q", text, recorded.Component, err, r.component)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lines = append(r.lines, written)
+	r.lines = append(r.lines, recorded)
 	return len(text), nil
 }
 
-// Lines returns the lines so far, each as "level: message".
+// Lines returns all recorded lines in order, each formatted as "level: message".
 func (r *Recorder) Lines() (lines []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,8 +58,8 @@
 	return lines
 }
 
-// Count returns the number of lines so far with a message.
-func (r *Recorder) Count(message string) (count int) {
+// CountMessage returns the number of recorded lines that have the message.
+func (r *Recorder) CountMessage(message string) (count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.lines {
@@ -70,7 +70,7 @@
 	return count
 }
 
-// ExpectLines fails the test unless the lines so far are these, each as "level: message".
+// ExpectLines fails the test unless the recorded lines equal want, where each line is formatted as "level: message".
 func (r *Recorder) ExpectLines(t *testing.T, want ...string) {
 	t.Helper()
 	if got := r.Lines(); !slices.Equal(got, want) {
@@ -78,20 +78,21 @@
 	}
 }
 
-// ExpectOnce fails the test unless each message is that of one line.
-func (r *Recorder) ExpectOnce(t *testing.T, messages ...string) {
+// ExpectOneLineEach fails the test unless exactly one line was recorded for each of the messages.
+func (r *Recorder) ExpectOneLineEach(t *testing.T, messages ...string) {
 	t.Helper()
 	for _, message := range messages {
-		if got := r.Count(message); got != 1 {
+		if got := r.CountMessage(message); got != 1 {
 			t.Errorf("got %d lines %q, want 1", got, message)
 		}
 	}
 }
 
-// Await blocks until there is a line with a message, and stops the test if there is none within the timeout.
-func (r *Recorder) Await(t *testing.T, timeout time.Duration, message string) {
+// AwaitMessage blocks until a line with the message is recorded. It stops the test if no such line is recorded within
+// the timeout.
+func (r *Recorder) AwaitMessage(t *testing.T, timeout time.Duration, message string) {
 	t.Helper()
-	if !eventually.True(timeout, func() bool { return r.Count(message) > 0 }) {
+	if !eventually.True(timeout, func() bool { return r.CountMessage(message) > 0 }) {
 		t.Fatalf("got no log line %q within %v, want one", message, timeout)
 	}
 }
--- a/internal/logtest/logtest_test.go
+++ b/internal/logtest/logtest_test.go
@@ -12,9 +12,9 @@
 	log.Warn().Msg("disconnected")
 	log.Info().Msg("connected")
 	recorder.ExpectLines(t, "info: connected", "warn: disconnected", "info: connected")
-	recorder.ExpectOnce(t, "disconnected")
-	recorder.Await(t, time.Second, "connected")
-	if got := recorder.Count("connected"); got != 2 {
+	recorder.ExpectOneLineEach(t, "disconnected")
+	recorder.AwaitMessage(t, time.Second, "connected")
+	if got := recorder.CountMessage("connected"); got != 2 {
 		t.Errorf("got %d lines with message connected, want 2", got)
 	}
 }
--- a/internal/peer/bytes_test.go
+++ b/internal/peer/bytes_test.go
@@ -9,11 +9,13 @@
 	"madderhollow/internal/golden"
 )
 
-// TestDatagramsMatchRecordedBytes compares the datagrams that peers receive for a fixed list of messages with recorded bytes.
+// TestDatagramsMatchRecordedBytes sends a fixed list of messages to one peer and to the broadcast address. It compares
+// the datagrams that arrive with the bytes recorded in testdata, so that the format of the datagrams does not change
+// unnoticed.
 func TestDatagramsMatchRecordedBytes(t *testing.T) {
 	receiver := listenUDP(t)
 	address := receiver.LocalAddr().String()
-	socket, _ := start(t, "127.0.0.1:0", address, address)
+	socket, _ := startSocket(t, "127.0.0.1:0", address, address)
 	var got bytes.Buffer
 	buffer := make([]byte, 1024)
 	for _, to := range []int{-1, 0} {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,7 @@
 // Package peer exchanges short messages between assigners as UDP datagrams. Delivery is not guaranteed, and no decision
-// depends on it: without a socket the assigner works on. Socket.Run receives in the goroutine that calls it and blocks until
-// its context ends; Socket.Send may be called by any goroutine and does not block for longer than a system call.
+// depends on these messages, so an assigner keeps working while it has no socket. Socket.Run receives datagrams in the
+// goroutine that calls it and blocks until its context ends. Socket.Send may be called by any goroutine and blocks no
+// longer than a system call.
 package peer
 
 import (
@@ -22,117 +23,120 @@
 )
 
 const (
-	// maxMessageSize is the protocol's limit on a datagram, in bytes. The platform forbids longer ones.
+	// maxMessageSize is the protocol's limit on the size of a datagram, in bytes. The platform forbids longer
+	// datagrams.
 	maxMessageSize = 256
-	// readRetryDelay is the pause after a failed read. It keeps a broken socket from using a whole core.
+	// readRetryDelay is the pause after a failed read. Without the pause, the retries on a broken socket would occupy a
+	// whole CPU core.
 	readRetryDelay = 10 * time.Millisecond
-	// bindRetryDelay is the pause between attempts to bind the socket. A previous process may hold the address until it has
-	// ended.
+	// bindRetryDelay is the pause between attempts to bind the socket. An attempt can fail because the previous process
+	// of the assigner is still shutting down and holds the address.
 	bindRetryDelay = 100 * time.Millisecond
 )
 
-// Errors of datagrams that are dropped.
+// Errors for which a received datagram is dropped or a message is not sent.
 var (
 	ErrUnknownPeer    = errors.New("unknown peer")
 	ErrMessageTooLong = fmt.Errorf("message longer than %d bytes", maxMessageSize)
 )
 
-// Config configures a Socket. Addresses are IP:port.
+// Config configures a Socket. Each address has the form IP:port.
 type Config struct {
-	Listen    string          // address to bind; required
-	Peers     []string        // addresses of all assigners, in the order of their numbers; default: none
-	Broadcast string          // address that reaches all peers; default: there is none
-	Sink      eventqueue.Sink // receives assign.PeerMessageReceived; Run blocks while it does; required
-	Log       zerolog.Logger
+	ListenAddress    string          // local address to bind; required
+	PeerAddresses    []string        // addresses of all assigners, indexed by assigner number; default: none
+	BroadcastAddress string          // address that reaches all peers; default: no broadcast address
+	Sink             eventqueue.Sink // receives each message as assign.PeerMessageReceived; Run waits for it; required
+	Log              zerolog.Logger
 }
 
-// Socket owns the datagram socket. Send may be called by any goroutine at any time, Run once.
+// Socket owns the UDP socket. Send may be called by any goroutine at any time. Run must be called exactly once.
 type Socket struct {
-	listen    netip.AddrPort
-	conn      atomic.Pointer[net.UDPConn] // nil: not bound
-	peers     []netip.AddrPort            // by number
-	numbers   map[netip.AddrPort]int      // of the peers, by address
-	broadcast netip.AddrPort              // invalid: there is none
-	sink      eventqueue.Sink
-	log       zerolog.Logger
-	dropLog   zerolog.Logger          // of dropped datagrams, limited because anybody may send any number
-	binding   *conditionlog.Condition // used by Open and then by Run alone
+	listenAddress    netip.AddrPort
+	conn             atomic.Pointer[net.UDPConn] // bound socket, or nil while no attempt to bind has succeeded
+	peerAddresses    []netip.AddrPort            // addresses of the assigners, indexed by assigner number
+	numberByAddress  map[netip.AddrPort]int      // assigner number of each peer address
+	broadcastAddress netip.AddrPort              // address that reaches all peers; not valid if none is configured
+	sink             eventqueue.Sink
+	log              zerolog.Logger
+	rateLimitedLog   zerolog.Logger          // for dropped datagrams; rate-limited because any host can send many
+	bindFailures     *conditionlog.Condition // consecutive failures to bind; used by Open, afterwards only by Run
 }
 
-// Open validates the addresses and tries to bind the socket. A failed bind is no error: Run repeats it. The caller must call
-// Run, which closes the socket.
+// Open parses the addresses and makes a first attempt to bind the socket. It returns an error if an address is invalid.
+// It returns no error if the bind fails, because Run repeats the attempt. The caller must call Run, which closes the
+// socket.
 func Open(config Config) (*Socket, error) {
 	log := config.Log.With().Str("component", "peer").Logger()
 	socket := &Socket{
-		numbers: map[netip.AddrPort]int{},
-		sink:    config.Sink,
-		log:     log,
-		dropLog: loglimit.New(log),
-		binding: conditionlog.New(conditionlog.Config{
+		numberByAddress: map[netip.AddrPort]int{},
+		sink:            config.Sink,
+		log:             log,
+		rateLimitedLog:  loglimit.New(log),
+		bindFailures: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "peer socket bind failed; retrying",
 			Recovered: "peer socket bound",
 		}),
 	}
-	if err := socket.setAddresses(config); err != nil {
+	if err := socket.parseAddresses(config); err != nil {
 		return nil, err
 	}
 	socket.bind()
 	return socket, nil
 }
 
-// setAddresses parses the configured addresses.
-func (s *Socket) setAddresses(config Config) error {
-	for number, peer := range config.Peers {
-		address, err := parseAddress(fmt.Sprintf("address of peer %d", number), peer)
+// parseAddresses parses the addresses in config and stores them in the socket.
+func (s *Socket) parseAddresses(config Config) error {
+	for number, unparsed := range config.PeerAddresses {
+		address, err := parseAddress(fmt.Sprintf("address of peer %d", number), unparsed)
 		if err != nil {
 			return err
 		}
-		s.peers = append(s.peers, address)
-		s.numbers[address] = number
+		s.peerAddresses = append(s.peerAddresses, address)
+		s.numberByAddress[address] = number
 	}
 	var err error
-	if config.Broadcast != "" {
-		if s.broadcast, err = parseAddress("peer broadcast address", config.Broadcast); err != nil {
+	if config.BroadcastAddress != "" {
+		if s.broadcastAddress, err = parseAddress("peer broadcast address", config.BroadcastAddress); err != nil {
 			return err
 		}
 	}
-	s.listen, err = parseAddress("peer listen address", config.Listen)
+	s.listenAddress, err = parseAddress("peer listen address", config.ListenAddress)
 	return err
 }
 
-// parseAddress parses an IP:port. Errors begin with what the address is.
-func parseAddress(what, address string) (netip.AddrPort, error) {
+// parseAddress parses an address of the form IP:port. Its errors begin with the description of the address.
+func parseAddress(description, address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("%s: %w", what, err)
+		return netip.AddrPort{}, fmt.Errorf("%s: %w", description, err)
 	}
 	return parsed, nil
 }
 
-// bind makes one attempt to bind the socket, and logs if it failed.
+// bind makes one attempt to bind the socket and records its outcome in bindFailures, which logs failures.
 func (s *Socket) bind() {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listen))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(s.listenAddress))
 	if err != nil {
-		s.binding.Fail(err, nil)
+		s.bindFailures.RecordFailure(err, nil)
 		return
 	}
-	s.binding.Recover()
+	s.bindFailures.RecordSuccess()
 	s.conn.Store(conn)
 }
 
-// Run receives datagrams until the context ends, and then closes the socket. While the socket is not bound it tries to bind
-// it.
+// Run receives datagrams until the context ends and then closes the socket. If Open could not bind the socket, Run
+// first repeats the attempt until it succeeds.
 func (s *Socket) Run(ctx context.Context) {
-	conn := s.awaitBound(ctx)
+	conn := s.awaitBind(ctx)
 	if conn == nil {
 		return
 	}
-	closeConn := func() { _ = conn.Close() }  // the only error is that it is closed already
-	stop := context.AfterFunc(ctx, closeConn) // unblocks the read
+	closeConn := func() { _ = conn.Close() }  // the only possible error is that the socket is closed already
+	stop := context.AfterFunc(ctx, closeConn) // closing the socket unblocks a pending read
 	defer stop()
 	defer closeConn()
-	reading := conditionlog.New(conditionlog.Config{
+	readFailures := conditionlog.New(conditionlog.Config{
 		Log:       s.log,
 		Failing:   "datagram read failed; retrying",
 		Recovered: "datagram read succeeded",
@@ -144,19 +148,20 @@
 			return
 		}
 		if err != nil {
-			reading.Fail(err, nil)
+			readFailures.RecordFailure(err, nil)
 			backoff.Sleep(ctx, readRetryDelay)
 			continue
 		}
-		reading.Recover()
+		readFailures.RecordSuccess()
 		if s.receive(ctx, from, buffer[:n]) != nil {
 			return
 		}
 	}
 }
 
-// awaitBound blocks until the socket is bound. It returns nil if the context ends before.
-func (s *Socket) awaitBound(ctx context.Context) *net.UDPConn {
+// awaitBind repeats attempts to bind the socket until it is bound, and returns the bound socket. It returns nil if the
+// context ends first.
+func (s *Socket) awaitBind(ctx context.Context) *net.UDPConn {
 	for s.conn.Load() == nil {
 		if backoff.Sleep(ctx, bindRetryDelay); ctx.Err() != nil {
 			return nil
@@ -166,19 +171,21 @@
 	return s.conn.Load()
 }
 
-// receive passes a datagram of a peer to the sink and drops any other. The error is the sink's.
+// receive passes a datagram from a peer to the sink. It drops and logs a datagram that is too long or whose sender
+// is unknown. An error is returned only if the sink fails.
 func (s *Socket) receive(ctx context.Context, from netip.AddrPort, data []byte) error {
-	number, err := s.sender(from, data)
+	number, err := s.senderNumber(from, data)
 	if err != nil {
-		s.dropLog.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
+		s.rateLimitedLog.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
 		return nil
 	}
 	return s.sink(ctx, assign.PeerMessageReceived{From: number, Data: append([]byte(nil), data...)})
 }
 
-// sender returns the number of the peer that sent a datagram.
-func (s *Socket) sender(from netip.AddrPort, data []byte) (number int, err error) {
-	number, known := s.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+// senderNumber returns the assigner number of the peer that sent a datagram. It returns ErrUnknownPeer if no peer has
+// the sender's address, and ErrMessageTooLong if the datagram exceeds maxMessageSize.
+func (s *Socket) senderNumber(from netip.AddrPort, data []byte) (number int, err error) {
+	number, known := s.numberByAddress[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	if !known {
 		return 0, ErrUnknownPeer
 	}
@@ -188,14 +195,14 @@
 	return number, nil
 }
 
-// Send sends a message to one peer, by its number, or to all peers if to is negative. It does not block for longer than a
-// system call. Errors are logged; while the socket is not bound, messages are dropped.
+// Send sends a message to the peer with the assigner number to, or to all peers if to is negative. It blocks no longer
+// than a system call. Errors are logged. While the socket is not bound, messages are dropped without a log line.
 func (s *Socket) Send(to int, data []byte) {
 	conn := s.conn.Load()
 	if conn == nil {
 		return
 	}
-	address, err := s.destination(to, data)
+	address, err := s.destinationAddress(to, data)
 	if err != nil {
 		s.log.Error().Err(err).Int("to", to).Int("bytes", len(data)).Msg("datagram invalid; not sent")
 		return
@@ -205,9 +212,10 @@
 	}
 }
 
-// destination returns the address for a message.
-func (s *Socket) destination(to int, data []byte) (netip.AddrPort, error) {
-	address, known := s.address(to)
+// destinationAddress returns the address to which a message is sent. It returns ErrUnknownPeer if there is no such
+// address, and ErrMessageTooLong if the message exceeds maxMessageSize.
+func (s *Socket) destinationAddress(to int, data []byte) (netip.AddrPort, error) {
+	address, known := s.peerAddress(to)
 	if !known {
 		return netip.AddrPort{}, ErrUnknownPeer
 	}
@@ -217,13 +225,14 @@
 	return address, nil
 }
 
-// address returns the address of a peer, by its number, or of all peers if the number is negative.
-func (s *Socket) address(number int) (address netip.AddrPort, known bool) {
+// peerAddress returns the address of the peer with the assigner number, or the broadcast address if the number is
+// negative. known reports whether the address is configured.
+func (s *Socket) peerAddress(number int) (address netip.AddrPort, known bool) {
 	if number < 0 {
-		return s.broadcast, s.broadcast.IsValid()
+		return s.broadcastAddress, s.broadcastAddress.IsValid()
 	}
-	if number >= len(s.peers) {
+	if number >= len(s.peerAddresses) {
 		return netip.AddrPort{}, false
 	}
-	return s.peers[number], true
+	return s.peerAddresses[number], true
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,22 +15,22 @@
 	"madderhollow/internal/loglimit"
 )
 
-// timeout bounds every wait, so that a busy machine does not fail a test.
+// timeout bounds every wait. It is long, so that tests also pass on a busy machine.
 const timeout = 5 * time.Second
 
-// listenUDP binds a datagram socket to a free port and closes it at the end of the test.
+// listenUDP binds a UDP socket to a free port of the loopback address and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the only error is that the test has closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the only possible error is that the test has closed the socket already
 	return conn
 }
 
-// freeAddress returns an address that no socket is bound to. The caller binds it next, since it may be assigned to any socket
-// that is bound to a free port.
+// freeAddress returns a loopback address to which no socket is bound. The caller must bind the address before it binds
+// another socket to a free port, because the kernel may choose the same port for that socket.
 func freeAddress(t *testing.T) net.Addr {
 	t.Helper()
 	conn := listenUDP(t)
@@ -40,14 +40,15 @@
 	return conn.LocalAddr()
 }
 
-// start opens a socket and runs it until the end of the test.
-func start(t *testing.T, listen, broadcast string, peers ...string) (*Socket, chan assign.Event) {
+// startSocket opens a Socket without logging and runs it until the end of the test. It returns the socket and the
+// channel of the events that the socket receives.
+func startSocket(t *testing.T, listen, broadcast string, peers ...string) (*Socket, chan assign.Event) {
 	t.Helper()
-	return startWithLog(t, zerolog.Nop(), Config{Listen: listen, Broadcast: broadcast, Peers: peers})
+	return startSocketWithLog(t, zerolog.Nop(), Config{ListenAddress: listen, BroadcastAddress: broadcast, PeerAddresses: peers})
 }
 
-// startWithLog is start with a logger.
-func startWithLog(t *testing.T, log zerolog.Logger, config Config) (*Socket, chan assign.Event) {
+// startSocketWithLog is like startSocket, but takes the configuration and a logger.
+func startSocketWithLog(t *testing.T, log zerolog.Logger, config Config) (*Socket, chan assign.Event) {
 	t.Helper()
 	events := make(chan assign.Event, 1000)
 	config.Sink = func(_ context.Context, event assign.Event) error { events <- event; return nil }
@@ -57,21 +58,22 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); socket.Run(ctx) }() // ends with the test
-	t.Cleanup(func() { cancel(); <-ended })
+	runReturned := make(chan struct{})
+	go func() { defer close(runReturned); socket.Run(ctx) }() // Run returns when the cleanup cancels ctx
+	t.Cleanup(func() { cancel(); <-runReturned })
 	return socket, events
 }
 
-func mustSend(t *testing.T, from *net.UDPConn, data []byte, to net.Addr) {
+// mustSendDatagram sends one datagram and stops the test if that fails.
+func mustSendDatagram(t *testing.T, from *net.UDPConn, data []byte, to net.Addr) {
 	t.Helper()
 	if _, err := from.WriteTo(data, to); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// mustReceive fails the test unless the next datagram is a text.
-func mustReceive(t *testing.T, at *net.UDPConn, want string) {
+// expectDatagram fails the test unless the next datagram that the socket receives has the given text.
+func expectDatagram(t *testing.T, at *net.UDPConn, want string) {
 	t.Helper()
 	if err := at.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
@@ -82,78 +84,79 @@
 	}
 }
 
-// checkReceived fails the test unless the event is the message "hi" of peer 1.
-func checkReceived(t *testing.T, got assign.Event) {
+// expectHiFromPeer1 fails the test unless the event is the message "hi" from peer 1.
+func expectHiFromPeer1(t *testing.T, got assign.Event) {
 	t.Helper()
 	if want := (assign.PeerMessageReceived{From: 1, Data: []byte("hi")}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// awaitReceived fails the test unless the next event is the message "hi" of peer 1.
-func awaitReceived(t *testing.T, events chan assign.Event) {
+// awaitHiFromPeer1 waits for the next event and fails the test unless the event is the message "hi" from peer 1.
+func awaitHiFromPeer1(t *testing.T, events chan assign.Event) {
 	t.Helper()
 	select {
 	case event := <-events:
-		checkReceived(t, event)
+		expectHiFromPeer1(t, event)
 	case <-time.After(timeout):
 		t.Fatal("got no event, want the message of peer 1")
 	}
 }
 
-// Received datagrams carry the sender's number. Datagrams of unknown senders and oversized ones are dropped, and oversized
-// ones are not sent.
+// A received message has the assigner number of its sender. Received datagrams that are oversized or come from an
+// unknown sender are dropped. Messages that are oversized or have an unknown receiver are not sent.
 func TestSocketDropsOversizedAndUnknownDatagrams(t *testing.T) {
-	first, broadcast, other := listenUDP(t), listenUDP(t), listenUDP(t)
-	own := freeAddress(t)
-	peers := []string{own.String(), first.LocalAddr().String(), broadcast.LocalAddr().String()}
-	socket, events := start(t, own.String(), peers[2], peers...)
-	mustSend(t, other, []byte("who"), own)
-	mustSend(t, first, make([]byte, maxMessageSize+1), own)
-	mustSend(t, first, []byte("hi"), own)
-	awaitReceived(t, events)
-	for to, conn := range map[int]*net.UDPConn{1: first, -1: broadcast} {
+	peerConn, broadcastConn, unknownConn := listenUDP(t), listenUDP(t), listenUDP(t)
+	ownAddress := freeAddress(t)
+	peers := []string{ownAddress.String(), peerConn.LocalAddr().String(), broadcastConn.LocalAddr().String()}
+	socket, events := startSocket(t, ownAddress.String(), peers[2], peers...)
+	mustSendDatagram(t, unknownConn, []byte("who"), ownAddress)
+	mustSendDatagram(t, peerConn, make([]byte, maxMessageSize+1), ownAddress)
+	mustSendDatagram(t, peerConn, []byte("hi"), ownAddress)
+	awaitHiFromPeer1(t, events)
+	for to, conn := range map[int]*net.UDPConn{1: peerConn, -1: broadcastConn} {
 		socket.Send(to, make([]byte, maxMessageSize+1))
 		socket.Send(len(peers), []byte("nobody"))
 		socket.Send(to, []byte("hello"))
-		mustReceive(t, conn, "hello")
+		expectDatagram(t, conn, "hello")
 	}
 }
 
-// Anybody may send datagrams, so their lines are limited.
+// Any host can send many datagrams. The log lines about dropped datagrams must therefore be rate-limited.
 func TestDroppedDatagramsAreLoggedUpToBurst(t *testing.T) {
-	peer, unknown := listenUDP(t), listenUDP(t)
-	own := freeAddress(t)
-	var output bytes.Buffer // written by the goroutine of Run, before the event is received
-	_, events := startWithLog(t, zerolog.New(&output),
-		Config{Listen: own.String(), Peers: []string{own.String(), peer.LocalAddr().String()}})
+	peerConn, unknownConn := listenUDP(t), listenUDP(t)
+	ownAddress := freeAddress(t)
+	var output bytes.Buffer // Run writes all lines before it delivers the event, so there is no data race
+	_, events := startSocketWithLog(t, zerolog.New(&output),
+		Config{ListenAddress: ownAddress.String(), PeerAddresses: []string{ownAddress.String(), peerConn.LocalAddr().String()}})
 	for range 3 * loglimit.Burst {
-		mustSend(t, unknown, []byte("who"), own)
+		mustSendDatagram(t, unknownConn, []byte("who"), ownAddress)
 	}
-	mustSend(t, peer, []byte("hi"), own)
-	awaitReceived(t, events)
+	mustSendDatagram(t, peerConn, []byte("hi"), ownAddress)
+	awaitHiFromPeer1(t, events)
 	if got := strings.Count(output.String(), "datagram dropped"); got != loglimit.Burst {
 		t.Errorf("got %d lines, want %d:\n%s", got, loglimit.Burst, output.String())
 	}
 }
 
-// While another socket holds the address, messages to send are dropped; the socket binds once the address is free.
+// If another socket holds the address when Open is called, messages to send are dropped. Run must bind the socket as
+// soon as the address is free, and then receive messages.
 func TestSocketBindsOnceAddressIsFree(t *testing.T) {
-	held, other := listenUDP(t), listenUDP(t)
-	own := held.LocalAddr()
-	socket, events := start(t, own.String(), "", own.String(), other.LocalAddr().String())
+	addressHolder, peerConn := listenUDP(t), listenUDP(t)
+	ownAddress := addressHolder.LocalAddr()
+	socket, events := startSocket(t, ownAddress.String(), "", ownAddress.String(), peerConn.LocalAddr().String())
 	socket.Send(1, []byte("early"))
-	if err := held.Close(); err != nil {
+	if err := addressHolder.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(timeout); ; {
-		mustSend(t, other, []byte("hi"), own)
+	for deadline := time.Now().Add(timeout); ; {
+		mustSendDatagram(t, peerConn, []byte("hi"), ownAddress)
 		select {
 		case event := <-events:
-			checkReceived(t, event)
+			expectHiFromPeer1(t, event)
 			return
-		case <-time.After(10 * time.Millisecond): // datagrams to an unbound port are lost, so send again
-			if time.Now().After(end) {
+		case <-time.After(10 * time.Millisecond): // send again, because a datagram to an unbound port is lost
+			if time.Now().After(deadline) {
 				t.Fatal("got no event, want the message of peer 1")
 			}
 		}
@@ -163,9 +166,9 @@
 func TestOpenRejectsInvalidAddresses(t *testing.T) {
 	const valid = "127.0.0.1:1"
 	for want, config := range map[string]Config{
-		"peer listen address":    {Listen: "nowhere", Peers: []string{valid}},
-		"peer broadcast address": {Listen: valid, Broadcast: "nowhere"},
-		"address of peer 1":      {Listen: valid, Peers: []string{valid, "nowhere"}},
+		"peer listen address":    {ListenAddress: "nowhere", PeerAddresses: []string{valid}},
+		"peer broadcast address": {ListenAddress: valid, BroadcastAddress: "nowhere"},
+		"address of peer 1":      {ListenAddress: valid, PeerAddresses: []string{valid, "nowhere"}},
 	} {
 		if _, err := Open(config); err == nil || !strings.HasPrefix(err.Error(), want+": ") {
 			t.Errorf("got error %v, want one about the %s", err, want)
--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -45,13 +45,13 @@
 // recordAnswer ends the conditions that are ruled out by an answer with this error code. The code is empty if the
 // answer reports no error.
 func (c *callConditions) recordAnswer(code string) {
-	c.unsent.Recover()
-	c.unanswered.Recover()
+	c.unsent.RecordSuccess()
+	c.unanswered.RecordSuccess()
 	if code == "" || code == wire.CodeSyntax {
-		c.busy.Recover()
+		c.busy.RecordSuccess()
 	}
 	if code == "" {
-		c.unparsable.Recover()
+		c.unparsable.RecordSuccess()
 	}
 }
 
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -73,7 +73,7 @@
 		return c.connect(ctx, address)
 	}
 	if c.conn.Address == address {
-		c.handoverFailing.Recover()
+		c.handoverFailing.RecordSuccess()
 		return nil
 	}
 	c.handOver(ctx, address)
@@ -99,7 +99,7 @@
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
 		c.handoverRetryAt = time.Now().Add(handoverRetryDelay)
-		c.handoverFailing.Fail(err, func(line *zerolog.Event) {
+		c.handoverFailing.RecordFailure(err, func(line *zerolog.Event) {
 			line.Str("address", address).Str("old_address", c.conn.Address)
 		})
 		return
@@ -112,13 +112,13 @@
 func (c *callConn) setConn(conn *httpconn.Conn) {
 	c.conn = conn
 	c.lastUsed = time.Now()
-	c.handoverFailing.Recover()
+	c.handoverFailing.RecordSuccess()
 }
 
 // stale reports whether a call over the open connection might become ambiguous because the relay has closed the
 // connection or may close it soon, or because unread bytes have arrived.
 func (c *callConn) stale() bool {
-	return time.Since(c.lastUsed) > maxIdleTime || c.conn.HasUnread() || c.conn.ServerClosed()
+	return time.Since(c.lastUsed) > maxIdleTime || c.conn.HasUnreadBytes() || c.conn.ServerClosed()
 }
 
 // close closes the connection if one is open.
@@ -144,7 +144,7 @@
 	if err := c.ensureConnected(ctx); err != nil {
 		return answer, false, err
 	}
-	stop := c.conn.CloseWith(ctx)
+	stop := c.conn.CloseOnContextDone(ctx)
 	defer stop()
 	body := wire.EncodeCall(orders)
 	request := c.conn.NewRequest(http.MethodPost, callPath)
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -94,7 +94,7 @@
 		condition = r.handoverFailing
 	}
 	address, _ := r.address.Current()
-	condition.Fail(err, func(line *zerolog.Event) {
+	condition.RecordFailure(err, func(line *zerolog.Event) {
 		line.Str("address", address).Int("proxies", len(r.merger.reported))
 	})
 }
@@ -102,9 +102,9 @@
 // recoverConditions ends the conditions that are ruled out by a heartbeat from a stream in the forwarding state. An
 // event does not rule them out, because a stream that breaks after each snapshot has not recovered.
 func (r *EventReader) recoverConditions(stream *streamState) {
-	r.disconnected.Recover()
+	r.disconnected.RecordSuccess()
 	if address, _ := r.address.Current(); stream.address == address {
-		r.handoverFailing.Recover()
+		r.handoverFailing.RecordSuccess()
 	}
 }
 
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -46,7 +46,7 @@
 		return fmt.Errorf("open event stream: %w", err)
 	}
 	defer func() { _ = conn.Close() }() // no data is written after the request, so an error on closing loses nothing
-	stop := conn.CloseWith(ctx)
+	stop := conn.CloseOnContextDone(ctx)
 	defer stop()
 	request := conn.NewRequest(http.MethodGet, eventStreamPath)
 	request.Header.Set("Accept", eventStreamType)
@@ -56,7 +56,7 @@
 	}
 	defer func() { _ = response.Body.Close() }() // an error has no effect, because the connection is closed, too
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrStatus, response.Status)
+		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrUnexpectedStatus, response.Status)
 	}
 	item := &streamItem{stream: &streamState{address: address}}
 	events := wire.NewStream(response.Body)
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -53,8 +53,8 @@
 		reader.Run(t.Context())
 	}()
 	t.Cleanup(running.Wait)
-	logs.Await(t, testTimeout, "event stream connected")
-	logs.ExpectOnce(t, "event stream disconnected; retrying", "event stream connected")
+	logs.AwaitMessage(t, testTimeout, "event stream connected")
+	logs.ExpectOneLineEach(t, "event stream disconnected; retrying", "event stream connected")
 	if got := requests.Load(); got <= failures {
 		t.Errorf("got %d requests, want more than %d", got, failures)
 	}
@@ -69,14 +69,14 @@
 	setup.Connect(0, "a", 1, true)
 	setup.takeEvents(1)
 	setup.address.Set(closedAddress)
-	logs.Await(t, testTimeout, "event stream at new relay address failed; keeping old stream")
+	logs.AwaitMessage(t, testTimeout, "event stream at new relay address failed; keeping old stream")
 	setup.Connect(1, "a", 1, true)
 	if got := setup.takeEvents(1); got == nil {
 		t.Error("got no event of the old stream, want one")
 	}
 	setup.address.Set(setup.Address())
-	logs.Await(t, testTimeout, "event stream uses current relay address")
-	logs.ExpectOnce(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
+	logs.AwaitMessage(t, testTimeout, "event stream uses current relay address")
+	logs.ExpectOneLineEach(t, "event stream at new relay address failed; keeping old stream", "event stream uses current relay address")
 }
 
 func TestEventReaderSeparatesDisconnectFromFailingHandover(t *testing.T) {
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			logs := logtest.New(t, "relay")
 			reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(closedAddress), Log: logs.Logger()})
-			reader.logFailure(httpconn.ErrStatus, test.duringHandover)
+			reader.logFailure(httpconn.ErrUnexpectedStatus, test.duringHandover)
 			logs.ExpectLines(t, test.want)
 		})
 	}
@@ -102,8 +102,8 @@
 	address := servertest.Start(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }).Address()
 	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: testCodec(), Log: zerolog.Nop()})
 	err := reader.readStream(t.Context(), address, func(*streamItem) bool { return true })
-	if !errors.Is(err, httpconn.ErrStatus) {
-		t.Errorf("got error %v, want %v", err, httpconn.ErrStatus)
+	if !errors.Is(err, httpconn.ErrUnexpectedStatus) {
+		t.Errorf("got error %v, want %v", err, httpconn.ErrUnexpectedStatus)
 	}
 }
 
@@ -151,8 +151,8 @@
 				return relaytest.NoFault
 			})
 			setup.queue.Submit([]assign.Order{assign.EjectEndpoint{Endpoint: "a", Ejected: true}})
-			logs.Await(t, testTimeout, test.want[len(test.want)-1])
-			logs.ExpectOnce(t, test.want...)
+			logs.AwaitMessage(t, testTimeout, test.want[len(test.want)-1])
+			logs.ExpectOneLineEach(t, test.want...)
 		})
 	}
 }
@@ -166,16 +166,16 @@
 		t.Fatalf("got %d calls repeated, want at least 5", setup.queue.Stats().RepeatedCalls)
 	}
 	setup.address.Set(setup.Address())
-	logs.Await(t, testTimeout, "calls sent again")
-	logs.ExpectOnce(t, "call not sent; retrying", "calls sent again")
+	logs.AwaitMessage(t, testTimeout, "calls sent again")
+	logs.ExpectOneLineEach(t, "call not sent; retrying", "calls sent again")
 }
 
 func TestOrderClientLogsRejections(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
 	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // proxy 5 is not connected
-	logs.Await(t, testTimeout, "order rejected twice; dropped")
-	logs.ExpectOnce(t, "order rejected; retrying", "order rejected twice; dropped")
+	logs.AwaitMessage(t, testTimeout, "order rejected twice; dropped")
+	logs.ExpectOneLineEach(t, "order rejected; retrying", "order rejected twice; dropped")
 }
 
 // While connecting to the new address fails, calls still use the connection to the old address.
@@ -203,5 +203,5 @@
 	}
 	address.Set(serverAddress)
 	expectConnected()
-	logs.ExpectOnce(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
+	logs.ExpectOneLineEach(t, "connect to new relay address failed; keeping old connection", "calls use current relay address")
 }
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -103,11 +103,11 @@
 func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
-		c.conditions.unanswered.Fail(err, addOrderCount(call))
+		c.conditions.unanswered.RecordFailure(err, addOrderCount(call))
 		c.queue.RequeueAmbiguous(call) // also delays the next call
 		return
 	}
-	c.conditions.unsent.Fail(err, addOrderCount(call))
+	c.conditions.unsent.RecordFailure(err, addOrderCount(call))
 	c.queue.Requeue(call)
 	c.retryBackoff.Wait(ctx)
 }
@@ -119,7 +119,7 @@
 	case answer.Code == wire.CodeSyntax:
 		c.handleSyntaxError(ctx, call)
 	case answer.Code != "":
-		c.conditions.busy.Fail(nil, func(line *zerolog.Event) {
+		c.conditions.busy.RecordFailure(nil, func(line *zerolog.Event) {
 			line.Str("code", answer.Code).Int("orders", len(call.Orders))
 		})
 		c.queue.Requeue(call)
@@ -145,7 +145,7 @@
 		first := call.Orders[0]
 		line.Int("orders", len(call.Orders)).Str("first_order", first[:min(len(first), maxLoggedOrderBytes)])
 	}
-	c.conditions.unparsable.Fail(nil, addFields)
+	c.conditions.unparsable.RecordFailure(nil, addFields)
 	c.syntaxErrors++
 	if c.syntaxErrors >= maxSyntaxErrors {
 		c.log.Error().Func(addFields).Msg("call dropped; relay cannot parse it")
--- a/internal/reportserver/connections.go
+++ b/internal/reportserver/connections.go
@@ -10,46 +10,51 @@
 )
 
 const (
-	// maxCollectors and maxCollectorsPerZone bound the connections of collectors, because any client can claim to be one. There
-	// is one collector per zone; other connections are left over from broken ones. The greater bound counts.
-	maxCollectors        = 16
-	maxCollectorsPerZone = 2
-	// minEvictionAge is the age before which an unidentified connection is not evicted: the first line of a collector may
-	// still be on its way.
+	// minCollectorLimit and collectorLimitPerZone determine the maximum number of collector connections. The maximum is
+	// collectorLimitPerZone for each zone, but at least minCollectorLimit. A maximum is needed because any client can
+	// claim to be a collector. Each zone has one collector; its further connections are broken connections that the
+	// server has not closed yet.
+	minCollectorLimit     = 16
+	collectorLimitPerZone = 2
+	// minEvictionAge is the age that an unidentified connection must exceed before it can be evicted. The first line of
+	// a collector can arrive some time after its connection was accepted.
 	minEvictionAge = 100 * time.Millisecond
 )
 
-// client is one connection. It is unidentified until it names its zone as a collector. The session's goroutine uses it, and
-// connections reads it.
-type client struct {
-	conn       net.Conn
-	acceptedAt time.Time
-	lastRead   atomic.Int64           // Unix time in ns
-	zone       atomic.Pointer[string] // of a collector; nil: unidentified
-	finishing  atomic.Bool            // nothing more is read from the connection
+// clientConn is the connection of one client. The connection is unidentified until the client sends a collector
+// message, which names the zone of the collector. The session's goroutine reads from and writes to the connection. The
+// connectionSet reads the atomic fields and may call stopReading at any time.
+type clientConn struct {
+	conn           net.Conn
+	acceptedAt     time.Time
+	lastReadAt     atomic.Int64           // time of the last read from the connection, as Unix time in ns
+	zone           atomic.Pointer[string] // zone of the collector, or nil while the connection is unidentified
+	readingStopped atomic.Bool            // whether stopReading has been called
 }
 
-func newClient(conn net.Conn) *client {
-	c := &client{conn: conn, acceptedAt: time.Now()}
-	c.lastRead.Store(c.acceptedAt.UnixNano())
+func newClientConn(conn net.Conn) *clientConn {
+	c := &clientConn{conn: conn, acceptedAt: time.Now()}
+	c.lastReadAt.Store(c.acceptedAt.UnixNano())
 	return c
 }
 
-// identified reports whether the client is a collector.
-func (c *client) identified() bool { return c.zone.Load() != nil }
+// identified reports whether the client has identified itself as a collector.
+func (c *clientConn) identified() bool { return c.zone.Load() != nil }
 
-// finish ends the reading from the connection. The session answers the messages that it has read, and then closes it.
-func (c *client) finish() {
-	c.finishing.Store(true)
-	_ = c.setReadDeadline(time.Time{}) // the only error is that the connection is closed
+// stopReading makes the current read and all later reads from the connection fail. The session answers the messages
+// that it has already read and then closes the connection.
+func (c *clientConn) stopReading() {
+	c.readingStopped.Store(true)
+	_ = c.setReadDeadline(time.Time{}) // the only possible error is that the connection is closed
 }
 
-// setReadDeadline sets the read deadline, which has passed once finish was called.
-func (c *client) setReadDeadline(deadline time.Time) error {
+// setReadDeadline sets the read deadline of the connection. After a call of stopReading it sets a deadline that has
+// passed already, so that all reads fail.
+func (c *clientConn) setReadDeadline(deadline time.Time) error {
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return fmt.Errorf("set read deadline: %w", err)
 	}
-	if !c.finishing.Load() { // read after the deadline was set: finish may be called between the two
+	if !c.readingStopped.Load() { // checked after setting the deadline, since stopReading may be called in between
 		return nil
 	}
 	if err := c.conn.SetReadDeadline(c.acceptedAt); err != nil {
@@ -58,31 +63,34 @@
 	return nil
 }
 
-// close closes the connection, which ends blocked reads and writes. It may be called again.
-func (c *client) close() {
-	_ = c.conn.Close() // the only error is that it is closed already
+// close closes the connection, which makes blocked reads and writes fail. It may be called more than once.
+func (c *clientConn) close() {
+	_ = c.conn.Close() // the only possible error is that the connection is closed already
 }
 
-// connections holds the open connections and selects those to close when there are too many. Any goroutine may use it.
-type connections struct {
+// connectionSet holds the open client connections and selects the connections to evict when a limit is exceeded. It is
+// safe for concurrent use.
+type connectionSet struct {
 	mu      sync.Mutex
-	clients map[*client]struct{}
-	max     int
+	clients map[*clientConn]struct{}
+	max     int // maximum number of open connections
 
-	maxCollectors int // of them
+	collectorLimit int // maximum number of collector connections
 }
 
-// newConnections returns an empty table for a number of connections and of zones.
-func newConnections(limit, zones int) *connections {
-	return &connections{
-		clients:       map[*client]struct{}{},
-		max:           limit,
-		maxCollectors: max(maxCollectors, maxCollectorsPerZone*zones),
+// newConnectionSet returns an empty set that allows up to limit connections. The number of zones determines the maximum
+// number of collector connections.
+func newConnectionSet(limit, zones int) *connectionSet {
+	return &connectionSet{
+		clients:        map[*clientConn]struct{}{},
+		max:            limit,
+		collectorLimit: max(minCollectorLimit, collectorLimitPerZone*zones),
 	}
 }
 
-// add records a connection, and closes it if the context has ended, since finishAll may have run already.
-func (cs *connections) add(ctx context.Context, c *client) {
+// add adds a connection to the set. If the context has ended, it also closes the connection, because stopReadingAll may
+// have run already and missed it.
+func (cs *connectionSet) add(ctx context.Context, c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if ctx.Err() != nil {
@@ -91,59 +99,63 @@
 	cs.clients[c] = struct{}{}
 }
 
-// remove closes and forgets a connection.
-func (cs *connections) remove(c *client) {
+// remove closes a connection and removes it from the set.
+func (cs *connectionSet) remove(c *clientConn) {
 	c.close()
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	delete(cs.clients, c)
 }
 
-// finishAll finishes all connections. Their sessions then remove them.
-func (cs *connections) finishAll() {
+// stopReadingAll calls stopReading on all connections. Their sessions then end, and each connection is removed from the
+// set.
+func (cs *connectionSet) stopReadingAll() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.clients {
-		c.finish()
+		c.stopReading()
 	}
 }
 
-func (cs *connections) count() int {
+func (cs *connectionSet) count() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return len(cs.clients)
 }
 
-// hasRoom reports whether another connection may be accepted. If not, new ones wait in the kernel's queue.
-func (cs *connections) hasRoom() bool { return cs.count() < cs.max }
+// hasCapacity reports whether another connection may be accepted. Otherwise new connections wait in the accept queue of
+// the kernel.
+func (cs *connectionSet) hasCapacity() bool { return cs.count() < cs.max }
 
-// evictUnidentified finishes all unidentified connections of at least minEvictionAge. Their sessions then remove them.
-func (cs *connections) evictUnidentified() {
+// evictUnidentified calls stopReading on all unidentified connections older than minEvictionAge. Their sessions then
+// end, and each connection is removed from the set.
+func (cs *connectionSet) evictUnidentified() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.clients {
 		if !c.identified() && time.Since(c.acceptedAt) > minEvictionAge {
-			c.finish()
+			c.stopReading()
 		}
 	}
 }
 
-// limitCollectors evicts the collector that has been silent for longest if there are too many.
-func (cs *connections) limitCollectors() {
+// evictExcessCollector evicts the collector connection that has been silent for the longest time if there are more than
+// collectorLimit collector connections.
+func (cs *connectionSet) evictExcessCollector() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	var stalest *client
+	var longestSilent *clientConn
 	collectors := 0
 	for c := range cs.clients {
-		if !c.identified() || c.finishing.Load() {
+		if !c.identified() || c.readingStopped.Load() {
 			continue
 		}
 		collectors++
-		if stalest == nil || c.lastRead.Load() < stalest.lastRead.Load() {
-			stalest = c
+		if longestSilent == nil || c.lastReadAt.Load() < longestSilent.lastReadAt.Load() {
+			longestSilent = c
 		}
 	}
-	if collectors > cs.maxCollectors {
-		stalest.finish()
+	if collectors > cs.collectorLimit {
+		longestSilent.stopReading()
 	}
 }
--- a/internal/reportserver/connections_test.go
+++ b/internal/reportserver/connections_test.go
@@ -14,18 +14,19 @@
 	"madderhollow/internal/eventually"
 )
 
-// At the connection limit unidentified connections are evicted; collectors stay, and new ones are accepted soon.
+// Idle unidentified connections must not lock collectors out. At the connection limit, unidentified connections are
+// evicted, connected collectors stay connected, and a new collector is accepted within identificationTimeout.
 func TestUnidentifiedConnectionsAreEvictedAtLimit(t *testing.T) {
 	const limit = 5
 	address, events, server := startServer(t, limit)
-	collector := dial(t, address)
-	mustReport(t, collector, 1)
-	next(t, events)
+	collector := dialCollector(t, address)
+	mustSendReport(t, collector, 1)
+	nextEvent(t, events)
 	for range 20 {
-		connect(t, address)
+		dialUnidentified(t, address)
 	}
 	sentAt := time.Now()
-	if err := dial(t, address).Ping(timeout); err != nil || time.Since(sentAt) > identificationTimeout {
+	if err := dialCollector(t, address).Ping(timeout); err != nil || time.Since(sentAt) > identificationTimeout {
 		t.Errorf("got the pong of a new collector after %v (%v), want one within %v", time.Since(sentAt), err, identificationTimeout)
 	}
 	if n := server.connections.count(); n > limit {
@@ -36,19 +37,21 @@
 	}
 }
 
-// Clients that only claim to be collectors must not pile up: the one that has been silent for longest is evicted.
+// Connections of clients that claim to be collectors must not accumulate without limit. Above the limit, the collector
+// connection that has been silent for the longest time is evicted.
 func TestStalestCollectorIsEvictedAboveLimit(t *testing.T) {
 	address, events, server := startServer(t, 1000)
-	first := dial(t, address)
-	mustReport(t, first, 1)
-	next(t, events)
+	first := dialCollector(t, address)
+	mustSendReport(t, first, 1)
+	nextEvent(t, events)
 	var last *collectortest.Collector
-	for i := range maxCollectors {
-		last = dial(t, address)
-		mustReport(t, last, i)
-		next(t, events)
+	for i := range minCollectorLimit {
+		last = dialCollector(t, address)
+		mustSendReport(t, last, i)
+		nextEvent(t, events)
 	}
-	// A ping that arrives while the eviction ends a blocked read is still read, and so answered. None is after that.
+	// One ping may still be answered if it arrives while the eviction interrupts a blocked read. Later pings must not
+	// be answered.
 	pongs := 0
 	for pongs < 2 && first.Ping(timeout) == nil {
 		pongs++
@@ -59,23 +62,24 @@
 	if err := last.Ping(timeout); err != nil {
 		t.Errorf("last collector: got no pong: %v", err)
 	}
-	if !eventually.True(timeout, func() bool { return server.connections.count() == maxCollectors }) {
-		t.Errorf("got %d open connections, want %d", server.connections.count(), maxCollectors)
+	if !eventually.True(timeout, func() bool { return server.connections.count() == minCollectorLimit }) {
+		t.Errorf("got %d open connections, want %d", server.connections.count(), minCollectorLimit)
 	}
 }
 
-// Each zone of a large deployment keeps its collector.
+// The limit on collector connections grows with the number of zones, so that each zone of a large deployment keeps its
+// collector.
 func TestCollectorsOfManyZonesStayConnected(t *testing.T) {
-	zones := make([]string, maxCollectors+1)
+	zones := make([]string, minCollectorLimit+1)
 	for i := range zones {
 		zones[i] = fmt.Sprint("zone-", i)
 	}
 	address, events, _ := startServerWithZones(t, 1000, zones, zerolog.Nop())
 	collectors := make([]*collectortest.Collector, len(zones))
 	for i, zone := range zones {
-		collectors[i] = dialFrom(t, address, zone)
-		mustReport(t, collectors[i], i)
-		next(t, events)
+		collectors[i] = dialCollectorOfZone(t, address, zone)
+		mustSendReport(t, collectors[i], i)
+		nextEvent(t, events)
 	}
 	for i, collector := range collectors {
 		if err := collector.Ping(timeout); err != nil {
@@ -84,12 +88,14 @@
 	}
 }
 
-// A connection that the server ends answers the pings that were read, and then refuses.
+// When the server ends a connection, it first answers the pings that it has already read and then sends the refusal
+// line.
 func TestEndedConnectionAnswersPingsThatWereRead(t *testing.T) {
 	const pings = 50
 	address, _, server := startServer(t, 5)
-	conn := connect(t, address)
-	if _, err := io.WriteString(conn, strings.Repeat(pingLine+"\n", pings)); err != nil { // in one segment, so in one read
+	conn := dialUnidentified(t, address)
+	// The pings are sent in one TCP segment, so that the server reads all of them at once.
+	if _, err := io.WriteString(conn, strings.Repeat(pingLine+"\n", pings)); err != nil {
 		t.Fatal(err)
 	}
 	reader := bufio.NewReader(conn)
@@ -100,7 +106,7 @@
 			break
 		}
 		answers = append(answers, line)
-		server.connections.finishAll()
+		server.connections.stopReadingAll()
 	}
 	if len(answers) != pings+1 || answers[len(answers)-1] != refusedLine+"\n" {
 		t.Errorf("got %d answers, the last %q; want %d pongs and %q", len(answers), answers[max(0, len(answers)-1):], pings, refusedLine)
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -15,47 +15,52 @@
 	"madderhollow/internal/wire"
 )
 
-// Lines of the protocol that the tests send.
+// Protocol lines that the tests send, and formats of such lines.
 const (
-	pingLine          = `{"@type":"ping"}`
-	collectorFormat   = `{"@type":"collector","locality":%q}` // with its zone as argument
-	relayEventLine    = `{"@type":"joined","node":1}`
-	unknownTypeLine   = `{"@type":"odd"}`
-	missingFieldsLine = `{"@type":"usage"}`
-	lineStart         = `{"@type":`
-	// endpointReportOfB is a report of zone b.
-	endpointReportOfB = `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`
-	// proxyReportFormat is the format of a proxy traffic report, with the proxy, its requests and further fields as arguments.
+	pingLine = `{"@type":"ping"}`
+	// collectorLineFormat is the format of the line that identifies a collector. The argument is the collector's zone.
+	collectorLineFormat = `{"@type":"collector","locality":%q}`
+	relayEventLine      = `{"@type":"joined","node":1}`
+	unknownTypeLine     = `{"@type":"odd"}`
+	missingFieldsLine   = `{"@type":"usage"}`
+	incompleteLine      = `{"@type":`
+	// endpointReportOfZoneB is an endpoint load report of zone b.
+	endpointReportOfZoneB = `{"@type":"heard","locality":"b","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":1000}`
+	// proxyReportFormat is the format of a proxy traffic report. The arguments are the proxy number, the number of
+	// requests and the text of further fields.
 	proxyReportFormat = `{"@type":"usage","node":%d,"route":"read","total":%d,"errors":0,"interval":1000%s}`
-	// longReportFormat begins such a report with its requests as argument. Its last field is a text that longReportEnd ends.
-	longReportFormat = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
-	longReportEnd    = `"}`
+	// longReportStartFormat is the format of the start of a long proxy traffic report. The argument is the number of
+	// requests. The last field is a string of any length, which longReportEnd closes together with the report.
+	longReportStartFormat = `{"@type":"usage","node":1,"route":"read","total":%d,"errors":0,"interval":1000,"more":"`
+	longReportEnd         = `"}`
 )
 
-// refusedLine is the line that a client receives before the server closes its connection.
+// refusedLine is the line that the server sends to a client before the server closes the connection for a fault of the
+// client or by eviction.
 const refusedLine = `{"@type":"refused"}`
 
 // collectorLine returns the line that identifies a collector of a zone.
-func collectorLine(zone string) string { return fmt.Sprintf(collectorFormat, zone) }
+func collectorLine(zone string) string { return fmt.Sprintf(collectorLineFormat, zone) }
 
-// timeout bounds every wait, so that a busy machine does not fail a test.
+// timeout bounds every wait. It is long, so that tests also pass on a busy machine.
 const timeout = 5 * time.Second
 
-// startServer starts a server that allows a number of connections. It ends with the test, which fails if a connection is
-// still open then.
-func startServer(t *testing.T, connections int) (address string, events chan assign.Event, server *Server) {
+// startServer starts a server that allows maxConnections connections. At the end of the test the server is stopped, and
+// the test fails if the server still has an open connection. startServer returns the server's address, the channel of
+// the reports that the server passes to its sink, and the server.
+func startServer(t *testing.T, maxConnections int) (address string, events chan assign.Event, server *Server) {
 	t.Helper()
-	return startServerWithLog(t, connections, zerolog.Nop())
+	return startServerWithLog(t, maxConnections, zerolog.Nop())
 }
 
-// startServerWithLog is startServer with a logger.
-func startServerWithLog(t *testing.T, connections int, log zerolog.Logger) (address string, events chan assign.Event, server *Server) {
+// startServerWithLog is like startServer, but also takes a logger.
+func startServerWithLog(t *testing.T, maxConnections int, log zerolog.Logger) (address string, events chan assign.Event, server *Server) {
 	t.Helper()
-	return startServerWithZones(t, connections, []string{"a", "b"}, log)
+	return startServerWithZones(t, maxConnections, []string{"a", "b"}, log)
 }
 
-// startServerWithZones is startServer with a deployment's zones and a logger.
-func startServerWithZones(t *testing.T, connections int, zones []string, log zerolog.Logger,
+// startServerWithZones is like startServer, but also takes the zones of the deployment and a logger.
+func startServerWithZones(t *testing.T, maxConnections int, zones []string, log zerolog.Logger,
 ) (address string, events chan assign.Event, server *Server) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,14 +70,14 @@
 	events = make(chan assign.Event, 10000)
 	codec := wire.NewCodec(testconfig.New(zones, 8, "read"), time.Now())
 	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	server = New(Config{Codec: codec, Sink: sink, Descriptors: connections + spareDescriptors, Zones: len(zones),
-		MemoryMB: 32, Log: log})
+	server = New(Config{Codec: codec, Sink: sink, DescriptorLimit: maxConnections + reservedDescriptors, ZoneCount: len(zones),
+		MemoryLimitMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); server.Serve(ctx, listener) }() // ends with the test
+	serveReturned := make(chan struct{})
+	go func() { defer close(serveReturned); server.Serve(ctx, listener) }() // ends when the cleanup cancels ctx
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-serveReturned
 		if n := server.connections.count(); n > 0 {
 			t.Errorf("after the end: got %d open connections, want none", n)
 		}
@@ -80,8 +85,8 @@
 	return listener.Addr().String(), events, server
 }
 
-// next returns the next event.
-func next(t *testing.T, events chan assign.Event) assign.Event {
+// nextEvent waits for the next event and returns it.
+func nextEvent(t *testing.T, events chan assign.Event) assign.Event {
 	t.Helper()
 	select {
 	case event := <-events:
@@ -92,10 +97,11 @@
 	}
 }
 
-// nextRequests returns the requests of the next event, which must be a proxy traffic report.
-func nextRequests(t *testing.T, events chan assign.Event) int {
+// nextReportedRequests waits for the next event, which must be a proxy traffic report, and returns its number of
+// requests.
+func nextReportedRequests(t *testing.T, events chan assign.Event) int {
 	t.Helper()
-	event := next(t, events)
+	event := nextEvent(t, events)
 	report, ok := event.(assign.ProxyTrafficReport)
 	if !ok {
 		t.Fatalf("got event %+v, want a proxy traffic report", event)
@@ -103,44 +109,45 @@
 	return report.Requests
 }
 
-// dial connects a collector of zone a until the end of the test.
-func dial(t *testing.T, address string) *collectortest.Collector {
+// dialCollector connects a collector of zone a. The connection is closed at the end of the test.
+func dialCollector(t *testing.T, address string) *collectortest.Collector {
 	t.Helper()
-	return dialFrom(t, address, "a")
+	return dialCollectorOfZone(t, address, "a")
 }
 
-// dialFrom connects a collector of a zone until the end of the test.
-func dialFrom(t *testing.T, address, zone string) *collectortest.Collector {
+// dialCollectorOfZone connects a collector of the given zone. The connection is closed at the end of the test.
+func dialCollectorOfZone(t *testing.T, address, zone string) *collectortest.Collector {
 	t.Helper()
 	collector, err := collectortest.Dial(address, zone)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = collector.Close() }) // an error is of a connection that the server has closed
+	t.Cleanup(func() { _ = collector.Close() }) // an error only means that the connection is closed already
 	return collector
 }
 
-// connect opens an unidentified connection until the end of the test.
-func connect(t *testing.T, address string) net.Conn {
+// dialUnidentified opens a connection that does not identify itself as a collector's. The connection is closed at the
+// end of the test.
+func dialUnidentified(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the only error is that the test has closed it
+	t.Cleanup(func() { _ = conn.Close() }) // the only possible error is that the test has closed the connection already
 	return conn
 }
 
-// mustReport sends a proxy traffic report.
-func mustReport(t *testing.T, collector *collectortest.Collector, requests int) {
+// mustSendReport sends a proxy traffic report of proxy 1 with the given number of requests.
+func mustSendReport(t *testing.T, collector *collectortest.Collector, requests int) {
 	t.Helper()
 	if err := collector.ReportProxy(1, "read", requests); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// mustSend sends one line.
-func mustSend(t *testing.T, collector *collectortest.Collector, line string) {
+// mustSendLine sends one line over the connection of a collector.
+func mustSendLine(t *testing.T, collector *collectortest.Collector, line string) {
 	t.Helper()
 	if err := collector.Send(line); err != nil {
 		t.Fatal(err)
--- a/internal/reportserver/lines.go
+++ b/internal/reportserver/lines.go
@@ -10,63 +10,66 @@
 )
 
 const (
-	// maxLineSize is the protocol's limit on a line, in bytes.
+	// maxLineSize is the protocol's limit on the size of a line, in bytes, without the newline.
 	maxLineSize = 1 << 20
-	// maxUnidentifiedLineSize bounds the lines of an unidentified connection, in bytes. Its valid messages have under 100,
-	// and the lines of a thousand such connections must fit into memory.
+	// maxUnidentifiedLineSize is the maximum size of a line from an unidentified connection, in bytes, without the
+	// newline. The valid messages of an unidentified connection have fewer than 100 bytes, and the lines of a thousand
+	// such connections must fit into memory.
 	maxUnidentifiedLineSize = 4 << 10
-	// lineTimeout bounds the time from a line's first byte to its last. A line may arrive in pieces, but one that takes
-	// longer is cut off.
+	// lineTimeout is the maximum time from the first to the last byte of a collector's line. A line may arrive in
+	// several segments, but the connection is closed if the line takes longer.
 	lineTimeout = 2 * time.Second
-	// identificationTimeout bounds the time from accepting a connection to its identification. By the protocol such a
-	// connection may be closed after 1 s, and must have been answered or closed after 3 s.
+	// identificationTimeout is the maximum time from accepting a connection to its identification as a collector's. The
+	// protocol allows the server to close an unidentified connection after 1 s. It requires that the server has
+	// answered or closed the connection after 3 s.
 	identificationTimeout = 1200 * time.Millisecond
 	// readBufferSize is the size of a connection's read buffer, in bytes.
 	readBufferSize = 1024
 )
 
-// Errors of a line that was skipped. A collector's connection is read further after them.
+// Errors of a line that was skipped. A collector's connection stays open after them and its next line is read.
 var (
 	ErrLineTooLong         = errors.New("line too long")
 	ErrLineBudgetExhausted = errors.New("line memory budget exhausted")
 )
 
-// byteBudget bounds the memory of the lines that all connections are reading, because any client can claim to be a
-// collector. Any goroutine may use it.
+// byteBudget limits the total memory of the incomplete lines of all connections. The limit is needed because any client
+// can claim to be a collector and then send long lines. A byteBudget is safe for concurrent use.
 type byteBudget struct {
-	limit int64
-	used  atomic.Int64
+	limitBytes int64
+	usedBytes  atomic.Int64
 }
 
-// reserve takes n bytes from the budget and reports whether they were available.
+// reserve reserves n bytes of the budget. It reserves nothing and returns false if fewer than n bytes are free.
 func (b *byteBudget) reserve(n int) bool {
-	if b.used.Add(int64(n)) > b.limit {
+	if b.usedBytes.Add(int64(n)) > b.limitBytes {
 		b.release(n)
 		return false
 	}
 	return true
 }
 
-// release returns n reserved bytes.
-func (b *byteBudget) release(n int) { b.used.Add(-int64(n)) }
+// release returns n reserved bytes to the budget.
+func (b *byteBudget) release(n int) { b.usedBytes.Add(-int64(n)) }
 
-// lineReader splits a connection's bytes into lines. Only the session's goroutine uses it.
+// lineReader splits the bytes received from a client into lines. Only the session's goroutine may use it.
 type lineReader struct {
-	client *client
+	client *clientConn
 	reader *bufio.Reader
 	budget *byteBudget
-	prefix []byte // start of a line longer than the read buffer; its bytes are reserved in the budget
+	prefix []byte // first bytes of a line longer than the read buffer; they are reserved in the budget
 }
 
-func newLineReader(c *client, budget *byteBudget) *lineReader {
+func newLineReader(c *clientConn, budget *byteBudget) *lineReader {
 	return &lineReader{client: c, reader: bufio.NewReaderSize(c.conn, readBufferSize), budget: budget}
 }
 
-// next blocks until a line is complete and returns it with its end; it is valid until the next call. After ErrLineTooLong
-// and ErrLineBudgetExhausted the line has been skipped, except that too long a line of an unidentified connection is not read
-// to its end, since the connection is closed. Other errors are the connection's.
-func (l *lineReader) next() ([]byte, error) {
-	if err := l.setDeadline(); err != nil {
+// readLine blocks until a line is complete and returns it with its newline. The line is valid until the next call of
+// readLine. If readLine returns ErrLineTooLong or ErrLineBudgetExhausted, it has skipped the line, and the next line
+// can be read. An exception is a line of an unidentified connection that is too long: it is not read to its end,
+// because the session then closes the connection. Any other error is a read error of the connection.
+func (l *lineReader) readLine() ([]byte, error) {
+	if err := l.setLineDeadline(); err != nil {
 		return nil, err
 	}
 	for {
@@ -74,42 +77,44 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(l.prefix)+len(part) > l.maxSize() {
+		if len(l.prefix)+len(part) > l.lineSizeLimit() {
 			if !l.client.identified() {
 				return nil, ErrLineTooLong
 			}
-			return nil, l.skip(complete, ErrLineTooLong)
+			return nil, l.skipLine(complete, ErrLineTooLong)
 		}
 		if complete {
-			return l.finish(part), nil
+			return l.completeLine(part), nil
 		}
 		if !l.append(part) {
-			return nil, l.skip(complete, ErrLineBudgetExhausted)
+			return nil, l.skipLine(complete, ErrLineBudgetExhausted)
 		}
 	}
 }
 
-// readPart blocks until a line is complete or the read buffer is full, and returns what was read of the line.
+// readPart blocks until the line is complete or the read buffer is full, and returns the next part of the line.
+// complete reports whether this part ends the line.
 func (l *lineReader) readPart() (part []byte, complete bool, err error) {
 	part, err = l.reader.ReadSlice('\n')
-	l.client.lastRead.Store(time.Now().UnixNano())
+	l.client.lastReadAt.Store(time.Now().UnixNano())
 	if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 		return nil, false, fmt.Errorf("read line: %w", err)
 	}
 	return part, err == nil, nil
 }
 
-// maxSize returns the size of the longest line that the client may send, with its end.
-func (l *lineReader) maxSize() int {
+// lineSizeLimit returns the maximum size of a line that the client may send, in bytes, including the newline.
+func (l *lineReader) lineSizeLimit() int {
 	if l.client.identified() {
 		return maxLineSize + len("\n")
 	}
 	return maxUnidentifiedLineSize + len("\n")
 }
 
-// skip discards the line, reads to its end unless it is complete, and returns the reason or the connection's error.
-func (l *lineReader) skip(complete bool, reason error) error {
-	l.discard()
+// skipLine discards the line and, unless the line is complete, reads up to its end. It returns the reason for which the
+// line is skipped, or the error of a failed read.
+func (l *lineReader) skipLine(complete bool, reason error) error {
+	l.discardPrefix()
 	for !complete {
 		var err error
 		if _, complete, err = l.readPart(); err != nil {
@@ -119,9 +124,10 @@
 	return reason
 }
 
-// setDeadline sets the read deadline for the next line. An unidentified client has one deadline for all its lines. A
-// collector may be silent between lines without limit, so for it setDeadline blocks until the line has begun.
-func (l *lineReader) setDeadline() error {
+// setLineDeadline sets the read deadline for the next line. An unidentified client has a single deadline for all its
+// lines. A collector may be silent between lines for any time. For a collector, setLineDeadline therefore blocks until
+// the first byte of the line has arrived and then sets the deadline.
+func (l *lineReader) setLineDeadline() error {
 	if !l.client.identified() {
 		return l.client.setReadDeadline(l.client.acceptedAt.Add(identificationTimeout))
 	}
@@ -130,23 +136,24 @@
 			return err
 		}
 		if _, err := l.reader.Peek(1); err != nil {
-			return fmt.Errorf("await line: %w", err)
+			return fmt.Errorf("wait for line: %w", err)
 		}
 	}
 	return l.client.setReadDeadline(time.Now().Add(lineTimeout))
 }
 
-// finish returns the line that a part completes, and releases the bytes of its prefix.
-func (l *lineReader) finish(part []byte) []byte {
+// completeLine returns the line that ends with the given part. It releases the reserved bytes of the line's prefix.
+func (l *lineReader) completeLine(part []byte) []byte {
 	if len(l.prefix) == 0 {
 		return part
 	}
 	line := slices.Concat(l.prefix, part)
-	l.discard()
+	l.discardPrefix()
 	return line
 }
 
-// append appends a part to the line's prefix and reports whether the budget allowed it.
+// append appends a part to the line's prefix and reserves its bytes in the budget. It returns false if the budget is
+// exhausted.
 func (l *lineReader) append(part []byte) bool {
 	if !l.budget.reserve(len(part)) {
 		return false
@@ -155,8 +162,8 @@
 	return true
 }
 
-// discard drops the line's prefix and releases its bytes.
-func (l *lineReader) discard() {
+// discardPrefix discards the line's prefix and releases its reserved bytes.
+func (l *lineReader) discardPrefix() {
 	l.budget.release(len(l.prefix))
 	l.prefix = nil
 }
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -14,18 +14,19 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// randomReports draws valid lines, some of them long, among malformed ones, and returns them with the expected events.
-func randomReports(random *rand.Rand) (text string, want []assign.Event) {
+// randomReports returns random lines and the events that the server must pass to its sink for them. The lines are proxy
+// traffic reports, some of them longer than the read buffer, mixed with malformed and oversized lines.
+func randomReports(rng *rand.Rand) (text string, want []assign.Event) {
 	var lines strings.Builder
 	for i := range 30 {
 		event := assign.ProxyTrafficReport{Proxy: i % 8, RequestClass: "read", Interval: 1, Requests: i}
-		switch random.Intn(8) {
+		switch rng.Intn(8) {
 		case 0:
-			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[random.Intn(6)])
-		case 1: // longer than the read buffer
-			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", random.Intn(20000)))
+			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[rng.Intn(6)])
+		case 1: // valid report that can be longer than the read buffer
+			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", rng.Intn(20000)))
 			want = append(want, event)
-		case 2: // too long
+		case 2: // in some cases a line that exceeds maxLineSize, otherwise an empty line
 			if i%10 == 0 {
 				fmt.Fprintf(&lines, proxyReportFormat, 1, 1, strings.Repeat(" ", maxLineSize))
 			}
@@ -38,22 +39,23 @@
 	return lines.String(), want
 }
 
-// Each valid report arrives once and in order, however the bytes are divided; malformed lines are skipped.
+// However TCP divides the bytes of the lines into segments, each valid report must be passed to the sink exactly once
+// and in order, and malformed lines must be skipped.
 func TestLineReaderIsIndependentOfChunks(t *testing.T) {
 	address, events, _ := startServer(t, 100)
 	property := func(seed int64) bool {
-		random := rand.New(rand.NewSource(seed))
-		reports, want := randomReports(random)
-		conn := connect(t, address)
+		rng := rand.New(rand.NewSource(seed))
+		reports, want := randomReports(rng)
+		conn := dialUnidentified(t, address)
 		for text := collectorLine("b") + "\n" + reports; text != ""; {
-			n := min(len(text), 1+random.Intn(1<<uint(random.Intn(18))))
+			n := min(len(text), 1+rng.Intn(1<<uint(rng.Intn(18))))
 			if _, err := io.WriteString(conn, text[:n]); err != nil {
 				t.Fatal(err)
 			}
 			text = text[n:]
 		}
 		for i, event := range want {
-			if got := next(t, events); !reflect.DeepEqual(got, event) {
+			if got := nextEvent(t, events); !reflect.DeepEqual(got, event) {
 				t.Logf("seed %d: event %d: got %+v, want %+v", seed, i, got, event)
 				return false
 			}
@@ -67,46 +69,48 @@
 	quickcheck.Seeds(t, 20, property)
 }
 
-// The lines that are being read share the memory budget. A line that does not fit is skipped, the lines after it are read,
-// and at the end all bytes are released.
+// All incomplete lines share the memory budget. A line that exceeds the budget must be skipped, and the next line of
+// the same connection must be read. When all lines are complete, no byte of the budget may remain reserved.
 func TestLinesShareMemoryBudget(t *testing.T) {
-	const longReport = 1 // requests of the long lines; the short lines after them have 100 and more
+	const longReportRequests = 1 // number of requests in the long reports; the short reports have at least 100
 	address, events, server := startServer(t, 100)
-	long := fmt.Sprintf(longReportFormat, longReport) +
+	unfinishedLongLine := fmt.Sprintf(longReportStartFormat, longReportRequests) +
 		strings.Repeat("x", maxLineSize-200)
-	fit := int(server.lineBudget.limit) / len(long)
+	fittingLines := int(server.lineBudget.limitBytes) / len(unfinishedLongLine)
 	var collectors []*collectortest.Collector
-	for i := range fit + 2 {
-		collector := dial(t, address)
-		if err := collector.Write(long); err != nil {
+	for i := range fittingLines + 2 {
+		collector := dialCollector(t, address)
+		if err := collector.Write(unfinishedLongLine); err != nil {
 			t.Fatal(err)
 		}
 		collectors = append(collectors, collector)
-		reserved := int64(min(i+1, fit)) * int64(len(long)-readBufferSize) // the read buffer is not reserved
-		if !eventually.True(timeout, func() bool { return server.lineBudget.used.Load() >= reserved }) {
-			t.Fatalf("%d lines: got %d reserved bytes, want at least %d", i+1, server.lineBudget.used.Load(), reserved)
+		// The bytes in the read buffers are not reserved.
+		reserved := int64(min(i+1, fittingLines)) * int64(len(unfinishedLongLine)-readBufferSize)
+		if !eventually.True(timeout, func() bool { return server.lineBudget.usedBytes.Load() >= reserved }) {
+			t.Fatalf("%d lines: got %d reserved bytes, want at least %d", i+1, server.lineBudget.usedBytes.Load(), reserved)
 		}
 	}
-	finish := func(some []*collectortest.Collector, reports int) (longLines int) {
-		for i, collector := range some {
+	finishLines := func(subset []*collectortest.Collector, reports int) (longLines int) {
+		for i, collector := range subset {
 			if err := collector.Write(longReportEnd + "\n" + fmt.Sprintf(proxyReportFormat, i%8, 100+i, "") + "\n"); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range reports {
-			if nextRequests(t, events) == longReport {
+			if nextReportedRequests(t, events) == longReportRequests {
 				longLines++
 			}
 		}
 		return longLines
 	}
-	if n := finish(collectors[fit:], len(collectors)-fit); n > 0 { // while the others are still being read
+	// The lines of the other collectors are still incomplete here and occupy the budget.
+	if n := finishLines(collectors[fittingLines:], len(collectors)-fittingLines); n > 0 {
 		t.Errorf("over the budget: got %d long lines, want none", n)
 	}
-	if n := finish(collectors[:fit], 2*fit); n != fit {
-		t.Errorf("within the budget: got %d long lines, want %d", n, fit)
+	if n := finishLines(collectors[:fittingLines], 2*fittingLines); n != fittingLines {
+		t.Errorf("within the budget: got %d long lines, want %d", n, fittingLines)
 	}
-	if !eventually.True(timeout, func() bool { return server.lineBudget.used.Load() == 0 }) {
-		t.Errorf("at the end: got %d reserved bytes, want 0", server.lineBudget.used.Load())
+	if !eventually.True(timeout, func() bool { return server.lineBudget.usedBytes.Load() == 0 }) {
+		t.Errorf("at the end: got %d reserved bytes, want 0", server.lineBudget.usedBytes.Load())
 	}
 }
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -1,10 +1,10 @@
-// Package reportserver serves the assigner's address: collectors send reports there, and any client may ping. Server.Serve
-// accepts in the goroutine that calls it, and blocks until its context ends and all sessions have ended. Each connection has
-// one goroutine, which reads its lines, answers pings and calls the sink; a sink that blocks stops the reading of that
-// connection alone.
+// Package reportserver is the TCP server at the assigner's address. Collectors send load reports and traffic reports to
+// it, and any client may send a ping. Server.Serve accepts connections in the goroutine that calls it. It blocks until
+// its context ends and all sessions have ended. Each connection has one goroutine, which reads lines, answers pings and
+// passes reports to the sink. If the sink blocks, only the connection whose goroutine called it is not read.
 //
-// The files have one job each: accepting connections (server.go), which connections stay open when there are too many
-// (connections.go), reading lines within a budget of memory (lines.go), and the session of one client (session.go).
+// The server accepts connections in server.go and limits their number in connections.go. It reads lines within a memory
+// budget in lines.go and handles the messages of one client in session.go.
 package reportserver
 
 import (
@@ -26,61 +26,64 @@
 )
 
 const (
-	// spareDescriptors are reserved for everything but clients: listener, relay, discovery, peers, runtime.
-	spareDescriptors = 64
-	// lineMemoryDivisor sets the budget for lines being read, as a fraction of the memory limit.
+	// reservedDescriptors is the number of file descriptors that client connections may not use. The listener, the
+	// connections to the relay and to discovery, the peer socket and the Go runtime need them.
+	reservedDescriptors = 64
+	// lineMemoryDivisor determines the memory budget for lines that are being read: the memory limit of the process
+	// divided by lineMemoryDivisor.
 	lineMemoryDivisor = 8
 	bytesPerMB        = 1 << 20
-	// acceptRetryDelay is the pause after a failed accept, and between checks for room when there are too many connections.
-	// It keeps the loop from using a whole core.
+	// acceptRetryDelay is the pause after a failed accept, and the pause between checks for free capacity at the
+	// connection limit. Without the pause, these loops would occupy a whole CPU core.
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
 // Config configures a Server.
 type Config struct {
-	Codec *wire.Codec     // decodes lines; required
-	Sink  eventqueue.Sink // receives the reports; the goroutine of each connection calls it and may block in it; required
-	// Descriptors is the process's limit on open file descriptors. All but spareDescriptors of them are for clients, and at
-	// least one is; required.
-	Descriptors int
-	Zones       int // of the deployment, each of which has a collector; default 0: unknown
-	MemoryMB    int // the process's memory limit, of which lines being read get 1/lineMemoryDivisor; required
-	Log         zerolog.Logger
+	Codec *wire.Codec     // decodes the received lines; required
+	Sink  eventqueue.Sink // receives the reports, may block, and is called by every connection's goroutine; required
+	// DescriptorLimit is the process's limit on open file descriptors; required. The server uses all of them except
+	// reservedDescriptors for client connections, and allows at least one connection.
+	DescriptorLimit int
+	ZoneCount       int // number of zones in the deployment, each with one collector; default 0: unknown
+	MemoryLimitMB   int // the process's memory limit, in MB (2^20 bytes); required
+	Log             zerolog.Logger
 }
 
-// Stats are the server's counters since its start.
+// Stats holds the server's counters since its start.
 type Stats struct {
-	Reports                       int64 // passed to the sink
-	MalformedLines                int64 // skipped, or the reason for closing the connection
-	UnidentifiedConnectionsClosed int64 // closed by the server before they identified themselves as a collector's
+	Reports                       int64 // reports passed to the sink
+	MalformedLines                int64 // malformed lines that were skipped or led to closing the connection
+	UnidentifiedConnectionsClosed int64 // connections closed by the server before they were identified
 }
 
-// Server accepts connections and owns them. Serve is called once; Stats by any goroutine.
+// Server accepts connections and owns them. Create it with New and call Serve once. Stats may be called by any
+// goroutine.
 type Server struct {
-	codec       *wire.Codec
-	sink        eventqueue.Sink
-	log         zerolog.Logger
-	limitedLog  zerolog.Logger // for what may occur by the hundreds, limited by package loglimit
-	connections *connections
-	lineBudget  *byteBudget
+	codec          *wire.Codec
+	sink           eventqueue.Sink
+	log            zerolog.Logger
+	rateLimitedLog zerolog.Logger // rate-limited by package loglimit, for events that can occur hundreds of times
+	connections    *connectionSet
+	lineBudget     *byteBudget
 
 	reports, malformedLines, unidentifiedClosed atomic.Int64
 }
 
-// New returns a server that has not begun to accept.
+// New returns a server that does not accept connections until Serve is called.
 func New(config Config) *Server {
 	log := config.Log.With().Str("component", "report_server").Logger()
 	return &Server{
-		codec:       config.Codec,
-		sink:        config.Sink,
-		log:         log,
-		limitedLog:  loglimit.New(log),
-		connections: newConnections(max(1, config.Descriptors-spareDescriptors), config.Zones),
-		lineBudget:  &byteBudget{limit: int64(config.MemoryMB) * bytesPerMB / lineMemoryDivisor},
+		codec:          config.Codec,
+		sink:           config.Sink,
+		log:            log,
+		rateLimitedLog: loglimit.New(log),
+		connections:    newConnectionSet(max(1, config.DescriptorLimit-reservedDescriptors), config.ZoneCount),
+		lineBudget:     &byteBudget{limitBytes: int64(config.MemoryLimitMB) * bytesPerMB / lineMemoryDivisor},
 	}
 }
 
-// Stats returns the counters.
+// Stats returns the current values of the counters.
 func (s *Server) Stats() Stats {
 	return Stats{
 		Reports:                       s.reports.Load(),
@@ -89,15 +92,16 @@
 	}
 }
 
-// Serve accepts connections until the context ends, and then closes the listener, reads nothing more and waits until all
-// sessions have answered what they have read, which takes writeTimeout at most for a client that reads no answers. The caller must not call it before the assigner is ready, because the server answers pings from its first
-// connection on.
+// Serve accepts connections until the context ends. It then closes the listener, stops reading from the connections and
+// waits until all sessions have answered the messages that they have already read. A client that does not read its
+// answers delays Serve by at most writeTimeout. Serve must not be called before the assigner is ready, because the
+// server answers pings from its first connection on, and a pong tells a client that the assigner is ready.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) {
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	stop := context.AfterFunc(ctx, func() {
-		_ = listener.Close() // the only error is that it is closed already
-		s.connections.finishAll()
+		_ = listener.Close() // the only possible error is that the listener is closed already
+		s.connections.stopReadingAll()
 	})
 	defer stop()
 	for {
@@ -105,59 +109,61 @@
 		if err != nil {
 			return
 		}
-		client := newClient(conn)
+		client := newClientConn(conn)
 		s.connections.add(ctx, client)
 		sessions.Add(1)
-		go func() { // ends with the connection, at the latest after finishAll; Serve waits for it
+		go func() { // ends when the connection ends, at the latest after stopReadingAll; Serve waits for it
 			defer sessions.Done()
-			s.serve(ctx, client)
+			s.serveClient(ctx, client)
 		}()
 	}
 }
 
-// accept waits until there is room for a connection and returns the next one. It retries failed attempts; the error is that
-// the listener is closed or the context has ended.
+// accept waits until another connection is allowed, accepts it and returns it. It retries failed attempts. It returns
+// an error only if the listener is closed or the context has ended.
 func (s *Server) accept(ctx context.Context, listener net.Listener) (net.Conn, error) {
-	accepting := conditionlog.New(conditionlog.Config{
-		Log:       s.limitedLog,
+	acceptFailures := conditionlog.New(conditionlog.Config{
+		Log:       s.rateLimitedLog,
 		Failing:   "accept failed; retrying",
 		Recovered: "accept succeeded",
 	})
 	for {
-		s.awaitRoom(ctx)
+		s.awaitCapacity(ctx)
 		conn, err := listener.Accept()
 		if err == nil {
-			accepting.Recover()
+			acceptFailures.RecordSuccess()
 			return conn, nil
 		}
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil, fmt.Errorf("accept: %w", err)
 		}
-		accepting.Fail(err, nil)
+		acceptFailures.RecordFailure(err, nil)
 		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
 
-// awaitRoom blocks until there is room for a connection or the context ends. It evicts unidentified connections as long as
-// there is none.
-func (s *Server) awaitRoom(ctx context.Context) {
-	for !s.connections.hasRoom() && ctx.Err() == nil {
+// awaitCapacity blocks while the number of connections is at its limit, until the context ends. Meanwhile it evicts
+// unidentified connections.
+func (s *Server) awaitCapacity(ctx context.Context) {
+	for !s.connections.hasCapacity() && ctx.Err() == nil {
 		s.connections.evictUnidentified()
 		backoff.Sleep(ctx, acceptRetryDelay)
 	}
 }
 
-// serve runs the session of a client and then closes its connection.
-func (s *Server) serve(ctx context.Context, client *client) {
+// serveClient runs the session of a client and then closes the connection. If the server ended the session, it first
+// refuses the client. A disconnect of a collector is logged. The client is not
+// refused and nothing is logged if the context has ended.
+func (s *Server) serveClient(ctx context.Context, client *clientConn) {
 	defer s.connections.remove(client)
 	session := newSession(s, client)
-	defer session.lines.discard()
+	defer session.reader.discardPrefix()
 	reason := session.run(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	if reason != nil {
-		session.refuse(reason)
+		session.refuseClient(reason)
 		return
 	}
 	session.logDisconnect()
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -13,57 +13,62 @@
 )
 
 const (
-	// maxMalformedLinesBeforeReport malformed lines in a row close the connection of a collector without a valid report, and
-	// maxMalformedLines one with valid reports. Single malformed reports occur among valid ones; after a longer run the
-	// stream is out of step, and a new connection starts with a complete line.
+	// maxMalformedLinesBeforeReport is the number of consecutive malformed lines after which a collector's connection
+	// is closed if the collector has not sent a valid report yet. maxMalformedLines is that number for a collector that
+	// has sent a valid report. Single malformed lines occur between valid reports. Many consecutive malformed
+	// lines mean that the server is out of step with the line boundaries. A new connection starts with a complete line.
 	maxMalformedLinesBeforeReport = 4
 	maxMalformedLines             = 12
-	// writeTimeout bounds the time until the client has read an answer.
+	// writeTimeout is the maximum time that a write to a client may block because the client does not read its answers.
 	writeTimeout = 500 * time.Millisecond
-	// maxLoggedLineSize bounds the part of a malformed line that is logged, in bytes.
+	// maxLoggedLineSize is the maximum number of bytes that are logged from the start of a malformed line.
 	maxLoggedLineSize = 200
 )
 
-// Errors that close a connection, besides those of lines.
+// Errors for which the server closes a connection, in addition to ErrLineTooLong, ErrLineBudgetExhausted and decoding
+// errors.
 var (
 	ErrIdentificationTimeout = errors.New("identification timeout")
 	ErrLineTimeout           = errors.New("line timeout")
 	ErrEvicted               = errors.New("connection evicted: too many connections")
 	ErrNotIdentified         = errors.New("report from unidentified connection")
-	ErrWrongZone             = errors.New("report of another zone than its collector's")
+	ErrWrongZone             = errors.New("endpoint load report for a zone other than the collector's")
 )
 
-// session handles the lines of one client, in the goroutine of its connection. It has three states:
+// session handles the lines of one client in the goroutine of the client's connection. It has three states:
 //
-//	unidentified   pings are answered; a collector message leads to identified; any other line, a line over
-//	               maxUnidentifiedLineSize, identificationTimeout or eviction leads to closed
-//	identified     reports go to the sink; pings are answered; another collector message sets the zone; malformed lines
-//	               are skipped; too many of them in a row, lineTimeout, a failed write or eviction leads to closed
-//	closed         run has returned; refuse logs the reason and tries to send a last line
+//   - unidentified: The session answers pings. A collector message changes the state to identified. Any other line, a
+//     line longer than maxUnidentifiedLineSize, a failed write, the end of identificationTimeout or an eviction changes
+//     the state to closed.
+//   - identified: The session passes reports to the sink and answers pings. Another collector message changes the zone.
+//     Malformed lines are skipped. Too many consecutive malformed lines, the end of lineTimeout, a failed write or an
+//     eviction changes the state to closed.
+//   - closed: The method run has returned. The method refuseClient logs the reason and tries to send a last line.
 //
-// A client that closes its connection, and the end of the context, lead to closed without refuse. The former is logged if the
-// client was a collector.
+// The state also changes to closed if the client closes its connection or the context ends. In these two cases
+// refuseClient is not called. A connection that a collector closes is logged.
 type session struct {
-	server         *Server
-	client         *client // holds the state: identified or not
-	lines          *lineReader
-	hasReports     bool // a valid report has arrived
-	malformedLines int  // in a row; a collector message or a report ends the row, a ping does not
+	server                    *Server
+	client                    *clientConn // connection of the client, which also records whether it is identified
+	reader                    *lineReader // splits the received bytes into lines
+	reportReceived            bool        // whether the client has sent a valid report
+	consecutiveMalformedLines int         // count is reset by a report or a collector message, but not by a ping
 }
 
-func newSession(s *Server, c *client) *session {
-	return &session{server: s, client: c, lines: newLineReader(c, s.lineBudget)}
+func newSession(s *Server, c *clientConn) *session {
+	return &session{server: s, client: c, reader: newLineReader(c, s.lineBudget)}
 }
 
-// run handles lines until the connection has to be closed. The error is the reason, nil if the client closed it.
+// run reads and handles lines until the connection has to be closed. It returns the reason for which the server closes
+// the connection, or nil if the client closed it.
 func (s *session) run(ctx context.Context) error {
 	for {
-		line, err := s.lines.next()
+		line, err := s.reader.readLine()
 		switch {
 		case err == nil:
-			err = s.receive(ctx, line)
-		case s.isSkipped(err):
-			err = s.skip(line, err)
+			err = s.handleLine(ctx, line)
+		case s.isSkippedLine(err):
+			err = s.skipMalformedLine(line, err)
 		default:
 			return s.closeReason(err)
 		}
@@ -73,25 +78,27 @@
 	}
 }
 
-// receive handles the message in a line; a malformed line is skipped. An error closes the connection.
-func (s *session) receive(ctx context.Context, line []byte) error {
+// handleLine decodes the message in a line and handles it. A malformed line is skipped. If handleLine returns an error,
+// the connection has to be closed.
+func (s *session) handleLine(ctx context.Context, line []byte) error {
 	message, err := s.decode(line)
 	if err != nil {
-		return s.skip(line, err)
+		return s.skipMalformedLine(line, err)
 	}
-	return s.handle(ctx, message)
+	return s.handleMessage(ctx, message)
 }
 
-// isSkipped reports whether a read error concerns one skipped line of a collector, after which the next can be read.
-func (s *session) isSkipped(err error) bool {
+// isSkippedLine reports whether a read error means that a line of a collector was skipped and the next line can be
+// read.
+func (s *session) isSkippedLine(err error) bool {
 	return s.client.identified() && (errors.Is(err, ErrLineTooLong) || errors.Is(err, ErrLineBudgetExhausted))
 }
 
-// closeReason returns why the server closes a connection after a read error. It is nil if the client closed it, even within
-// a line.
+// closeReason returns the reason for which the server closes the connection after a read error. It returns nil if the
+// client closed the connection, even if the last line was incomplete.
 func (s *session) closeReason(err error) error {
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) && s.client.finishing.Load():
+	case errors.Is(err, os.ErrDeadlineExceeded) && s.client.readingStopped.Load():
 		return ErrEvicted
 	case errors.Is(err, os.ErrDeadlineExceeded) && s.client.identified():
 		return ErrLineTimeout
@@ -105,7 +112,8 @@
 	return nil
 }
 
-// decode decodes a line and checks that this client may send the message.
+// decode decodes the message in a line. It returns an error if the line is malformed, or if it is an endpoint load
+// report whose zone is not the zone of the collector.
 func (s *session) decode(line []byte) (wire.Message, error) {
 	message, err := s.server.codec.DecodeMessage(line)
 	if err != nil {
@@ -127,47 +135,48 @@
 	return event, ok
 }
 
-// skip counts a malformed line, nil if it could not be read. It returns the reason as an error if the connection has to be
-// closed.
-func (s *session) skip(line []byte, reason error) error {
+// skipMalformedLine counts a malformed line. The reason is the error that was found in the line, and the line is nil if
+// it could not be read. If the client is unidentified or has sent too many consecutive malformed lines, the connection
+// has to be closed, and skipMalformedLine returns the reason. Otherwise it logs the line and returns nil.
+func (s *session) skipMalformedLine(line []byte, reason error) error {
 	s.server.malformedLines.Add(1)
-	s.malformedLines++
-	maximum := maxMalformedLines
-	if !s.hasReports {
-		maximum = maxMalformedLinesBeforeReport
+	s.consecutiveMalformedLines++
+	limit := maxMalformedLines
+	if !s.reportReceived {
+		limit = maxMalformedLinesBeforeReport
 	}
-	tooMany := s.malformedLines >= maximum
+	tooMany := s.consecutiveMalformedLines >= limit
 	if tooMany || !s.client.identified() {
 		return reason
 	}
-	s.server.limitedLog.Warn().Err(reason).Bytes("start", line[:min(len(line), maxLoggedLineSize)]).Msg("malformed line skipped")
+	s.server.rateLimitedLog.Warn().Err(reason).Bytes("start", line[:min(len(line), maxLoggedLineSize)]).Msg("malformed line skipped")
 	return nil
 }
 
-// handle answers a ping, identifies the client or passes a report to the sink, which may block. An error closes the
-// connection.
-func (s *session) handle(ctx context.Context, message wire.Message) error {
+// handleMessage answers a ping, records the zone of a collector or passes a report to the sink, which may block. If
+// handleMessage returns an error, the connection has to be closed.
+func (s *session) handleMessage(ctx context.Context, message wire.Message) error {
 	switch message := message.(type) {
 	case wire.Ping:
 		return s.write(wire.Pong())
 	case wire.Collector:
-		s.malformedLines = 0
+		s.consecutiveMalformedLines = 0
 		s.client.zone.Store(&message.Zone)
-		s.server.connections.limitCollectors()
+		s.server.connections.evictExcessCollector()
 		s.server.log.Info().Str("zone", message.Zone).Msg("collector connected")
 	case wire.Report:
 		if !s.client.identified() {
 			return ErrNotIdentified
 		}
-		s.malformedLines = 0
-		s.hasReports = true
+		s.consecutiveMalformedLines = 0
+		s.reportReceived = true
 		s.server.reports.Add(1)
 		return s.server.sink(ctx, message.Event)
 	}
 	return nil
 }
 
-// write sends a line to the client. It blocks for at most writeTimeout.
+// write sends a line to the client. It blocks for at most writeTimeout and returns an error if the write fails.
 func (s *session) write(line []byte) error {
 	if err := s.client.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("set write deadline: %w", err)
@@ -178,18 +187,20 @@
 	return nil
 }
 
-// refuse logs why the connection is closed and sends the client a last line. The caller closes the connection.
-func (s *session) refuse(reason error) {
+// refuseClient logs the reason for which the server closes the connection and sends the client the line that refuses
+// it. The caller closes the connection.
+func (s *session) refuseClient(reason error) {
 	if zone := s.client.zone.Load(); zone != nil {
 		s.server.log.Warn().Err(reason).Str("zone", *zone).Msg("collector connection closed")
 	} else {
 		s.server.unidentifiedClosed.Add(1)
-		s.server.limitedLog.Info().Err(reason).Msg("unidentified connection closed")
+		s.server.rateLimitedLog.Info().Err(reason).Msg("unidentified connection closed")
 	}
-	_ = s.write(wire.Refused()) // best effort: the client may not read, or may be gone
+	_ = s.write(wire.Refused()) // a failure is ignored because the client may have closed its connection
 }
 
-// logDisconnect logs that a collector closed its connection. Other clients are not logged: most only send a ping.
+// logDisconnect logs that a collector closed its connection. Disconnects of other clients are not logged, because most
+// of these clients only send a ping.
 func (s *session) logDisconnect() {
 	if zone := s.client.zone.Load(); zone != nil {
 		s.server.log.Info().Str("zone", *zone).Msg("collector disconnected")
--- a/internal/reportserver/session_test.go
+++ b/internal/reportserver/session_test.go
@@ -16,11 +16,11 @@
 	"madderhollow/internal/eventually"
 )
 
-// slowConn is a connection whose client pauses before each write.
+// slowConn is a client connection that pauses before each write.
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Write(b []byte) (int, error) {
-	time.Sleep(10 * time.Millisecond) // the pace of the client, not a wait for a condition
+	time.Sleep(10 * time.Millisecond) // determines the speed of the client; the test does not wait for a condition here
 	n, err := c.Conn.Write(b)
 	if err != nil {
 		return n, fmt.Errorf("slow client: %w", err)
@@ -28,12 +28,14 @@
 	return n, nil
 }
 
-// misbehavingClients returns, by name, what clients send that do not identify themselves or send no valid reports.
+// misbehavingClients returns functions that act as clients which do not identify themselves as collectors or send no
+// valid reports. The keys describe what the client sends.
 func misbehavingClients() map[string]func(net.Conn) {
-	once := func(text string) func(net.Conn) {
-		return func(conn net.Conn) { _, _ = io.WriteString(conn, text) } // the server may close the connection meanwhile
+	sendOnce := func(text string) func(net.Conn) {
+		// Errors are ignored because the server may have closed the connection.
+		return func(conn net.Conn) { _, _ = io.WriteString(conn, text) }
 	}
-	endless := func(text string) func(net.Conn) {
+	sendEndlessly := func(text string) func(net.Conn) {
 		return func(conn net.Conn) {
 			for {
 				if _, err := io.WriteString(conn, text); err != nil {
@@ -45,35 +47,36 @@
 	collector := collectorLine("a") + "\n"
 	return map[string]func(net.Conn){
 		"silence":                 func(net.Conn) {},
-		"half a line":             once(collector[:len(collector)/2]),
-		"endless line":            endless("x"),
-		"endless lines":           endless("x\n"),
-		"endless pings":           endless(pingLine + "\n"),
-		"byte by byte":            func(conn net.Conn) { endless("{")(slowConn{conn}) },
-		"HTTP":                    once("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"unknown zone":            once(collectorLine("q") + "\n"),
-		"report before its zone":  once(fmt.Sprintf(proxyReportFormat+"\n", 1, 99, "")),
-		"relay event":             once(relayEventLine + "\n"),
-		"only a ping":             once(pingLine + "\n"),
-		"malformed lines":         once(collector + "x\nx\nx\nx\n"),
-		"collector's half a line": once(collector + lineStart),
+		"half a line":             sendOnce(collector[:len(collector)/2]),
+		"endless line":            sendEndlessly("x"),
+		"endless lines":           sendEndlessly("x\n"),
+		"endless pings":           sendEndlessly(pingLine + "\n"),
+		"byte by byte":            func(conn net.Conn) { sendEndlessly("{")(slowConn{conn}) },
+		"HTTP":                    sendOnce("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+		"unknown zone":            sendOnce(collectorLine("q") + "\n"),
+		"report before its zone":  sendOnce(fmt.Sprintf(proxyReportFormat+"\n", 1, 99, "")),
+		"relay event":             sendOnce(relayEventLine + "\n"),
+		"only a ping":             sendOnce(pingLine + "\n"),
+		"malformed lines":         sendOnce(collector + "x\nx\nx\nx\n"),
+		"collector's half a line": sendOnce(collector + incompleteLine),
 	}
 }
 
-// A connection without identification is closed in time, or receives the refusal, whatever the client sends. Meanwhile pings
-// are answered and a collector's reports arrive.
+// Misbehaving clients must not hold connections or delay collectors. Whatever such a client sends, the server must
+// refuse it or close its connection within the time that the protocol allows. Meanwhile a collector's pings must be
+// answered and its reports must arrive.
 func TestServerClosesMisbehavingConnections(t *testing.T) {
 	address, events, server := startServer(t, 100)
-	collector := dial(t, address)
-	began := time.Now()
+	collector := dialCollector(t, address)
+	startedAt := time.Now()
 	var clients sync.WaitGroup
 	for name, send := range misbehavingClients() {
-		conn := connect(t, address)
-		go send(conn) // ends when the server closes the connection, at the latest when the test's cleanup does
+		conn := dialUnidentified(t, address)
+		go send(conn) // ends when the server closes the connection, at the latest when the cleanup of the test does
 		clients.Add(1)
-		go func() { // ends with the connection or at its read deadline; clients.Wait awaits it
+		go func() { // ends with the connection or at the read deadline; clients.Wait waits for it
 			defer clients.Done()
-			if err := conn.SetReadDeadline(began.Add(3 * time.Second)); err != nil {
+			if err := conn.SetReadDeadline(startedAt.Add(3 * time.Second)); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 			text, err := io.ReadAll(conn)
@@ -82,13 +85,13 @@
 			}
 		}()
 	}
-	for i := 0; time.Since(began) < identificationTimeout+lineTimeout/2; i++ {
+	for i := 0; time.Since(startedAt) < identificationTimeout+lineTimeout/2; i++ {
 		sentAt := time.Now()
 		if err := collector.Ping(timeout); err != nil || time.Since(sentAt) > time.Second {
 			t.Fatalf("got a pong after %v (%v), want one within 1 s", time.Since(sentAt), err)
 		}
-		mustReport(t, collector, i)
-		if got := nextRequests(t, events); got != i {
+		mustSendReport(t, collector, i)
+		if got := nextReportedRequests(t, events); got != i {
 			t.Fatalf("got a report of %d requests, want %d", got, i)
 		}
 	}
@@ -98,20 +101,21 @@
 	}
 }
 
-// Single malformed lines among valid ones are skipped; maxMalformedLines in a row close the collector's connection.
+// Single malformed lines between valid reports must be skipped. A collector's connection must be closed after
+// maxMalformedLines consecutive malformed lines.
 func TestMalformedLinesInARowCloseCollector(t *testing.T) {
 	address, events, _ := startServer(t, 5)
-	collector := dial(t, address)
+	collector := dialCollector(t, address)
 	for i := range 3 * maxMalformedLines {
-		mustSend(t, collector, "{")
-		mustSend(t, collector, endpointReportOfB) // the collector is that of zone a
-		mustReport(t, collector, i)
-		if got := nextRequests(t, events); got != i {
+		mustSendLine(t, collector, "{")
+		mustSendLine(t, collector, endpointReportOfZoneB) // malformed, because the collector belongs to zone a
+		mustSendReport(t, collector, i)
+		if got := nextReportedRequests(t, events); got != i {
 			t.Fatalf("got a report of %d requests, want %d", got, i)
 		}
 	}
 	for range maxMalformedLines {
-		mustSend(t, collector, "{")
+		mustSendLine(t, collector, "{")
 	}
 	if err := collector.Ping(timeout); err == nil {
 		t.Error("got a pong, want the connection closed")
@@ -135,7 +139,7 @@
 		{"budget exhausted", nil, ErrLineBudgetExhausted, ErrLineBudgetExhausted},
 		{"closed by the client", &zone, wrap(io.EOF), nil},
 	} {
-		client := &client{}
+		client := &clientConn{}
 		client.zone.Store(test.zone)
 		session := &session{client: client}
 		if got := session.closeReason(test.err); !errors.Is(got, test.want) {
@@ -144,18 +148,18 @@
 	}
 }
 
-// logLines passes on each line of a log.
-type logLines chan string
+// logLineChannel is an io.Writer that sends each written log line to the channel.
+type logLineChannel chan string
 
-func (l logLines) Write(line []byte) (int, error) {
+func (l logLineChannel) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
 }
 
 func TestDisconnectOfCollectorIsLogged(t *testing.T) {
-	lines := make(logLines, 100)
+	lines := make(logLineChannel, 100)
 	address, _, _ := startServerWithLog(t, 5, zerolog.New(lines))
-	if err := dial(t, address).Close(); err != nil {
+	if err := dialCollector(t, address).Close(); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
