--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -68,7 +68,7 @@
 func serve(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, statusAddress string, logs io.Writer) error {
 	startedAt := time.Now()
 	codec := wire.NewCodec(cfg.Settings, eventloop.ClockZero(startedAt))
-	initial, err := codec.EndpointUpdate(cfg.InitialEndpoints)
+	initial, err := codec.ConvertEndpointList(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -89,7 +89,7 @@
 // validate checks the fields that would otherwise fail while the program runs. The initial endpoints are converted only to
 // check them: the times in the event depend on the start of the assigner's clock, which is not known here.
 func (c *Config) validate() error {
-	if _, err := wire.NewCodec(c.Settings, time.Now()).EndpointUpdate(c.InitialEndpoints); err != nil {
+	if _, err := wire.NewCodec(c.Settings, time.Now()).ConvertEndpointList(c.InitialEndpoints); err != nil {
 		return fmt.Errorf("configuration: %q: %w", initialEndpointsField, err)
 	}
 	addresses := []namedAddress{{listenField, c.Listen}, {discoveryField, c.Discovery}, {relayAddressField, c.Relay}}
--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -47,7 +47,7 @@
 func (c *callConditions) recordAnswer(code string) {
 	c.unsent.RecordSuccess()
 	c.unanswered.RecordSuccess()
-	if code == "" || code == wire.CodeSyntax {
+	if code == "" || code == wire.ErrorCodeSyntax {
 		c.busy.RecordSuccess()
 	}
 	if code == "" {
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -175,8 +175,8 @@
 	if answer, err = wire.DecodeAnswer(text); err != nil {
 		return answer, fmt.Errorf("decode answer: %w", err)
 	}
-	if answer.Accepted > orders {
-		return answer, fmt.Errorf("check answer: %w: %d of %d", ErrTooManyAccepted, answer.Accepted, orders)
+	if answer.AcceptedOrders > orders {
+		return answer, fmt.Errorf("check answer: %w: %d of %d", ErrTooManyAccepted, answer.AcceptedOrders, orders)
 	}
 	return answer, nil
 }
--- a/internal/relay/callconn_test.go
+++ b/internal/relay/callconn_test.go
@@ -21,8 +21,8 @@
 		t.Run(fmt.Sprintf("%d of %d", test.accepted, test.sent), func(t *testing.T) {
 			body := io.NopCloser(strings.NewReader(acceptedAnswer(test.accepted)))
 			answer, err := readAnswer(&http.Response{Body: body}, test.sent)
-			if !errors.Is(err, test.wantErr) || answer.Accepted != test.accepted {
-				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.Accepted, err, test.accepted, test.wantErr)
+			if !errors.Is(err, test.wantErr) || answer.AcceptedOrders != test.accepted {
+				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.AcceptedOrders, err, test.accepted, test.wantErr)
 			}
 		})
 	}
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -59,7 +59,7 @@
 		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrUnexpectedStatus, response.Status)
 	}
 	item := &streamItem{stream: &streamState{address: address}}
-	events := wire.NewStream(response.Body)
+	events := wire.NewEventStream(response.Body)
 	for {
 		if err := conn.SetDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
 			return fmt.Errorf("read event stream: set deadline: %w", err)
@@ -78,7 +78,7 @@
 
 // readItem reads and decodes the next item of a stream. It returns no error for an event that cannot be decoded, and
 // sets item.decodeErr instead.
-func (r *EventReader) readItem(events *wire.Stream, item *streamItem) error {
+func (r *EventReader) readItem(events *wire.EventStream, item *streamItem) error {
 	name, data, err := events.Next()
 	if err != nil {
 		return fmt.Errorf("read event stream: %w", err)
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -114,18 +114,18 @@
 
 // handleAnswer handles the relay's answer to a call. It requeues or drops the orders that the relay did not accept.
 func (c *OrderClient) handleAnswer(ctx context.Context, call orderqueue.Call, answer wire.Answer) {
-	c.conditions.recordAnswer(answer.Code)
+	c.conditions.recordAnswer(answer.ErrorCode)
 	switch {
-	case answer.Code == wire.CodeSyntax:
+	case answer.ErrorCode == wire.ErrorCodeSyntax:
 		c.handleSyntaxError(ctx, call)
-	case answer.Code != "":
+	case answer.ErrorCode != "":
 		c.conditions.busy.RecordFailure(nil, func(line *zerolog.Event) {
-			line.Str("code", answer.Code).Int("orders", len(call.Orders))
+			line.Str("code", answer.ErrorCode).Int("orders", len(call.Orders))
 		})
 		c.queue.Requeue(call)
 		backoff.Sleep(ctx, refusedRetryDelay)
-	case answer.Accepted < len(call.Orders):
-		c.handleRejection(call, answer.Accepted)
+	case answer.AcceptedOrders < len(call.Orders):
+		c.handleRejection(call, answer.AcceptedOrders)
 	default:
 		c.resetRetries()
 	}
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -158,7 +158,7 @@
 func (s *session) handleMessage(ctx context.Context, message wire.Message) error {
 	switch message := message.(type) {
 	case wire.Ping:
-		return s.write(wire.Pong())
+		return s.write(wire.EncodePong())
 	case wire.Collector:
 		s.consecutiveMalformedLines = 0
 		s.client.zone.Store(&message.Zone)
@@ -196,7 +196,7 @@
 		s.server.unidentifiedClosed.Add(1)
 		s.server.rateLimitedLog.Info().Err(reason).Msg("unidentified connection closed")
 	}
-	_ = s.write(wire.Refused()) // a failure is ignored because the client may have closed its connection
+	_ = s.write(wire.EncodeRefused()) // a failure is ignored because the client may have closed its connection
 }
 
 // logDisconnect logs that a collector closed its connection. Disconnects of other clients are not logged, because most
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -1,7 +1,7 @@
-// Package simhost runs many assigners in one process for the operators' simulator. It reads batches of events from one
-// stream, in the protocol of package simproto, and writes one reply to each batch, with the orders of all instances. The
-// time is that of the batches; no clock is read. Host.Serve blocks while it reads, decides and writes, all in the goroutine
-// that calls it.
+// Package simhost runs many assigners in one process for the operators' simulator. Each of them is an instance. A Host
+// reads batches of events from one stream, in the protocol of package simproto. To each batch it writes one reply with
+// the orders of all instances. The time is the time that the batches state, and no clock is read. Host.Serve blocks
+// while it reads, decides and writes, all in the goroutine that calls it.
 package simhost
 
 import (
@@ -16,30 +16,30 @@
 )
 
 const (
-	readBufferSize  = 1 << 20 // bytes
-	writeBufferSize = 1 << 16 // bytes
+	readBufferSize  = 1 << 20 // size of the read buffer, in bytes
+	writeBufferSize = 1 << 16 // size of the write buffer, in bytes
 )
 
-// Host replies to the batches of one stream. It must not be used by several goroutines at once.
+// Host runs instances and replies to the batches of one stream. It must not be used by several goroutines at once.
 type Host struct {
-	in          *bufio.Reader
-	out         *bufio.Writer
-	diagnostics io.Writer
-	decoder     *simproto.Decoder
-	instances   map[int]*assign.Assigner // the open ones, by number
-	batch       *simproto.BatchStart     // the batch being read; nil: none
-	events      []instanceEvents         // collected for the next handleEvents, by instance in order of first appearance
-	line        int                      // number of the line being read, from 1
+	in            *bufio.Reader
+	out           *bufio.Writer
+	diagnostics   io.Writer
+	decoder       *simproto.Decoder
+	instances     map[int]*assign.Assigner // open instances, by number
+	batch         *simproto.BatchStart     // batch that is being read; nil outside a batch
+	pendingEvents []instanceEvents         // events of the batch that have not been handled, one element per instance
+	lineNumber    int                      // number of the line that is being read, from 1
 }
 
-// instanceEvents are events of one instance, in the order in which they were read.
+// instanceEvents holds events of one instance, in the order in which they were read.
 type instanceEvents struct {
 	instance int
 	events   []assign.Event
 }
 
-// New returns a host that reads batches from in and writes replies to out. It writes a line to diagnostics for each line
-// that it skips and each instance that panics. The caller owns all three.
+// New returns a host that reads batches from in and writes replies to out. It writes to diagnostics about each line
+// that it skips and each instance that panics. The host does not close in, out or diagnostics.
 func New(in io.Reader, out, diagnostics io.Writer) *Host {
 	return &Host{
 		in:          bufio.NewReaderSize(in, readBufferSize),
@@ -50,71 +50,72 @@
 	}
 }
 
-// Serve replies to batches until the input ends, which is no error, or reading or writing fails. Lines that cannot be
-// decoded are skipped.
+// Serve replies to batches until the input ends and then returns nil. It returns an error as soon as reading or writing
+// fails. Lines that cannot be decoded are skipped.
 func (h *Host) Serve() error {
-	for h.line = 1; ; h.line++ {
+	for h.lineNumber = 1; ; h.lineNumber++ {
 		line, err := h.in.ReadBytes('\n')
 		if len(line) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("read line %d: %w", h.line, err)
+			return fmt.Errorf("read line %d: %w", h.lineNumber, err)
 		}
 		message, err := h.decoder.Decode(line)
 		if err != nil {
-			h.diagnose("line %d skipped: %v", h.line, err)
+			h.writeDiagnostic("line %d skipped: %v", h.lineNumber, err)
 			continue
 		}
-		if err := h.receive(message); err != nil {
+		if err := h.handleMessage(message); err != nil {
 			return err
 		}
 	}
 }
 
-// diagnose writes a line for the operators. Its error is discarded: there is no other place to report it.
-func (h *Host) diagnose(format string, values ...any) {
+// writeDiagnostic writes a line for the operators. An error of writing is discarded, because there is no other place to
+// report it.
+func (h *Host) writeDiagnostic(format string, values ...any) {
 	_, _ = fmt.Fprintf(h.diagnostics, "benchlink: "+format+"\n", values...)
 }
 
-// receive handles one message. An instance that is opened again or halted handles its collected events first.
-func (h *Host) receive(message simproto.Message) error {
+// handleMessage handles one message. Before an instance is opened again or halted, all pending events are handled.
+func (h *Host) handleMessage(message simproto.Message) error {
 	switch message := message.(type) {
 	case simproto.BatchStart:
 		h.batch = &message
-		h.events = h.events[:0]
+		h.pendingEvents = h.pendingEvents[:0]
 	case simproto.BatchEnd:
 		return h.endBatch()
 	case simproto.OpenInstance:
-		if err := h.handleEvents(); err != nil { // the events so far belong to the instance's previous incarnation
+		if err := h.handlePendingEvents(); err != nil { // pending events are for the previous incarnation of the instance
 			return err
 		}
 		h.instances[message.Instance] = assign.New(message.Seed, message.Config)
 	case simproto.HaltInstance:
-		if err := h.handleEvents(); err != nil {
+		if err := h.handlePendingEvents(); err != nil {
 			return err
 		}
 		delete(h.instances, message.Instance)
 	case simproto.InstanceEvent:
 		if h.instances[message.Instance] == nil {
-			h.diagnose("line %d skipped: no instance %d", h.line, message.Instance)
+			h.writeDiagnostic("line %d skipped: no instance %d", h.lineNumber, message.Instance)
 			return nil
 		}
-		h.collect(message)
+		h.addEvent(message)
 	}
 	return nil
 }
 
-// endBatch handles the collected events and completes the reply to the batch.
+// endBatch handles the pending events and completes the reply to the batch.
 func (h *Host) endBatch() error {
 	if h.batch == nil {
-		h.diagnose("line %d skipped: batch end without batch start", h.line)
+		h.writeDiagnostic("line %d skipped: batch end without batch start", h.lineNumber)
 		return nil
 	}
-	if err := h.handleEvents(); err != nil {
+	if err := h.handlePendingEvents(); err != nil {
 		return err
 	}
-	if err := h.writeLine(simproto.EncodeEnd(h.batch.Batch)); err != nil {
+	if err := h.writeReplyLine(simproto.EncodeReplyEnd(h.batch.Batch)); err != nil {
 		return err
 	}
 	h.batch = nil
@@ -124,32 +125,32 @@
 	return nil
 }
 
-// collect adds an event to the events of its instance.
-func (h *Host) collect(message simproto.InstanceEvent) {
-	for i := range h.events {
-		if h.events[i].instance == message.Instance {
-			h.events[i].events = append(h.events[i].events, message.Event)
+// addEvent adds an event to the pending events of its instance. Instances remain in the order of their first events.
+func (h *Host) addEvent(message simproto.InstanceEvent) {
+	for i := range h.pendingEvents {
+		if h.pendingEvents[i].instance == message.Instance {
+			h.pendingEvents[i].events = append(h.pendingEvents[i].events, message.Event)
 			return
 		}
 	}
-	h.events = append(h.events, instanceEvents{message.Instance, []assign.Event{message.Event}})
+	h.pendingEvents = append(h.pendingEvents, instanceEvents{message.Instance, []assign.Event{message.Event}})
 }
 
-// handleEvents passes the collected events to their instances, which are all open, and writes the orders. Outside a batch it
-// drops the events.
-func (h *Host) handleEvents() error {
-	collected := h.events
-	h.events = h.events[:0]
+// handlePendingEvents passes the pending events to their instances, which are all open, and writes the orders of the
+// instances. Outside a batch it discards the events.
+func (h *Host) handlePendingEvents() error {
+	pending := h.pendingEvents
+	h.pendingEvents = h.pendingEvents[:0]
 	if h.batch == nil {
 		return nil
 	}
-	for _, input := range collected {
-		lines, err := h.handleInstance(h.instances[input.instance], input)
+	for _, input := range pending {
+		lines, err := h.handleInstanceEvents(h.instances[input.instance], input)
 		if err != nil {
 			return err
 		}
 		for _, line := range lines {
-			if err := h.writeLine(line); err != nil {
+			if err := h.writeReplyLine(line); err != nil {
 				return err
 			}
 		}
@@ -157,29 +158,30 @@
 	return nil
 }
 
-// handleInstance passes events to an instance and returns the lines of its orders. After a panic the last line reports a
-// fault, so that a broken instance is not mistaken for one without orders; so it does after an order that cannot be encoded.
-func (h *Host) handleInstance(assigner *assign.Assigner, input instanceEvents) (lines [][]byte, err error) {
+// handleInstanceEvents passes events to an instance and returns the lines for its orders. If the instance panics or one
+// of its orders cannot be encoded, the last line reports a fault. Without that line a broken instance would look like
+// an instance without orders.
+func (h *Host) handleInstanceEvents(assigner *assign.Assigner, input instanceEvents) (lines [][]byte, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.diagnose("instance %d: %v\n%s", input.instance, reason, debug.Stack())
+			h.writeDiagnostic("instance %d: %v\n%s", input.instance, reason, debug.Stack())
 			var fault []byte
 			fault, err = simproto.EncodeFault(input.instance, fmt.Sprint(reason))
 			lines = append(lines, fault)
 		}
 	}()
 	for _, order := range assigner.Handle(h.batch.Now, input.events) {
-		line, err := simproto.Encode(input.instance, order)
+		line, err := simproto.EncodeOrder(input.instance, order)
 		if err != nil {
-			panic(err) // reported as a fault, above
+			panic(err) // the deferred function reports the error as a fault
 		}
 		lines = append(lines, line)
 	}
 	return lines, nil
 }
 
-// writeLine writes a line of the reply. endBatch flushes it.
-func (h *Host) writeLine(line []byte) error {
+// writeReplyLine writes a line of the reply to the write buffer, which endBatch flushes.
+func (h *Host) writeReplyLine(line []byte) error {
 	if _, err := h.out.Write(line); err != nil {
 		return fmt.Errorf("write reply: %w", err)
 	}
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -8,22 +8,22 @@
 	"madderhollow/internal/simproto"
 )
 
-// serve returns the reply and the diagnostics of a host that reads some lines.
-func serve(t *testing.T, lines ...string) (reply, diagnostics string) {
+// serveLines returns the reply and the diagnostics that a host writes while it reads lines.
+func serveLines(t *testing.T, lines ...string) (reply, diagnostics string) {
 	t.Helper()
-	var out, diagnosed bytes.Buffer
-	if err := New(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &diagnosed).Serve(); err != nil {
+	var out, diagnosticOutput bytes.Buffer
+	if err := New(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &diagnosticOutput).Serve(); err != nil {
 		t.Fatal(err)
 	}
-	return out.String(), diagnosed.String()
+	return out.String(), diagnosticOutput.String()
 }
 
-// Messages of the protocol, and messages of replies, for instance 4.
+// Lines that the host of instance 4 reads, and lines of its replies or their beginnings.
 const (
 	batchStart1       = `["mark",1,1]`
 	batchStart2       = `["mark",2,2]`
 	batchStart3       = `["mark",3,3]`
-	batchStartLarge   = `["mark",4,9007199254740993]` // float64 does not represent the number of the batch
+	batchStartLarge   = `["mark",4,9007199254740993]` // a number of a batch that float64 cannot represent
 	batchEnd          = `["flush"]`
 	openInstance      = `["openInstance",4,1,{"classes":[{"name":"r"}],"familyInfo":{"pendingMax":500}}]`
 	haltInstance      = `["halt",4]`
@@ -37,11 +37,11 @@
 	replyEndLarge = `["end",9007199254740993]` + "\n"
 	setWeight     = `["setLine",4,0,1,"a:1"]`
 	attachTable   = `["handTable",4,0,0,1]`
-	faultStart    = `["fault",4,"`
+	faultPrefix   = `["fault",4,"`
 )
 
 func TestHostRepliesToEachBatch(t *testing.T) {
-	reply, diagnostics := serve(t, batchStart1, batchEnd, batchStart2, openInstance, fullUpdate, proxyConnected, batchEnd,
+	reply, diagnostics := serveLines(t, batchStart1, batchEnd, batchStart2, openInstance, fullUpdate, proxyConnected, batchEnd,
 		batchStart3, haltInstance, batchEnd, batchStartLarge, proxyDisconnected, batchEnd)
 	for _, want := range []string{replyEnd1, setWeight, attachTable, replyEnd3, replyEndLarge} {
 		if !strings.Contains(reply, want) {
@@ -54,7 +54,7 @@
 }
 
 func TestHostSkipsLinesThatCannotBeUsed(t *testing.T) {
-	reply, diagnostics := serve(t, batchStart1, invalidProxy, `nonsense`, batchEnd, batchEnd)
+	reply, diagnostics := serveLines(t, batchStart1, invalidProxy, `nonsense`, batchEnd, batchEnd)
 	if reply != replyEnd1 {
 		t.Errorf("got reply %q, want %q", reply, replyEnd1)
 	}
@@ -65,17 +65,18 @@
 	}
 }
 
-// A broken instance must not be mistaken for one without orders.
+// TestHostReportsPanicOfInstanceAsFault guards against a broken instance that looks like an instance without orders:
+// the reply must contain a fault after a panic.
 func TestHostReportsPanicOfInstanceAsFault(t *testing.T) {
 	var reply, diagnostics bytes.Buffer
 	host := New(strings.NewReader(""), &reply, &diagnostics)
 	host.batch = &simproto.BatchStart{Now: 1}
-	lines, err := host.handleInstance(nil, instanceEvents{instance: 4}) // a nil assigner panics
+	lines, err := host.handleInstanceEvents(nil, instanceEvents{instance: 4}) // the nil assigner causes a panic
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(lines) != 1 || !strings.HasPrefix(string(lines[0]), faultStart) {
-		t.Errorf("got lines %q, want one that begins with %s", lines, faultStart)
+	if len(lines) != 1 || !strings.HasPrefix(string(lines[0]), faultPrefix) {
+		t.Errorf("got lines %q, want one that begins with %s", lines, faultPrefix)
 	}
 	if diagnostics.Len() == 0 {
 		t.Error("got no diagnostics, want the panic's stack")
--- a/internal/simproto/bytes_test.go
+++ b/internal/simproto/bytes_test.go
@@ -8,7 +8,8 @@
 	"madderhollow/internal/golden"
 )
 
-// TestEncodedLinesMatchRecordedBytes compares the lines for a fixed list of orders with recorded bytes.
+// TestEncodedLinesMatchRecordedBytes compares the lines for a fixed list of orders with recorded bytes. It guards
+// against any change of the encoding.
 func TestEncodedLinesMatchRecordedBytes(t *testing.T) {
 	orders := []assign.Order{
 		assign.WatchEndpoints{Enabled: true},
@@ -40,7 +41,7 @@
 	}
 	var got bytes.Buffer
 	for _, order := range orders {
-		line, err := Encode(3, order)
+		line, err := EncodeOrder(3, order)
 		if err != nil {
 			t.Fatalf("%#v: %v", order, err)
 		}
@@ -51,6 +52,6 @@
 		t.Fatal(err)
 	}
 	got.Write(append(fault, '\n'))
-	got.Write(append(EncodeEnd("12"), '\n'))
+	got.Write(append(EncodeReplyEnd("12"), '\n'))
 	golden.Compare(t, "simulator_bytes.txt", got.Bytes())
 }
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -9,21 +9,23 @@
 	"madderhollow/internal/settings"
 )
 
-// Errors of lines that are not messages. A field with an unusable value is a *fieldcheck.Error.
+// Errors of lines that are not messages. A field with an invalid value is reported as a *fieldcheck.Error instead.
 var (
-	ErrNotArray     = errors.New("not a JSON array")
-	ErrEmptyMessage = errors.New("message is empty")
-	ErrNoName       = errors.New("message name is not a string")
+	ErrNotArray      = errors.New("not a JSON array")
+	ErrEmptyMessage  = errors.New("message is empty")
+	ErrNameNotString = errors.New("message name is not a string")
 )
 
-// Decoder decodes lines. For each instance it keeps the columns of load reports, which only OpenInstance states; an
-// incarnation that states none keeps those of the previous one. It must not be used by two goroutines at once.
-type Decoder struct{ metrics map[int][]assign.LoadMetric }
+// Decoder decodes lines. For each instance it stores the metrics that load reports contain, which only OpenInstance
+// states. An incarnation of an instance that states no metrics uses the metrics of the previous incarnation. A Decoder
+// must not be used by several goroutines at once.
+type Decoder struct{ loadMetrics map[int][]assign.LoadMetric }
 
-// NewDecoder returns a decoder without instances.
-func NewDecoder() *Decoder { return &Decoder{metrics: map[int][]assign.LoadMetric{}} }
+// NewDecoder returns a decoder that knows no instances.
+func NewDecoder() *Decoder { return &Decoder{loadMetrics: map[int][]assign.LoadMetric{}} }
 
-// Decode decodes one line. An error names the message and the field; the caller skips the line.
+// Decode decodes one line. An error names the message and the invalid field, and the caller is expected to skip the
+// line.
 func (d *Decoder) Decode(line []byte) (Message, error) {
 	var raw []json.RawMessage
 	if err := json.Unmarshal(line, &raw); err != nil {
@@ -34,7 +36,7 @@
 	}
 	var name string
 	if err := json.Unmarshal(raw[0], &name); err != nil {
-		return nil, ErrNoName
+		return nil, ErrNameNotString
 	}
 	switch name {
 	case batchEndName:
@@ -47,61 +49,67 @@
 	return d.decodeInstanceMessage(name, raw[1:])
 }
 
-// parse decodes the fields of a message, except exactField of the messages that have one, which stays a json.RawMessage.
-func parse(name string, raw []json.RawMessage) *fields {
-	message := &fields{message: name, values: make([]any, len(raw))}
-	hasExact := name == openInstanceName || name == batchStartName
+// parseFields decodes the fields of a message. In the messages that have an int64Field, that field remains a
+// json.RawMessage. An invalid field makes the err method of the result return an error.
+func parseFields(name string, raw []json.RawMessage) *fieldReader {
+	message := &fieldReader{name: name, values: make([]any, len(raw))}
+	hasInt64Field := name == openInstanceName || name == batchStartName
 	for i, value := range raw {
-		if hasExact && i == exactField {
+		if hasInt64Field && i == int64Field {
 			message.values[i] = value
 			continue
 		}
 		if err := json.Unmarshal(value, &message.values[i]); err != nil {
-			message.fail(i, "a JSON value")
+			message.recordInvalid(i, "a JSON value")
 		}
 	}
 	return message
 }
 
+// decodeBatchStart decodes the fields of a message that starts a batch.
 func decodeBatchStart(raw []json.RawMessage) (Message, error) {
-	message := parse(batchStartName, raw)
+	message := parseFields(batchStartName, raw)
 	start := BatchStart{Now: message.number(0) / millisecondsPerSecond}
-	if len(raw) > exactField {
-		start.Batch = json.Number(raw[exactField])
+	if len(raw) > int64Field {
+		start.Batch = json.Number(raw[int64Field])
 	}
 	if _, err := start.Batch.Int64(); err != nil {
-		message.fail(exactField, "a whole number")
+		message.recordInvalid(int64Field, "a whole number")
 	}
 	return start, message.err()
 }
 
+// decodeOpenInstance decodes the fields of a message that opens an instance, and stores the load metrics of the
+// instance.
 func (d *Decoder) decodeOpenInstance(raw []json.RawMessage) (Message, error) {
-	message := parse(openInstanceName, raw)
+	message := parseFields(openInstanceName, raw)
 	open := OpenInstance{Instance: message.count(0)}
-	if len(raw) > exactField && json.Unmarshal(raw[exactField], &open.Seed) != nil {
-		message.fail(exactField, "a whole number")
+	if len(raw) > int64Field && json.Unmarshal(raw[int64Field], &open.Seed) != nil {
+		message.recordInvalid(int64Field, "a whole number")
 	}
-	object, ok := message.at(2).(map[string]any)
+	object, ok := message.value(2).(map[string]any)
 	if !ok {
-		message.fail(2, "an object")
+		message.recordInvalid(2, "an object")
 	}
 	if err := message.err(); err != nil {
 		return nil, err
 	}
 	open.Config = settings.Translate(object)
 	if metrics := open.Config.Reports.LoadMetrics; metrics != nil {
-		d.metrics[open.Instance] = metrics
+		d.loadMetrics[open.Instance] = metrics
 	}
 	return open, nil
 }
 
+// decodeInstanceMessage decodes the fields of a message for an instance, which is a HaltInstance, an InstanceEvent or
+// an UnknownMessage.
 func (d *Decoder) decodeInstanceMessage(name string, raw []json.RawMessage) (Message, error) {
-	message := parse(name, raw)
+	message := parseFields(name, raw)
 	instance := message.count(0)
 	if name == haltInstanceName {
 		return HaltInstance{instance}, message.err()
 	}
-	event, known := d.event(message, instance)
+	event, known := d.decodeEvent(message, instance)
 	if !known {
 		return UnknownMessage{name}, nil
 	}
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -10,19 +10,20 @@
 	"madderhollow/assign"
 )
 
-// ErrUnknownOrder reports an order of a type that the protocol has no message for.
+// ErrUnknownOrder reports that the protocol has no message for an order of this type.
 var ErrUnknownOrder = errors.New("unknown order type")
 
-// Encode encodes one order of an instance as a line of the reply, without the line end. The error is ErrUnknownOrder, or that
-// of a value that JSON cannot represent.
-func Encode(instance int, order assign.Order) ([]byte, error) {
-	values := orderFields(instance, order)
+// EncodeOrder encodes one order of an instance as a line of the reply, without the line end. The error is
+// ErrUnknownOrder, or wraps the error of encoding/json for a value that JSON cannot represent.
+func EncodeOrder(instance int, order assign.Order) ([]byte, error) {
+	values := orderMessage(instance, order)
 	if values == nil {
 		return nil, fmt.Errorf("%w %T", ErrUnknownOrder, order)
 	}
 	return encodeLine(values)
 }
 
+// encodeLine encodes the name and the fields of a message as a JSON array.
 func encodeLine(values []any) ([]byte, error) {
 	line, err := json.Marshal(values)
 	if err != nil {
@@ -31,23 +32,24 @@
 	return line, nil
 }
 
-// orderFields returns the name and the fields of an order's message, nil if the type is unknown.
-func orderFields(instance int, order assign.Order) []any {
+// orderMessage returns the name and the fields of the message for an order, or nil if the type of the order is unknown.
+func orderMessage(instance int, order assign.Order) []any {
 	switch order := order.(type) {
 	case assign.SetWeight:
-		return []any{setWeightName, instance, order.Table, decimal(order.Weight), order.Endpoint}
+		return []any{setWeightName, instance, order.Table, formatDecimal(order.Weight), order.Endpoint}
 	case assign.ClearTable:
 		return []any{clearTableName, instance, order.Table}
 	case assign.AttachTable:
-		return []any{attachTableName, instance, order.Proxy, order.Table, classMask(order.RequestClasses)}
+		return []any{attachTableName, instance, order.Proxy, order.Table, requestClassMask(order.RequestClasses)}
 	case assign.SetRateLimit:
-		return []any{setRateLimitName, instance, order.Retries, decimal(order.Limit), order.Table, classMask(order.RequestClasses)}
+		return []any{setRateLimitName, instance, order.Retries, formatDecimal(order.Limit), order.Table,
+			requestClassMask(order.RequestClasses)}
 	case assign.EjectEndpoint:
 		return []any{ejectEndpointName, instance, order.Ejected, order.Endpoint}
 	case assign.AcknowledgmentRequest:
 		return []any{acknowledgmentRequestName, instance, order.Sequence, order.AllProxies}
 	case assign.SetTimer:
-		return []any{setTimerName, instance, decimal(order.Delay * millisecondsPerSecond), order.ID}
+		return []any{setTimerName, instance, formatDecimal(order.Delay * millisecondsPerSecond), order.ID}
 	case assign.Log:
 		return []any{logName, instance, order.String()}
 	case assign.HealthCheck:
@@ -62,16 +64,19 @@
 	return nil
 }
 
-// EncodeFault encodes the report that an instance panicked.
+// EncodeFault encodes the line that reports a panic of an instance, without the line end.
 func EncodeFault(instance int, reason string) ([]byte, error) {
 	return encodeLine([]any{faultName, instance, reason})
 }
 
-// EncodeEnd encodes the line that ends a reply.
-func EncodeEnd(batch json.Number) []byte { return []byte(`["` + endName + `",` + batch.String() + `]`) }
+// EncodeReplyEnd encodes the line that ends the reply to a batch, without the line end.
+func EncodeReplyEnd(batch json.Number) []byte {
+	return []byte(`["` + replyEndName + `",` + batch.String() + `]`)
+}
 
-// classMask packs positions of request classes into bits. No position stands for all classes and is 0.
-func classMask(classes []int) int64 {
+// requestClassMask returns a bit mask of request classes from their positions in the settings. No positions stand for
+// all request classes and give the mask 0.
+func requestClassMask(classes []int) int64 {
 	var mask int64
 	for _, class := range classes {
 		mask |= 1 << uint(class)
@@ -79,5 +84,7 @@
 	return mask
 }
 
-// decimal formats a number without an exponent.
-func decimal(x float64) json.RawMessage { return strconv.AppendFloat(nil, x, 'f', -1, 64) }
+// formatDecimal formats a number without an exponent, with the fewest digits that identify its float64 value.
+func formatDecimal(value float64) json.RawMessage {
+	return strconv.AppendFloat(nil, value, 'f', -1, 64)
+}
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,47 +7,51 @@
 	"madderhollow/internal/settings"
 )
 
-// event decodes the event in a message for an instance. Known is false if the message has no known name. An invalid field
-// is an error of message.err.
-func (d *Decoder) event(message *fields, instance int) (event assign.Event, known bool) {
-	switch message.message {
+// decodeEvent decodes the event in a message for an instance. Known is false if the name of the message is unknown. An
+// invalid field makes message.err return an error.
+func (d *Decoder) decodeEvent(message *fieldReader, instance int) (event assign.Event, known bool) {
+	switch message.name {
 	case endpointUpdateName:
-		return endpointUpdate(message), true
+		return decodeEndpointUpdate(message), true
 	case endpointLoadReportName:
-		return assign.EndpointLoadReport{Zone: message.text(1), MeanLatency: message.seconds(2), Failed: message.count(3),
-			Interval: message.seconds(4), Endpoint: message.text(5), Attempts: message.count(6), Load: d.load(message, instance, 7)}, true
+		return assign.EndpointLoadReport{Zone: message.stringValue(1), MeanLatency: message.millisecondsAsSeconds(2),
+			Failed: message.count(3), Interval: message.millisecondsAsSeconds(4), Endpoint: message.stringValue(5),
+			Attempts: message.count(6), Load: d.decodeLoadReport(message, instance, 7)}, true
 	case proxyTrafficReportName:
-		return assign.ProxyTrafficReport{Interval: message.seconds(1), Proxy: message.id(2), Requests: message.count(3),
-			Failed: message.count(4), RequestClass: message.text(5)}, true
+		return assign.ProxyTrafficReport{Interval: message.millisecondsAsSeconds(1), Proxy: message.uint16ID(2),
+			Requests: message.count(3), Failed: message.count(4), RequestClass: message.stringValue(5)}, true
 	case shardTrafficReportName:
-		return assign.ShardTrafficReport{Failed: message.count(1), RequestClass: message.text(2), Requests: message.count(3),
-			Interval: message.seconds(4), Shard: message.id(5)}, true
+		return assign.ShardTrafficReport{Failed: message.count(1), RequestClass: message.stringValue(2),
+			Requests: message.count(3), Interval: message.millisecondsAsSeconds(4), Shard: message.uint16ID(5)}, true
 	case proxyConnectedName:
-		return assign.ProxyConnected{Proxy: message.id(1), Zone: message.text(2), TypicalRate: message.notNegative(3),
-			DefaultTablesOnly: message.flag(4)}, true
+		return assign.ProxyConnected{Proxy: message.uint16ID(1), Zone: message.stringValue(2), TypicalRate: message.nonNegative(3),
+			DefaultTablesOnly: message.boolean(4)}, true
 	case proxyDisconnectedName:
-		return assign.ProxyDisconnected{Proxy: message.id(1)}, true
+		return assign.ProxyDisconnected{Proxy: message.uint16ID(1)}, true
 	case acknowledgedName:
-		return assign.Acknowledged{Latency: message.seconds(1), Proxy: message.id(2), Sequence: message.id(3)}, true
+		return assign.Acknowledged{Latency: message.millisecondsAsSeconds(1), Proxy: message.uint16ID(2),
+			Sequence: message.uint16ID(3)}, true
 	case shardAssignedName:
-		return assign.ShardAssigned{Assigned: message.flag(1), Shard: message.id(2)}, true
+		return assign.ShardAssigned{Assigned: message.boolean(1), Shard: message.uint16ID(2)}, true
 	case shardEntryName:
-		return assign.ShardEntry{Shard: message.id(1), Endpoint: message.text(2), Weight: message.notNegative(3)}, true
+		return assign.ShardEntry{Shard: message.uint16ID(1), Endpoint: message.stringValue(2),
+			Weight: message.nonNegative(3)}, true
 	case healthCheckResultName:
-		return assign.HealthCheckResult{Endpoint: message.text(1), Code: message.text(2), Latency: message.seconds(3),
-			Load: d.load(message, instance, 4)}, true
+		return assign.HealthCheckResult{Endpoint: message.stringValue(1), Code: message.stringValue(2),
+			Latency: message.millisecondsAsSeconds(3), Load: d.decodeLoadReport(message, instance, 4)}, true
 	case peerMessageReceivedName:
-		return assign.PeerMessageReceived{From: message.count(1), Data: message.bytes(2)}, true
+		return assign.PeerMessageReceived{From: message.count(1), Data: message.base64Bytes(2)}, true
 	case timerFiredName:
 		return assign.TimerFired{ID: message.integer(1)}, true
 	}
 	return nil, false
 }
 
-// load decodes a load report and converts it to the units of package assign.
-func (d *Decoder) load(message *fields, instance, i int) []float64 {
-	values := message.numbers(i)
-	for column, metric := range d.metrics[instance] {
+// decodeLoadReport decodes the load report at a position of a message and converts its values to the units of package
+// assign.
+func (d *Decoder) decodeLoadReport(message *fieldReader, instance, position int) []float64 {
+	values := message.numberArray(position)
+	for column, metric := range d.loadMetrics[instance] {
 		if column < len(values) {
 			values[column] = settings.LoadValue(metric, values[column])
 		}
@@ -55,9 +59,10 @@
 	return values
 }
 
-func endpointUpdate(message *fields) assign.EndpointUpdate {
+// decodeEndpointUpdate decodes the fields of an endpoint update and of its entries.
+func decodeEndpointUpdate(message *fieldReader) assign.EndpointUpdate {
 	update := assign.EndpointUpdate{Version: message.integer(1)}
-	switch message.text(2) {
+	switch message.stringValue(2) {
 	case modeDelta:
 	case modeFull, modeCatchUp:
 		update.Full = true
@@ -65,28 +70,30 @@
 		update.Failed = true
 		return update
 	default:
-		message.fail(2, fmt.Sprintf("a mode: %s, %s, %s or %s", modeDelta, modeFull, modeCatchUp, modeFailed))
+		message.recordInvalid(2, fmt.Sprintf("a mode: %s, %s, %s or %s", modeDelta, modeFull, modeCatchUp, modeFailed))
 	}
-	rows, ok := message.at(3).([]any)
+	entries, ok := message.value(3).([]any)
 	if !ok {
-		message.fail(3, "an array of entries")
+		message.recordInvalid(3, "an array of entries")
 	}
-	for n, row := range rows {
-		values, ok := row.([]any)
+	for position, rawEntry := range entries {
+		values, ok := rawEntry.([]any)
 		if !ok {
-			message.fail(3, "an array of entries, each an array")
+			message.recordInvalid(3, "an array of entries, each an array")
 			break
 		}
-		entry := &fields{message: fmt.Sprintf("entry %d", n), values: values}
-		update.Endpoints = append(update.Endpoints, endpoint(entry))
+		entry := &fieldReader{name: fmt.Sprintf("entry %d", position), values: values}
+		update.Endpoints = append(update.Endpoints, decodeEndpoint(entry))
 		message.checks.Keep(entry.err())
 	}
 	return update
 }
 
-func endpoint(entry *fields) assign.Endpoint {
-	endpoint := assign.Endpoint{Zone: entry.text(0), MachineGroup: entry.integer(1), Name: entry.text(2), Weight: entry.notNegative(3)}
-	switch entry.text(4) {
+// decodeEndpoint decodes the fields of one entry of an endpoint update.
+func decodeEndpoint(entry *fieldReader) assign.Endpoint {
+	endpoint := assign.Endpoint{Zone: entry.stringValue(0), MachineGroup: entry.integer(1), Name: entry.stringValue(2),
+		Weight: entry.nonNegative(3)}
+	switch entry.stringValue(4) {
 	case stateReady:
 		endpoint.State = assign.Ready
 	case stateDraining:
@@ -94,13 +101,13 @@
 	case stateRemoved:
 		endpoint.State = assign.Removed
 	default:
-		entry.fail(4, fmt.Sprintf("a state: %s, %s or %s", stateReady, stateDraining, stateRemoved))
+		entry.recordInvalid(4, fmt.Sprintf("a state: %s, %s or %s", stateReady, stateDraining, stateRemoved))
 	}
-	if entry.at(5) != nil {
-		endpoint.StartedAt = entry.seconds(5)
+	if entry.value(5) != nil {
+		endpoint.StartedAt = entry.millisecondsAsSeconds(5)
 	}
-	if entry.at(6) != nil {
-		endpoint.MachineType = entry.text(6)
+	if entry.value(6) != nil {
+		endpoint.MachineType = entry.stringValue(6)
 	}
 	return endpoint
 }
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -12,141 +12,153 @@
 
 const (
 	millisecondsPerSecond = 1000
-	// maxID is the largest number of a proxy, a shard or an acknowledgment request: they have 16 bits. Package wire accepts
-	// one proxy fewer, 0 to 65534.
+	// maxID is the largest number of a proxy, a shard or an acknowledgment request, since these numbers have 16 bits.
+	// Package wire accepts one proxy fewer, with the numbers 0 to 65534.
 	maxID = math.MaxUint16
-	// maxExactInteger is the bound up to which float64 represents every whole number.
+	// maxExactInteger is the number up to which float64 represents every whole number exactly.
 	maxExactInteger = 1 << 53
 )
 
-// fields reads the fields of one message by position. Its methods return a zero value for an invalid field and keep the
-// first error, so the caller may go on reading and look at err once.
-type fields struct {
-	message string // name, or the entry within a message
-	values  []any
-	checks  fieldcheck.Checks
+// fieldReader reads the fields of one message, or of one entry within a message, by position. Its methods record the
+// first error, so the caller may read all fields and then call err once. The value of an invalid field is not to be
+// used.
+type fieldReader struct {
+	name   string // name of the message, or "entry" and the position of the entry
+	values []any
+	checks fieldcheck.Checks
 }
 
-// err returns the first error, nil if all fields are valid.
-func (f *fields) err() error {
+// err returns the first error that was recorded, or nil if all fields read so far are valid.
+func (f *fieldReader) err() error {
 	if err := f.checks.Err(); err != nil {
-		return fmt.Errorf("%s: %w", f.message, err)
+		return fmt.Errorf("%s: %w", f.name, err)
 	}
 	return nil
 }
 
-// fail records that a field is invalid.
-func (f *fields) fail(i int, want string) {
-	f.checks.Keep(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.at(i)), Want: want})
+// recordInvalid records an error for the field at position i. Want describes the valid values of the field.
+func (f *fieldReader) recordInvalid(i int, want string) {
+	f.checks.Keep(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
 }
 
-// valueText returns the text of a field's value for an error.
+// valueText returns the text that represents the value of a field in an error.
 func valueText(value any) string {
 	switch value := value.(type) {
 	case nil:
 		return fieldcheck.Missing
 	case string:
 		return strconv.Quote(value)
-	case json.RawMessage: // an exactField
+	case json.RawMessage: // the value of an int64Field
 		return string(value)
 	}
 	return fmt.Sprint(value)
 }
 
-// at returns a field's value, nil if it is null or missing.
-func (f *fields) at(i int) any {
+// value returns the value of the field at position i, or nil if the field is null or missing.
+func (f *fieldReader) value(i int) any {
 	if i < len(f.values) {
 		return f.values[i]
 	}
 	return nil
 }
 
-func (f *fields) number(i int) float64 {
-	v, ok := f.at(i).(float64)
+// number reads the field at position i as a finite number.
+func (f *fieldReader) number(i int) float64 {
+	v, ok := f.value(i).(float64)
 	if !ok || !isFinite(v) {
-		f.fail(i, "a number")
+		f.recordInvalid(i, "a number")
 	}
 	return v
 }
 
 func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
 
-func (f *fields) notNegative(i int) float64 {
+// nonNegative reads the field at position i as a number that is not negative.
+func (f *fieldReader) nonNegative(i int) float64 {
 	v := f.number(i)
 	if !fieldcheck.InRange(v, math.MaxFloat64) {
-		f.fail(i, "a number from 0")
+		f.recordInvalid(i, "a number from 0")
 	}
 	return v
 }
 
-// seconds reads a time in milliseconds.
-func (f *fields) seconds(i int) float64 { return f.notNegative(i) / millisecondsPerSecond }
+// millisecondsAsSeconds reads the field at position i as a time in milliseconds and returns the time in seconds.
+func (f *fieldReader) millisecondsAsSeconds(i int) float64 {
+	return f.nonNegative(i) / millisecondsPerSecond
+}
 
-func (f *fields) integer(i int) int {
+// integer reads the field at position i as an integer of at most maxExactInteger in either direction.
+func (f *fieldReader) integer(i int) int {
 	v := f.number(i)
 	if v != math.Trunc(v) || math.Abs(v) > maxExactInteger {
-		f.fail(i, "a whole number")
+		f.recordInvalid(i, "a whole number")
 		return 0
 	}
 	return int(v)
 }
 
-func (f *fields) count(i int) int {
+// count reads the field at position i as an integer that is not negative.
+func (f *fieldReader) count(i int) int {
 	v := f.integer(i)
 	if v < 0 {
-		f.fail(i, "a whole number from 0")
+		f.recordInvalid(i, "a whole number from 0")
 	}
 	return v
 }
 
-func (f *fields) id(i int) int {
+// uint16ID reads the field at position i as the number of a proxy, a shard or an acknowledgment request.
+func (f *fieldReader) uint16ID(i int) int {
 	v := f.count(i)
 	if v > maxID {
-		f.fail(i, fmt.Sprintf("a whole number from 0 to %d", maxID))
+		f.recordInvalid(i, fmt.Sprintf("a whole number from 0 to %d", maxID))
 	}
 	return v
 }
 
-func (f *fields) text(i int) string {
-	v, ok := f.at(i).(string)
+// stringValue reads the field at position i as a string.
+func (f *fieldReader) stringValue(i int) string {
+	v, ok := f.value(i).(string)
 	if !ok {
-		f.fail(i, "a string")
+		f.recordInvalid(i, "a string")
 	}
 	return v
 }
 
-func (f *fields) flag(i int) bool {
-	v, ok := f.at(i).(bool)
+// boolean reads the field at position i as true or false.
+func (f *fieldReader) boolean(i int) bool {
+	v, ok := f.value(i).(bool)
 	if !ok {
-		f.fail(i, "true or false")
+		f.recordInvalid(i, "true or false")
 	}
 	return v
 }
 
-func (f *fields) bytes(i int) []byte {
-	data, err := base64.StdEncoding.DecodeString(f.text(i))
+// base64Bytes reads the field at position i as bytes encoded in base64.
+func (f *fieldReader) base64Bytes(i int) []byte {
+	data, err := base64.StdEncoding.DecodeString(f.stringValue(i))
 	if err != nil {
-		f.fail(i, "base64")
+		f.recordInvalid(i, "base64")
 	}
 	return data
 }
 
-// numbers reads an array of numbers; null or a missing field is nil.
-func (f *fields) numbers(i int) []float64 {
-	v := f.at(i)
+// numberArray reads the field at position i as an array of finite numbers. It returns nil if the field is null or
+// missing.
+func (f *fieldReader) numberArray(i int) []float64 {
+	v := f.value(i)
 	if v == nil {
 		return nil
 	}
-	row, ok := v.([]any)
+	elements, ok := v.([]any)
 	if !ok {
-		f.fail(i, "an array of numbers")
+		f.recordInvalid(i, "an array of numbers")
 		return nil
 	}
-	values := make([]float64, 0, len(row))
-	for _, cell := range row {
-		x, ok := cell.(float64)
+	values := make([]float64, 0, len(elements))
+	for _, element := range elements {
+		x, ok := element.(float64)
 		if !ok || !isFinite(x) {
-			f.fail(i, "an array of numbers")
+			f.recordInvalid(i, "an array of numbers")
 			return nil
 		}
 		values = append(values, x)
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -1,9 +1,9 @@
 // Package simproto decodes and encodes the simulator's protocol: one JSON array per line. A Decoder converts lines into
-// events of package assign and a few messages of this package; Encode converts orders into lines. The package translates
-// names, units and identifiers, decides nothing and does no I/O. A Decoder belongs to one goroutine; all functions may be
-// called by any.
+// events of package assign and a few messages of this package. EncodeOrder converts orders into lines. The package only
+// translates names, units and identifiers. It makes no decisions and does no I/O. The methods of a Decoder must not be
+// called by several goroutines at once, but the functions of the package may be.
 //
-// names.go has the table of the protocol's names, with the fields and units of each message.
+// The file names.go lists the names used in the protocol, with the fields and units of each message.
 package simproto
 
 import (
@@ -12,35 +12,37 @@
 	"madderhollow/assign"
 )
 
-// Message is one of the message types below.
+// Message is a message that the simulator sends: OpenInstance, HaltInstance, InstanceEvent, BatchStart, BatchEnd or
+// UnknownMessage.
 type Message interface{ isMessage() }
 
-// OpenInstance starts an incarnation of an assigner. Earlier messages for the instance belong to its previous incarnation.
+// OpenInstance starts a new incarnation of an instance, which is one simulated assigner. Earlier messages for the
+// instance are for its previous incarnation.
 type OpenInstance struct {
-	Instance int
-	Seed     int64
-	Config   assign.Config
+	Instance int           // number of the instance
+	Seed     int64         // seed of the assigner's random numbers
+	Config   assign.Config // settings of the deployment
 }
 
 // HaltInstance ends an instance.
 type HaltInstance struct{ Instance int }
 
-// InstanceEvent is an event for an instance.
+// InstanceEvent passes an event to an instance.
 type InstanceEvent struct {
 	Instance int
 	Event    assign.Event
 }
 
-// BatchStart opens a batch of events that all happen at the same time.
+// BatchStart starts a batch of events that all happen at the same time.
 type BatchStart struct {
-	Now   float64     // s
-	Batch json.Number // number of the batch; the reply repeats it digit by digit
+	Now   float64     // time of the events, in seconds
+	Batch json.Number // number of the batch, which the reply repeats digit by digit
 }
 
-// BatchEnd asks for the reply to the batch.
+// BatchEnd ends a batch and asks for the reply to it.
 type BatchEnd struct{}
 
-// UnknownMessage is a message whose name this package does not know. Hosts ignore it.
+// UnknownMessage is a message whose name is not part of the protocol. Hosts ignore it.
 type UnknownMessage struct{ Name string }
 
 func (OpenInstance) isMessage()   {}
--- a/internal/simproto/names.go
+++ b/internal/simproto/names.go
@@ -1,10 +1,10 @@
 package simproto
 
-// This file maps the names in the simulator's messages to the terms of this program; no other package uses the names.
-// A message is a JSON array: the name and then the fields, counted from 0. The comments list the fields in order. Times are
-// milliseconds and become seconds.
+// This file maps the names in the simulator's messages to the terms of this program. No other package uses these names.
+// A message is a JSON array of its name and its fields, which are numbered from 0 after the name. Each comment gives
+// the Go type of the message and its fields in order. Times are milliseconds in messages and seconds in this program.
 
-// Messages for the host.
+// Names of messages for the host of the instances.
 const (
 	openInstanceName = "openInstance" // OpenInstance: instance, seed, settings object
 	haltInstanceName = "halt"         // HaltInstance: instance
@@ -12,65 +12,65 @@
 	batchEndName     = "flush"        // BatchEnd: no fields
 )
 
-// exactField is the field of openInstance (seed) and mark (number of the batch) that holds an integer of 64 bits. It is not
-// decoded as a float64, which would lose digits.
-const exactField = 1
+// int64Field is the position of the field that holds a 64-bit integer: the seed in openInstance and the number of the
+// batch in mark. The field is not decoded as a float64, which cannot represent every 64-bit integer.
+const int64Field = 1
 
-// Messages with an event for an instance. Field 0 is the instance; the comments list the fields from 1. A load report is an
-// array of numbers or null.
+// Names of messages with an event for an instance. Field 0 is the number of the instance, and the comments list the
+// fields from 1. A load report is an array of numbers or null.
 const (
 	endpointUpdateName = "update" // assign.EndpointUpdate: version, mode, entries
 
 	// assign.EndpointLoadReport: zone, mean latency in ms, failed, interval in ms, endpoint, attempts, load report.
 	endpointLoadReportName = "tally"
 
-	proxyTrafficReportName  = "usage"      // assign.ProxyTrafficReport: interval in ms, proxy, requests, failed, request class
-	shardTrafficReportName  = "heat"       // assign.ShardTrafficReport: failed, request class, requests, interval in ms, shard
-	proxyConnectedName      = "connected"  // assign.ProxyConnected: proxy, zone, typical rate in 1/s, fresh
+	proxyTrafficReportName  = "usage"      // assign.ProxyTrafficReport: interval in ms, proxy, requests, failed, class
+	shardTrafficReportName  = "heat"       // assign.ShardTrafficReport: failed, class, requests, interval in ms, shard
+	proxyConnectedName      = "connected"  // assign.ProxyConnected: proxy, zone, typical rate in 1/s, whether it is fresh
 	proxyDisconnectedName   = "left"       // assign.ProxyDisconnected: proxy
 	acknowledgedName        = "receipt"    // assign.Acknowledged: latency in ms, proxy, sequence number
-	shardAssignedName       = "given"      // assign.ShardAssigned: assigned, shard
+	shardAssignedName       = "given"      // assign.ShardAssigned: whether the shard is assigned, shard
 	shardEntryName          = "held"       // assign.ShardEntry: shard, endpoint, weight
 	healthCheckResultName   = "statusBack" // assign.HealthCheckResult: endpoint, code, latency in ms, load report
 	peerMessageReceivedName = "datagram"   // assign.PeerMessageReceived: sending assigner, data in base64
-	timerFiredName          = "ring"       // assign.TimerFired: id
+	timerFiredName          = "ring"       // assign.TimerFired: ID of the timer
 )
 
 // Modes of an endpoint update.
 const (
-	modeDelta   = "D" // entries that changed
-	modeFull    = "F" // all entries
-	modeCatchUp = "C" // all entries, to catch up
-	modeFailed  = "X" // the endpoint list is unavailable; entries is null
+	modeDelta   = "D" // the update has the entries that changed
+	modeFull    = "F" // the update has all entries
+	modeCatchUp = "C" // the update has all entries, for an instance that catches up
+	modeFailed  = "X" // the endpoint list is unavailable, and the field for entries is null
 )
 
-// States of an entry of an endpoint update. An entry has the fields zone, group, endpoint, weight, state, start time in ms
-// or null, and machine type or null.
+// States of an endpoint in an entry of an endpoint update. An entry is an array with the fields zone, group, endpoint,
+// weight, state, start time in ms or null, and machine type or null.
 const (
-	stateReady    = "healthy"      // assign.Ready
-	stateDraining = "cordoned"     // assign.Draining
-	stateRemoved  = "deregistered" // assign.Removed
+	stateReady    = "healthy"      // decoded into assign.Ready
+	stateDraining = "cordoned"     // decoded into assign.Draining
+	stateRemoved  = "deregistered" // decoded into assign.Removed
 )
 
-// Messages with an order. Field 0 is the instance; the comments list the fields from 1. Request classes are a bit mask by
-// position, 0 for all.
+// Names of messages with an order. Field 0 is the number of the instance, and the comments list the fields from 1.
+// Request classes are encoded as a bit mask of their positions, in which 0 stands for all request classes.
 const (
 	setWeightName             = "setLine"     // assign.SetWeight: table, weight, endpoint
 	clearTableName            = "wipe"        // assign.ClearTable: table
 	attachTableName           = "handTable"   // assign.AttachTable: proxy, table, request classes
 	setRateLimitName          = "gateClass"   // assign.SetRateLimit: retries, limit, table, request classes
-	ejectEndpointName         = "withdraw"    // assign.EjectEndpoint: ejected, endpoint
-	acknowledgmentRequestName = "nonce"       // assign.AcknowledgmentRequest: sequence number, all proxies
-	setTimerName              = "after"       // assign.SetTimer: delay in ms, id
-	logName                   = "journalLine" // assign.Log: text
+	ejectEndpointName         = "withdraw"    // assign.EjectEndpoint: whether the endpoint is ejected, endpoint
+	acknowledgmentRequestName = "nonce"       // assign.AcknowledgmentRequest: sequence number, whether to ask all proxies
+	setTimerName              = "after"       // assign.SetTimer: delay in ms, ID of the timer
+	logName                   = "journalLine" // assign.Log: text of the log line
 	healthCheckName           = "inspect"     // assign.HealthCheck: endpoint
-	sendPeerMessageName       = "publish"     // assign.SendPeerMessage: receiving assigner or -1 for all, data in base64
-	watchEndpointsName        = "track"       // assign.WatchEndpoints: enabled
-	fetchEndpointsName        = "getList"     // assign.FetchEndpoints: none
+	sendPeerMessageName       = "publish"     // assign.SendPeerMessage: receiving assigner or -1, data in base64
+	watchEndpointsName        = "track"       // assign.WatchEndpoints: whether updates are wanted
+	fetchEndpointsName        = "getList"     // assign.FetchEndpoints: no fields from 1
 )
 
-// Other messages of a reply.
+// Names of the other messages in a reply.
 const (
-	faultName = "fault" // EncodeFault: instance, reason
-	endName   = "end"   // EncodeEnd: number of the batch
+	faultName    = "fault" // encoded by EncodeFault: instance, reason
+	replyEndName = "end"   // encoded by EncodeReplyEnd: number of the batch
 )
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -11,7 +11,8 @@
 	"madderhollow/internal/fieldcheck"
 )
 
-func decode(t *testing.T, line string) Message {
+// mustDecode decodes a line with a new Decoder and ends the test on an error.
+func mustDecode(t *testing.T, line string) Message {
 	t.Helper()
 	message, err := NewDecoder().Decode([]byte(line))
 	if err != nil {
@@ -20,8 +21,8 @@
 	return message
 }
 
-// eventOf returns the event of a message, which must be for instance 3.
-func eventOf(t *testing.T, message Message) assign.Event {
+// instanceEvent returns the event in a message. It ends the test unless the message is an event for instance 3.
+func instanceEvent(t *testing.T, message Message) assign.Event {
 	t.Helper()
 	m, ok := message.(InstanceEvent)
 	if !ok || m.Instance != 3 {
@@ -51,7 +52,7 @@
 		`["ring",3,77]`:                          assign.TimerFired{ID: 77},
 		`["left",3,41]`:                          assign.ProxyDisconnected{Proxy: 41},
 	} {
-		if got := eventOf(t, decode(t, line)); !reflect.DeepEqual(got, want) {
+		if got := instanceEvent(t, mustDecode(t, line)); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s\n got %#v\nwant %#v", line, got, want)
 		}
 	}
@@ -64,14 +65,14 @@
 		`["flush"]`:            BatchEnd{},
 		`["weather",3,"rain"]`: UnknownMessage{"weather"},
 	} {
-		if got := decode(t, line); !reflect.DeepEqual(got, want) {
+		if got := mustDecode(t, line); !reflect.DeepEqual(got, want) {
 			t.Errorf("%s\n got %#v\nwant %#v", line, got, want)
 		}
 	}
 }
 
 func TestDecodeOpenInstance(t *testing.T) {
-	message := decode(t, `["openInstance",4,9007199254740993,{"az":"n","new":{"key":[1,"x"]},"roundMs":2,
+	message := mustDecode(t, `["openInstance",4,9007199254740993,{"az":"n","new":{"key":[1,"x"]},"roundMs":2,
 		"classes":[{"name":"r","effect":"keyed","group":"cell","worth":2,"onTimeMs":1500,"deadlineMs":3000,
 		"onlyZones":["n"]},{"effect":"odd"}],"familyInfo":{"bareMs":6000.0,"homeOnly":[false,true]},
 		"report":{"columns":["load_share","mean_ms"]}}]`)
@@ -92,11 +93,12 @@
 	}
 }
 
-// A line that cannot be decoded is reported with its message and field.
+// TestDecodeReportsMessageAndFieldOfInvalidLine guards against errors from which the operators cannot tell which
+// message and which field of a skipped line are invalid.
 func TestDecodeReportsMessageAndFieldOfInvalidLine(t *testing.T) {
 	for _, test := range []struct {
 		line    string
-		message string // name of the message, and of the entry, before the field
+		message string // name of the message, followed by the position of the entry for a field of an entry
 		field   string
 	}{
 		{`["left"]`, "left", "field 0"},
@@ -117,7 +119,7 @@
 		message, err := NewDecoder().Decode([]byte(test.line))
 		var fieldError *fieldcheck.Error
 		if !errors.As(err, &fieldError) || fieldError.Field != test.field || !strings.HasPrefix(err.Error(), test.message+": ") {
-			t.Errorf("%s: got error %v, want one of %s: %s (message %#v)", test.line, err, test.message, test.field, message)
+			t.Errorf("%s: got error %v, want an error of %s: %s (message %#v)", test.line, err, test.message, test.field, message)
 		}
 	}
 }
@@ -141,7 +143,7 @@
 		`{"a":1}`: ErrNotArray,
 		`[`:       ErrNotArray,
 		`[]`:      ErrEmptyMessage,
-		`[7]`:     ErrNoName,
+		`[7]`:     ErrNameNotString,
 	} {
 		if message, err := NewDecoder().Decode([]byte(line)); !errors.Is(err, want) {
 			t.Errorf("%s: got error %v, want %v (message %#v)", line, err, want, message)
@@ -164,11 +166,11 @@
 		`["track",3,true]`:              assign.WatchEndpoints{Enabled: true},
 		`["getList",3]`:                 assign.FetchEndpoints{},
 	} {
-		if got, err := Encode(3, order); err != nil || string(got) != want {
+		if got, err := EncodeOrder(3, order); err != nil || string(got) != want {
 			t.Errorf("got %s (%v), want %s", got, err, want)
 		}
 	}
-	if got, err := Encode(3, nil); !errors.Is(err, ErrUnknownOrder) {
+	if got, err := EncodeOrder(3, nil); !errors.Is(err, ErrUnknownOrder) {
 		t.Errorf("order without a type: got %s (%v), want error %q", got, err, ErrUnknownOrder)
 	}
 }
--- a/internal/wire/answer.go
+++ b/internal/wire/answer.go
@@ -14,70 +14,74 @@
 
 // Answer is the relay's answer to a call: the number of orders that it accepted, or an error code.
 type Answer struct {
-	Accepted int
-	Code     string // CodeBusy, CodeSyntax or another code; empty if the call succeeded
+	AcceptedOrders int    // number of orders that the relay accepted
+	ErrorCode      string // ErrorCodeBusy, ErrorCodeSyntax or another error code; empty if the call succeeded
 }
 
-// answerParser collects an Answer from the tokens of an XML document.
+// answerParser builds an Answer from the tokens of an XML document.
 type answerParser struct {
-	answer  Answer
-	found   bool   // the document has stated an answer
-	element string // innermost open element, in lower case
+	answer         Answer
+	hasAnswer      bool   // whether the document has stated a number of accepted orders or an error code so far
+	currentElement string // name of the element opened last, in lower case; empty once an element has been closed
 }
 
-// DecodeAnswer decodes the relay's answer. The code of an error may be in an element or in an attribute.
+// DecodeAnswer decodes the XML document with which the relay answers a call. The code of an error may be in an element
+// or in an attribute. An incomplete document is an error, and so is a document without a number of accepted orders or a
+// code.
 func DecodeAnswer(body []byte) (Answer, error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	parser := answerParser{}
 	for {
 		token, err := decoder.Token()
-		if errors.Is(err, io.EOF) && parser.found {
+		if errors.Is(err, io.EOF) && parser.hasAnswer {
 			return parser.answer, nil
 		}
 		if err != nil {
 			return Answer{}, fmt.Errorf("relay answer: %w", err)
 		}
-		if err := parser.apply(token); err != nil {
+		if err := parser.applyToken(token); err != nil {
 			return Answer{}, fmt.Errorf("relay answer: %w", err)
 		}
 	}
 }
 
-func (p *answerParser) apply(token xml.Token) error {
+// applyToken updates the answer with the next token of the document.
+func (p *answerParser) applyToken(token xml.Token) error {
 	switch token := token.(type) {
 	case xml.StartElement:
-		p.element = strings.ToLower(token.Name.Local)
+		p.currentElement = strings.ToLower(token.Name.Local)
 		for _, attribute := range token.Attr {
-			if strings.EqualFold(attribute.Name.Local, codeAttribute) {
-				p.setCode(attribute.Value)
+			if strings.EqualFold(attribute.Name.Local, errorCodeAttribute) {
+				p.setErrorCode(attribute.Value)
 			}
 		}
 	case xml.EndElement:
-		p.element = ""
+		p.currentElement = ""
 	case xml.CharData:
-		return p.text(strings.TrimSpace(string(token)))
+		return p.applyText(strings.TrimSpace(string(token)))
 	}
 	return nil
 }
 
-func (p *answerParser) text(text string) error {
-	switch p.element {
+// applyText updates the answer with the text of the current element, without surrounding white space.
+func (p *answerParser) applyText(text string) error {
+	switch p.currentElement {
 	case acceptedElement:
 		accepted, err := strconv.Atoi(text)
 		if err != nil || accepted < 0 {
 			return &fieldcheck.Error{Field: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
 		}
-		p.answer.Accepted = accepted
-		p.found = true
-	case codeElement, errorElement:
+		p.answer.AcceptedOrders = accepted
+		p.hasAnswer = true
+	case errorCodeElement, errorElement:
 		if text != "" {
-			p.setCode(text)
+			p.setErrorCode(text)
 		}
 	}
 	return nil
 }
 
-func (p *answerParser) setCode(code string) {
-	p.answer.Code = code
-	p.found = true
+func (p *answerParser) setErrorCode(code string) {
+	p.answer.ErrorCode = code
+	p.hasAnswer = true
 }
--- a/internal/wire/answer_test.go
+++ b/internal/wire/answer_test.go
@@ -4,9 +4,9 @@
 
 func TestDecodeAnswer(t *testing.T) {
 	for body, want := range map[string]Answer{
-		`<?xml version="1.0"?><Response><results><item><taken>3</taken></item></results></Response>`: {Accepted: 3},
-		`<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>`:                     {Code: "BUSY"},
-		`<Response><error code="SYNTAX"/></Response>`:                                                {Code: "SYNTAX"},
+		`<?xml version="1.0"?><Response><results><item><taken>3</taken></item></results></Response>`: {AcceptedOrders: 3},
+		`<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>`:                     {ErrorCode: "BUSY"},
+		`<Response><error code="SYNTAX"/></Response>`:                                                {ErrorCode: "SYNTAX"},
 	} {
 		if got, err := DecodeAnswer([]byte(body)); err != nil || got != want {
 			t.Errorf("%s: got %+v (%v), want %+v", body, got, err, want)
@@ -19,10 +19,10 @@
 		{input: ``},
 		{input: `ok`},
 		{input: `<Response><results><item><taken>3</taken>`},
-		{input: `<a><taken>-1</taken></a>`, field: "taken"},
+		{input: `<a><taken>-1</taken></a>`, wantField: "taken"},
 		{input: `<a><taken></taken></a>`},
 	} {
 		got, err := DecodeAnswer([]byte(test.input))
-		test.check(t, got, err)
+		test.checkRejected(t, got, err)
 	}
 }
--- a/internal/wire/bytes_test.go
+++ b/internal/wire/bytes_test.go
@@ -9,7 +9,7 @@
 	"madderhollow/internal/golden"
 )
 
-// relayOrders returns every type of order for the relay, with numbers of every magnitude.
+// relayOrders returns orders of every type that the relay accepts, with numbers of different magnitudes.
 func relayOrders() []assign.Order {
 	var orders []assign.Order
 	for _, table := range []int{0, 4, 65534} {
@@ -28,18 +28,19 @@
 	return orders
 }
 
-// TestEncodedOrdersMatchRecordedBytes compares encoded orders, one by one and as one call, with recorded bytes.
+// TestEncodedOrdersMatchRecordedBytes compares encoded orders with recorded bytes, one by one and as one call. It
+// guards against any change of the encoding.
 func TestEncodedOrdersMatchRecordedBytes(t *testing.T) {
 	var got bytes.Buffer
 	var texts []string
 	for _, order := range relayOrders() {
-		text, err := testCodec().EncodeOrder(order)
+		text, err := newTestCodec().EncodeOrder(order)
 		if err != nil {
 			t.Fatalf("%#v: %v", order, err)
 		}
 		texts = append(texts, text)
 		fmt.Fprintln(&got, text)
 	}
-	fmt.Fprintf(&got, "%s\n%s%s", EncodeCall(texts), Pong(), Refused())
+	fmt.Fprintf(&got, "%s\n%s%s", EncodeCall(texts), EncodePong(), EncodeRefused())
 	golden.Compare(t, "relay_bytes.txt", got.Bytes())
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,8 +1,8 @@
-// Package wire decodes and encodes the messages of the platform's protocol: reports, endpoint lists, relay events, orders
-// and the relay's answers. Each message is decoded once, into an event of package assign or a small type of this package.
-// The package does no I/O beyond reading the io.Reader of a Stream.
+// Package wire decodes and encodes the messages of the platform's protocol: reports, endpoint lists, relay events,
+// orders and the relay's answers. Each message is decoded once, into an event of package assign or a small type of this
+// package. The package does no I/O except that an EventStream reads from its io.Reader.
 //
-// names.go has the table of the protocol's names, with the term and the unit that each stands for.
+// The file names.go lists the names used in the protocol, with the term and the unit that each name stands for.
 package wire
 
 import (
@@ -20,78 +20,86 @@
 const (
 	millisecondsPerSecond      = 1000
 	microsecondsPerMillisecond = 1000
-	// maxProxies is the number of proxies if the settings do not state it. Proxy numbers have 16 bits; 65535 is not accepted.
-	maxProxies = math.MaxUint16
-	// maxNumber bounds counts and times. A larger value is a defective counter, and sums of it lose digits.
-	maxNumber = 1e9
-	// maxUnixTime bounds the start time of an endpoint, in ms: the year 5138, well below the range of time.Duration.
-	maxUnixTime = 1e14
-	// maxBusy bounds a busy fraction. 1 is full; measured values exceed that by some tenths.
-	maxBusy = 4
-	// tolerance multiplies the bounds derived from the settings, because clocks and timers are late on a busy machine.
-	tolerance = 10
+	// defaultProxyCount is the number of proxies assumed if the settings do not state it. Proxy numbers have 16 bits,
+	// and the number 65535 is not accepted.
+	defaultProxyCount = math.MaxUint16
+	// maxFieldValue is the largest value accepted in a numeric field. A larger value indicates a defective counter, and
+	// sums of such values lose precision.
+	maxFieldValue = 1e9
+	// maxUnixMilliseconds is the latest start time accepted for an endpoint, in ms of Unix time. It is in the year
+	// 5138, well within the range of time.Duration.
+	maxUnixMilliseconds = 1e14
+	// maxBusyFraction is the largest busy fraction accepted in a load report. A fully used endpoint reports 1, and
+	// measured values exceed 1 by a few tenths.
+	maxBusyFraction = 4
+	// boundTolerance multiplies the bounds that are derived from the settings, because clocks and timers run late
+	// on a busy machine.
+	boundTolerance = 10
 )
 
-// Errors of messages that parse but cannot be used. A field with an unusable value is a *fieldcheck.Error.
+// Errors of messages that are well-formed but cannot be used. A field with an invalid value is reported as a
+// *fieldcheck.Error instead.
 var (
-	ErrUnknownMessage = errors.New("unknown message type")
-	ErrUnknownZone    = errors.New("unknown zone")
-	ErrUnknownProxy   = errors.New("unknown proxy")
-	ErrUnknownClass   = errors.New("unknown request class")
-	ErrNoEndpointName = errors.New("endpoint name is empty")
-	ErrCannotEncode   = errors.New("order cannot be encoded")
+	ErrUnknownMessage      = errors.New("unknown message type")
+	ErrUnknownZone         = errors.New("unknown zone")
+	ErrUnknownProxy        = errors.New("unknown proxy")
+	ErrUnknownRequestClass = errors.New("unknown request class")
+	ErrNoEndpointName      = errors.New("endpoint name is empty")
+	ErrCannotEncode        = errors.New("order cannot be encoded")
 )
 
-// Codec holds the part of the configuration that messages refer to by name or by position. It does not change, so any
-// number of goroutines may use it.
+// Codec decodes and encodes messages. It holds the part of the configuration that messages refer to by name or by
+// position. A Codec is immutable and may be used by several goroutines at once.
 type Codec struct {
-	loadMetrics []assign.LoadMetric
-	classes     []string // names of the request classes, by position
-	zones       []string
-	proxies     int       // proxy numbers are below this
-	maxLatency  float64   // ms; a larger mean is invalid, since no client waits beyond the last deadline
-	maxInterval float64   // ms; a longer report interval is invalid
-	epoch       time.Time // wall clock's time at 0 of the assigner's clock
+	loadMetrics    []assign.LoadMetric // configured metrics, in the order of the values in assign.EndpointLoadReport.Load
+	requestClasses []string            // names of the request classes, by position
+	zones          []string            // names of the zones; empty in a deployment without zones
+	proxyCount     int                 // proxies are numbered from 0 to proxyCount-1
+	maxMeanLatency float64             // largest valid mean latency, ms; no client waits beyond the latest deadline
+	maxInterval    float64             // longest valid report interval, ms
+	epoch          time.Time           // wall-clock time at which the assigner's clock reads 0
 }
 
-// NewCodec returns a codec for a configuration. Epoch is the wall clock's time at 0 of the assigner's clock.
+// NewCodec returns a codec for a configuration. Epoch is the wall-clock time at which the assigner's clock reads 0.
 func NewCodec(config assign.Config, epoch time.Time) *Codec {
 	codec := &Codec{
-		loadMetrics: config.Reports.LoadMetrics,
-		zones:       config.Zones,
-		proxies:     maxProxies,
-		maxLatency:  maxNumber,
-		epoch:       epoch,
+		loadMetrics:    config.Reports.LoadMetrics,
+		zones:          config.Zones,
+		proxyCount:     defaultProxyCount,
+		maxMeanLatency: maxFieldValue,
+		epoch:          epoch,
 	}
 	deadline := 0.0
 	for _, class := range config.RequestClasses {
-		codec.classes = append(codec.classes, class.Name)
+		codec.requestClasses = append(codec.requestClasses, class.Name)
 		deadline = max(deadline, class.Deadline)
 	}
 	if config.ProxyCount != assign.UnknownProxyCount {
-		codec.proxies = int(config.ProxyCount)
+		codec.proxyCount = int(config.ProxyCount)
 	}
 	if deadline > 0 {
-		codec.maxLatency = min(maxNumber, tolerance*deadline*millisecondsPerSecond)
+		codec.maxMeanLatency = min(maxFieldValue, boundTolerance*deadline*millisecondsPerSecond)
 	}
 	codec.maxInterval = codec.maxReportInterval(config.Reports)
 	return codec
 }
 
-// maxReportInterval returns the longest time that a report may cover, ms. Under a cap on reports per second the proxies of
-// a large fleet report in turn, so a report covers the time since the proxy's previous one.
+// maxReportInterval returns the longest time that a report may cover, in ms. If the settings limit the reports per
+// second, the proxies of a large fleet take turns. A report then covers the time since the previous report of the same
+// proxy.
 func (c *Codec) maxReportInterval(reports assign.ReportConfig) float64 {
 	interval := reports.Interval
 	if interval <= 0 {
-		return maxNumber
+		return maxFieldValue
 	}
 	if reports.MaxPerSecond > 0 {
-		interval = max(interval, float64(c.proxies*len(c.classes))/reports.MaxPerSecond)
+		interval = max(interval, float64(c.proxyCount*len(c.requestClasses))/reports.MaxPerSecond)
 	}
-	return min(maxNumber, tolerance*interval*millisecondsPerSecond)
+	return min(maxFieldValue, boundTolerance*interval*millisecondsPerSecond)
 }
 
-// checkZone checks the name of a zone. Messages of a deployment without zones have no zone name.
+// checkZone returns ErrUnknownZone if no zone of the configuration has the name. In a deployment without zones the name
+// must be empty.
 func (c *Codec) checkZone(name string) error {
 	noZones := name == "" && len(c.zones) == 0
 	if !noZones && !slices.Contains(c.zones, name) {
@@ -100,19 +108,21 @@
 	return nil
 }
 
-// proxyTerm describes proxyField in errors.
-const proxyTerm = "number of a proxy"
+// proxyFieldDescription is the text for proxyField in errors.
+const proxyFieldDescription = "number of a proxy"
 
-// proxy returns the number of a proxy; a nil value is a missing field.
-func (c *Codec) proxy(checks *fieldcheck.Checks, value *float64) int {
-	number := checks.Count(proxyField, proxyTerm, value, maxNumber)
-	if number >= c.proxies {
-		checks.Keep(fmt.Errorf("%w %d in %q, want one below %d", ErrUnknownProxy, number, proxyField, c.proxies))
+// decodeProxy returns the number of a proxy and records an error in checks if the number is invalid. A nil value stands
+// for a missing field.
+func (c *Codec) decodeProxy(checks *fieldcheck.Checks, value *float64) int {
+	number := checks.Count(proxyField, proxyFieldDescription, value, maxFieldValue)
+	if number >= c.proxyCount {
+		checks.Keep(fmt.Errorf("%w %d in %q, want a number below %d", ErrUnknownProxy, number, proxyField, c.proxyCount))
 	}
 	return number
 }
 
-// isOrderArgument reports whether a name can be written into an order.
-func isOrderArgument(name string) bool {
+// isValidOrderArgument reports whether a name can be an argument of an order: it is not empty and has no character that
+// orders use as a separator or wildcard.
+func isValidOrderArgument(name string) bool {
 	return name != "" && !strings.ContainsAny(name, reservedCharacters)
 }
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -11,25 +11,25 @@
 	"madderhollow/internal/fieldcheck"
 )
 
-// DecodeEndpointList decodes an answer of discovery. One entry that cannot be used makes the whole list unusable: an
-// endpoint left out of a full list would count as removed.
+// DecodeEndpointList decodes an endpoint list that discovery has sent. One invalid entry makes the whole list an error,
+// because an endpoint that is left out of a full list counts as removed.
 func (c *Codec) DecodeEndpointList(body []byte) (assign.EndpointUpdate, error) {
 	var list EndpointList
 	if err := json.Unmarshal(body, &list); err != nil {
 		return assign.EndpointUpdate{}, fmt.Errorf("malformed endpoint list: %w", err)
 	}
-	return c.EndpointUpdate(list)
+	return c.ConvertEndpointList(list)
 }
 
-// EndpointUpdate converts an endpoint list into an event.
-func (c *Codec) EndpointUpdate(list EndpointList) (assign.EndpointUpdate, error) {
+// ConvertEndpointList converts an endpoint list into an event. One invalid entry makes the whole list an error.
+func (c *Codec) ConvertEndpointList(list EndpointList) (assign.EndpointUpdate, error) {
 	if err := checkHeader(list); err != nil {
 		return assign.EndpointUpdate{}, fmt.Errorf("endpoint list: %w", err)
 	}
 	endpoints := make([]assign.Endpoint, len(list.Endpoints))
 	for i, entry := range list.Endpoints {
 		checks := &fieldcheck.Checks{}
-		endpoints[i] = c.endpoint(checks, entry)
+		endpoints[i] = c.decodeEndpoint(checks, entry)
 		if err := checks.Err(); err != nil {
 			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", *list.Version, i, entry.Name, err)
 		}
@@ -37,7 +37,7 @@
 	return assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full, Endpoints: endpoints}, nil
 }
 
-// checkHeader checks the fields of a list besides its entries.
+// checkHeader returns an error if the version of an endpoint list or its flag for a full list is missing or invalid.
 func checkHeader(list EndpointList) error {
 	if list.Version == nil || *list.Version < 0 {
 		return &fieldcheck.Error{Field: versionField, Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"}
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// valueOrMissing returns a value as text for an error. A nil value stands for a missing field.
 func valueOrMissing(value *int64) string {
 	if value == nil {
 		return fieldcheck.Missing
@@ -55,10 +56,11 @@
 	return strconv.FormatInt(*value, 10)
 }
 
-func (c *Codec) endpoint(checks *fieldcheck.Checks, entry ListedEndpoint) assign.Endpoint {
-	state, err := endpointState(entry.State)
+// decodeEndpoint converts one entry of an endpoint list and records the first invalid field in checks.
+func (c *Codec) decodeEndpoint(checks *fieldcheck.Checks, entry ListedEndpoint) assign.Endpoint {
+	state, err := decodeEndpointState(entry.State)
 	checks.Keep(err)
-	if !isOrderArgument(entry.Name) {
+	if !isValidOrderArgument(entry.Name) {
 		checks.Keep(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
 			Want: fmt.Sprintf("name of an endpoint: a string, not empty, without any of %q", reservedCharacters)})
 	}
@@ -66,14 +68,17 @@
 		Zone:         entry.Zone,
 		MachineGroup: entry.Group,
 		Name:         entry.Name,
-		Weight:       checks.Number(weightField, "weight", &entry.Weight, maxNumber),
+		Weight:       checks.Number(weightField, "weight", &entry.Weight, maxFieldValue),
 		State:        state,
-		StartedAt:    c.clockTime(checks.Number(startedAtField, "Unix time of the start in ms", &entry.StartedAt, maxUnixTime)),
-		MachineType:  entry.MachineType,
+		StartedAt: c.toAssignerClock(checks.Number(startedAtField, "Unix time of the start in ms",
+			&entry.StartedAt, maxUnixMilliseconds)),
+		MachineType: entry.MachineType,
 	}
 }
 
-func endpointState(state string) (assign.EndpointState, error) {
+// decodeEndpointState returns the endpoint state that a text in an endpoint list stands for. The error is a
+// *fieldcheck.Error.
+func decodeEndpointState(state string) (assign.EndpointState, error) {
 	switch state {
 	case stateReady:
 		return assign.Ready, nil
@@ -86,12 +91,12 @@
 		Want: fmt.Sprintf("state of an endpoint: %s, %s or %s", stateReady, stateDraining, stateRemoved)}
 }
 
-// clockTime converts a Unix time in ms to the assigner's clock, in s. Times before the clock's 0 become 0, which means long
-// ago.
-func (c *Codec) clockTime(unix float64) float64 {
-	if unix <= 0 {
+// toAssignerClock converts a Unix time in ms to a time of the assigner's clock in seconds. A time before the epoch of
+// that clock becomes 0, which stands for a start long ago.
+func (c *Codec) toAssignerClock(unixMilliseconds float64) float64 {
+	if unixMilliseconds <= 0 {
 		return 0
 	}
-	sinceEpoch := time.UnixMicro(int64(unix * microsecondsPerMillisecond)).Sub(c.epoch)
+	sinceEpoch := time.UnixMicro(int64(unixMilliseconds * microsecondsPerMillisecond)).Sub(c.epoch)
 	return math.Max(0, sinceEpoch.Seconds())
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -12,7 +12,7 @@
 		`"metrics":{"inflight":7,"util":0.5}}`))
 	f.Add([]byte(`{"@type":"usage","node":5,"route":"sign","total":0,"errors":1,"interval":1000}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		message, err := testCodec().DecodeMessage(line)
+		message, err := newTestCodec().DecodeMessage(line)
 		if err != nil {
 			return
 		}
@@ -34,9 +34,9 @@
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"index":41,"snapshot":true,"endpoints":[{"name":"s","zone":"a","status":"left","weight":1.5,"since_ms":1002500}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		update, err := testCodec().DecodeEndpointList(body)
+		update, err := newTestCodec().DecodeEndpointList(body)
 		for _, endpoint := range update.Endpoints {
-			if err == nil && (!isOrderArgument(endpoint.Name) || !(endpoint.Weight >= 0) || !(endpoint.StartedAt >= 0)) {
+			if err == nil && (!isValidOrderArgument(endpoint.Name) || !(endpoint.Weight >= 0) || !(endpoint.StartedAt >= 0)) {
 				t.Errorf("%s: got %+v, want a name without special characters, weight and start from 0", body, endpoint)
 			}
 		}
@@ -47,15 +47,15 @@
 	f.Add([]byte("event: joined\ndata: node=3&locality=a&w=21.5&cold=1\n\n"))
 	f.Add([]byte(`<Response><results><item><taken>3</taken></item></results></Response>`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if answer, err := DecodeAnswer(text); err == nil && answer.Accepted < 0 {
+		if answer, err := DecodeAnswer(text); err == nil && answer.AcceptedOrders < 0 {
 			t.Errorf("%s: got %+v, want accepted orders from 0", text, answer)
 		}
-		for stream := NewStream(strings.NewReader(string(text))); ; {
+		for stream := NewEventStream(strings.NewReader(string(text))); ; {
 			eventType, data, err := stream.Next()
 			if err != nil {
 				break
 			}
-			event, err := testCodec().DecodeRelayEvent(eventType, data)
+			event, err := newTestCodec().DecodeRelayEvent(eventType, data)
 			connected, ok := event.(assign.ProxyConnected)
 			if ok && err == nil && (connected.Proxy < 0 || connected.Proxy > 5 || !(connected.TypicalRate >= 0)) {
 				t.Errorf("%s: got %+v, want a proxy from 0 to 5 and a rate from 0", data, connected)
--- a/internal/wire/names_test.go
+++ b/internal/wire/names_test.go
@@ -5,24 +5,25 @@
 	"testing"
 )
 
-// Errors name fields by the constants, decoding uses the struct tags.
+// TestFieldConstantsMatchTags guards against errors that name a field wrongly: errors take the names of fields from
+// constants, whereas decoding takes them from struct tags.
 func TestFieldConstantsMatchTags(t *testing.T) {
-	report, list, entry := reflect.TypeFor[reportFields](), reflect.TypeFor[EndpointList](), reflect.TypeFor[ListedEndpoint]()
+	message, list, entry := reflect.TypeFor[messageFields](), reflect.TypeFor[EndpointList](), reflect.TypeFor[ListedEndpoint]()
 	for _, test := range []struct {
-		structure reflect.Type
-		field     string
-		want      string
+		structType reflect.Type
+		fieldName  string
+		wantTag    string
 	}{
-		{report, "Zone", zoneField}, {report, "Endpoint", endpointField}, {report, "RequestClass", requestClassField},
-		{report, "Proxy", proxyField}, {report, "Requests", requestsField}, {report, "Failed", failedField},
-		{report, "MeanLatency", meanLatencyField}, {report, "Interval", reportIntervalField},
+		{message, "Zone", zoneField}, {message, "Endpoint", endpointField}, {message, "RequestClass", requestClassField},
+		{message, "Proxy", proxyField}, {message, "Requests", requestsField}, {message, "Failed", failedField},
+		{message, "MeanLatency", meanLatencyField}, {message, "Interval", reportIntervalField},
 		{list, "Version", versionField}, {list, "Full", fullField},
 		{entry, "Name", nameField}, {entry, "State", stateField}, {entry, "Weight", weightField},
 		{entry, "StartedAt", startedAtField},
 	} {
-		field, ok := test.structure.FieldByName(test.field)
-		if got := field.Tag.Get("json"); !ok || got != test.want {
-			t.Errorf("%s.%s: got tag %q, want %q", test.structure.Name(), test.field, got, test.want)
+		field, ok := test.structType.FieldByName(test.fieldName)
+		if got := field.Tag.Get("json"); !ok || got != test.wantTag {
+			t.Errorf("%s.%s: got tag %q, want %q", test.structType.Name(), test.fieldName, got, test.wantTag)
 		}
 	}
 }
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -9,70 +9,74 @@
 	"madderhollow/assign"
 )
 
-// EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode for an order of another type, and for a
-// request class that is not configured or whose name cannot be written. Endpoint names are not checked here:
-// EndpointUpdate has rejected those that cannot be written.
+// EncodeOrder encodes one order for the proxies. The error is ErrCannotEncode if the protocol has no order of that
+// type, if a request class is not configured, or if the name of a request class is no valid argument of an order. The
+// names of endpoints are not checked, because ConvertEndpointList rejects names that are no valid arguments.
 func (c *Codec) EncodeOrder(order assign.Order) (string, error) {
 	switch order := order.(type) {
 	case assign.SetWeight:
-		return encode(setWeightOrder, strconv.Itoa(order.Table), order.Endpoint, decimal(order.Weight)), nil
+		return joinOrder(setWeightOrder, strconv.Itoa(order.Table), order.Endpoint, formatDecimal(order.Weight)), nil
 	case assign.ClearTable:
-		return encode(clearTableOrder, strconv.Itoa(order.Table)), nil
+		return joinOrder(clearTableOrder, strconv.Itoa(order.Table)), nil
 	case assign.AttachTable:
-		classes, err := c.classNames(order.RequestClasses)
-		return encode(attachTableOrder, strconv.Itoa(order.Proxy), strconv.Itoa(order.Table), classes), err
+		classes, err := c.joinRequestClasses(order.RequestClasses)
+		return joinOrder(attachTableOrder, strconv.Itoa(order.Proxy), strconv.Itoa(order.Table), classes), err
 	case assign.SetRateLimit:
-		classes, err := c.classNames(order.RequestClasses)
-		return encode(setRateLimitOrder, tableName(order.Table), classes, decimal(order.Limit), strconv.Itoa(order.Retries)), err
+		classes, err := c.joinRequestClasses(order.RequestClasses)
+		return joinOrder(setRateLimitOrder, formatTable(order.Table), classes, formatDecimal(order.Limit),
+			strconv.Itoa(order.Retries)), err
 	case assign.EjectEndpoint:
 		if order.Ejected {
-			return encode(ejectEndpointOrder, order.Endpoint), nil
+			return joinOrder(ejectEndpointOrder, order.Endpoint), nil
 		}
-		return encode(restoreEndpointOrder, order.Endpoint), nil
+		return joinOrder(restoreEndpointOrder, order.Endpoint), nil
 	case assign.AcknowledgmentRequest:
-		return encode(acknowledgmentRequestOrder, strconv.Itoa(order.Sequence), flag(order.AllProxies)), nil
+		return joinOrder(acknowledgmentRequestOrder, strconv.Itoa(order.Sequence), formatFlag(order.AllProxies)), nil
 	}
 	return "", fmt.Errorf("%w: type %T", ErrCannotEncode, order)
 }
 
-// encode joins the name of an order and its arguments.
-func encode(name string, arguments ...string) string {
+// joinOrder returns the text of an order from its name and its arguments.
+func joinOrder(name string, arguments ...string) string {
 	return name + argumentSeparator + strings.Join(arguments, argumentSeparator)
 }
 
-// classNames joins request classes, given by position.
-func (c *Codec) classNames(classes []int) (string, error) {
+// joinRequestClasses returns the argument of an order that names request classes, which are given by their positions in
+// the settings. No positions stand for all request classes. The error is ErrCannotEncode.
+func (c *Codec) joinRequestClasses(classes []int) (string, error) {
 	if len(classes) == 0 {
-		return allTablesOrClasses, nil
+		return wildcard, nil
 	}
 	names := make([]string, len(classes))
 	for i, class := range classes {
-		if class < 0 || class >= len(c.classes) || !isOrderArgument(c.classes[class]) {
+		if class < 0 || class >= len(c.requestClasses) || !isValidOrderArgument(c.requestClasses[class]) {
 			return "", fmt.Errorf("%w: request class %d", ErrCannotEncode, class)
 		}
-		names[i] = c.classes[class]
+		names[i] = c.requestClasses[class]
 	}
 	return strings.Join(names, requestClassSeparator), nil
 }
 
-func tableName(table int) string {
+// formatTable returns the argument of an order that names a table, or all tables for assign.AllProxyTables.
+func formatTable(table int) string {
 	if table == assign.AllProxyTables {
-		return allTablesOrClasses
+		return wildcard
 	}
 	return strconv.Itoa(table)
 }
 
-// decimal formats a number without an exponent.
-func decimal(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+// formatDecimal formats a number without an exponent, with the fewest digits that identify its float64 value.
+func formatDecimal(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
 
-func flag(set bool) string {
+// formatFlag returns "1" for true and "0" for false.
+func formatFlag(set bool) string {
 	if set {
 		return "1"
 	}
 	return "0"
 }
 
-// EncodeCall returns the body of a call to the relay with encoded orders.
+// EncodeCall returns the body of a call to the relay that contains orders in their encoded form.
 func EncodeCall(orders []string) []byte {
-	return []byte(callPrefix + url.QueryEscape(strings.Join(orders, orderSeparator)))
+	return []byte(callBodyPrefix + url.QueryEscape(strings.Join(orders, orderSeparator)))
 }
--- a/internal/wire/orders_test.go
+++ b/internal/wire/orders_test.go
@@ -19,7 +19,7 @@
 		"gate,*,*,1000000000,0": assign.SetRateLimit{Table: assign.AllProxyTables, Limit: 1e9},
 		"fence,905,1":           assign.AcknowledgmentRequest{Sequence: 905, AllProxies: true},
 	} {
-		if got, err := testCodec().EncodeOrder(order); err != nil || got != want {
+		if got, err := newTestCodec().EncodeOrder(order); err != nil || got != want {
 			t.Errorf("got %s (%v), want %s", got, err, want)
 		}
 	}
@@ -27,7 +27,7 @@
 
 func TestEncodeOrderRejectsUnknownClassAndType(t *testing.T) {
 	for _, order := range []assign.Order{assign.AttachTable{RequestClasses: []int{7}}, assign.SetTimer{}} {
-		if got, err := testCodec().EncodeOrder(order); !errors.Is(err, ErrCannotEncode) {
+		if got, err := newTestCodec().EncodeOrder(order); !errors.Is(err, ErrCannotEncode) {
 			t.Errorf("%#v: got %q (%v), want error %q", order, got, err, ErrCannotEncode)
 		}
 	}
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -9,8 +9,8 @@
 	"madderhollow/internal/fieldcheck"
 )
 
-// DecodeRelayEvent decodes one event of the relay's stream, with its type and its data, into assign.ProxyConnected,
-// assign.ProxyDisconnected or assign.Acknowledged.
+// DecodeRelayEvent decodes one event of the relay's stream, given by its type and its data, into assign.ProxyConnected,
+// assign.ProxyDisconnected or assign.Acknowledged. The error is ErrUnknownMessage for an event of another type.
 func (c *Codec) DecodeRelayEvent(eventType, data string) (assign.Event, error) {
 	values, err := url.ParseQuery(data)
 	if err != nil {
@@ -20,11 +20,11 @@
 	var event assign.Event
 	switch eventType {
 	case proxyConnectedType:
-		event = c.proxyConnected(fields)
+		event = c.decodeProxyConnected(fields)
 	case proxyDisconnectedType:
-		event = assign.ProxyDisconnected{Proxy: c.eventProxy(fields)}
+		event = assign.ProxyDisconnected{Proxy: c.decodeEventProxy(fields)}
 	case acknowledgedType:
-		event = c.acknowledged(fields)
+		event = c.decodeAcknowledged(fields)
 	default:
 		return nil, fmt.Errorf("%s: %w", eventType, ErrUnknownMessage)
 	}
@@ -34,8 +34,9 @@
 	return event, nil
 }
 
-func (c *Codec) proxyConnected(fields *eventFields) assign.ProxyConnected {
-	proxy := c.eventProxy(fields)
+// decodeProxyConnected decodes the fields of an event that reports a connected proxy.
+func (c *Codec) decodeProxyConnected(fields *eventFields) assign.ProxyConnected {
+	proxy := c.decodeEventProxy(fields)
 	zone := fields.values.Get(zoneField)
 	fields.checks.Keep(c.checkZone(zone))
 	return assign.ProxyConnected{
@@ -46,40 +47,46 @@
 	}
 }
 
-// sequenceTerm is what the field of a sequence number holds.
-const sequenceTerm = "sequence number"
+// sequenceFieldDescription is the text for sequenceField in errors.
+const sequenceFieldDescription = "sequence number"
 
-func (c *Codec) acknowledged(fields *eventFields) assign.Acknowledged {
-	sequence := fields.number(sequenceField, sequenceTerm)
+// decodeAcknowledged decodes the fields of an event that reports an acknowledgment by a proxy.
+func (c *Codec) decodeAcknowledged(fields *eventFields) assign.Acknowledged {
+	sequence := fields.number(sequenceField, sequenceFieldDescription)
 	return assign.Acknowledged{
-		Proxy:    c.eventProxy(fields),
-		Sequence: fields.checks.Count(sequenceField, sequenceTerm, &sequence, maxNumber),
-		Latency:  fields.number(ackLatencyField, "latency in ms") / millisecondsPerSecond,
+		Proxy:    c.decodeEventProxy(fields),
+		Sequence: fields.checks.Count(sequenceField, sequenceFieldDescription, &sequence, maxFieldValue),
+		Latency:  fields.number(acknowledgmentLatencyField, "latency in ms") / millisecondsPerSecond,
 	}
 }
 
-func (c *Codec) eventProxy(fields *eventFields) int {
-	number := fields.number(proxyField, proxyTerm)
-	return c.proxy(&fields.checks, &number)
+// decodeEventProxy returns the number of the proxy that a relay event is about.
+func (c *Codec) decodeEventProxy(fields *eventFields) int {
+	number := fields.number(proxyField, proxyFieldDescription)
+	return c.decodeProxy(&fields.checks, &number)
 }
 
-// eventFields reads the fields of a relay event and keeps the first error.
+// eventFields reads the fields of a relay event. It keeps the first error, so the caller may
+// read several fields before it looks at checks.Err.
 type eventFields struct {
 	checks fieldcheck.Checks
 	values url.Values
 }
 
-// number returns a field that holds a number from 0 to maxNumber. Term is what it holds, with its unit.
-func (f *eventFields) number(name, term string) float64 {
+// number returns the value of a field that holds a number from 0 to maxFieldValue, and 0 if the field is invalid.
+// Description is the text for the
+// field in errors, with its unit.
+func (f *eventFields) number(name, description string) float64 {
 	value, err := strconv.ParseFloat(f.values.Get(name), 64)
 	if err != nil {
-		f.checks.Keep(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: term + ": a number"})
+		f.checks.Keep(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
 		return 0
 	}
-	return f.checks.Number(name, term, &value, maxNumber)
+	return f.checks.Number(name, description, &value, maxFieldValue)
 }
 
-// quoted returns a field's text for an error.
+// quoted returns the text of a field in quotation marks, or fieldcheck.Missing for a missing field, for use in an
+// error.
 func (f *eventFields) quoted(name string) string {
 	if !f.values.Has(name) {
 		return fieldcheck.Missing
--- a/internal/wire/relayevents_test.go
+++ b/internal/wire/relayevents_test.go
@@ -12,7 +12,7 @@
 		{"left", "node=3"}:                            assign.ProxyDisconnected{Proxy: 3},
 		{"applied", "node=3&nonce=905&latency=310.5"}: assign.Acknowledged{Proxy: 3, Sequence: 905, Latency: 0.3105},
 	} {
-		if got, err := testCodec().DecodeRelayEvent(event[0], event[1]); err != nil || got != want {
+		if got, err := newTestCodec().DecodeRelayEvent(event[0], event[1]); err != nil || got != want {
 			t.Errorf("%v: got %#v (%v), want %#v", event, got, err, want)
 		}
 	}
@@ -23,19 +23,19 @@
 		eventType string
 		invalidInput
 	}{
-		{"joined", invalidInput{input: "node=6&locality=a&w=1&cold=0", is: ErrUnknownProxy}},
-		{"joined", invalidInput{input: "node=1&locality=q&w=1&cold=0", is: ErrUnknownZone}},
-		{"joined", invalidInput{input: "node=1&locality=a&w=NaN&cold=0", field: "w"}},
-		{"left", invalidInput{input: "node=", field: "node"}},
+		{"joined", invalidInput{input: "node=6&locality=a&w=1&cold=0", wantError: ErrUnknownProxy}},
+		{"joined", invalidInput{input: "node=1&locality=q&w=1&cold=0", wantError: ErrUnknownZone}},
+		{"joined", invalidInput{input: "node=1&locality=a&w=NaN&cold=0", wantField: "w"}},
+		{"left", invalidInput{input: "node=", wantField: "node"}},
 		{"left", invalidInput{input: "%zz"}},
-		{"applied", invalidInput{input: "node=1&nonce=-1&latency=0", field: "nonce"}},
-		{"applied", invalidInput{input: "node=1&nonce=905.5&latency=0", field: "nonce"}},
-		{"odd", invalidInput{input: "node=1", is: ErrUnknownMessage}},
-		{"odd", invalidInput{input: "node=x", is: ErrUnknownMessage}},
-		{"odd", invalidInput{input: "", is: ErrUnknownMessage}},
+		{"applied", invalidInput{input: "node=1&nonce=-1&latency=0", wantField: "nonce"}},
+		{"applied", invalidInput{input: "node=1&nonce=905.5&latency=0", wantField: "nonce"}},
+		{"odd", invalidInput{input: "node=1", wantError: ErrUnknownMessage}},
+		{"odd", invalidInput{input: "node=x", wantError: ErrUnknownMessage}},
+		{"odd", invalidInput{input: "", wantError: ErrUnknownMessage}},
 	} {
-		got, err := testCodec().DecodeRelayEvent(test.eventType, test.input)
-		test.check(t, got, err)
+		got, err := newTestCodec().DecodeRelayEvent(test.eventType, test.input)
+		test.checkRejected(t, got, err)
 	}
 }
 
@@ -45,7 +45,7 @@
 		"node=":  `left: "node" is "", want number of a proxy: a number`,
 		"node=x": `left: "node" is "x", want number of a proxy: a number`,
 	} {
-		if got, err := testCodec().DecodeRelayEvent(proxyDisconnectedType, data); err == nil || err.Error() != want {
+		if got, err := newTestCodec().DecodeRelayEvent(proxyDisconnectedType, data); err == nil || err.Error() != want {
 			t.Errorf("%q: got %v (%v), want error %s", data, got, err, want)
 		}
 	}
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -11,34 +11,36 @@
 	"madderhollow/internal/settings"
 )
 
-// Message is a message that a client sends to the assigner's address: Ping, Collector or Report.
+// Message is a message that a client sends to the assigner's address. Its type is Ping, Collector or Report.
 type Message interface{ isMessage() }
 
-// Ping asks whether the assigner is ready. The answer is Pong.
+// Ping asks whether the assigner is ready. EncodePong encodes the answer.
 type Ping struct{}
 
-// Collector identifies the connection as that of a collector, and names the zone whose reports it sends.
+// Collector is the message with which a collector identifies its connection. It names the zone that the collector
+// reports on.
 type Collector struct{ Zone string }
 
-// Report holds an assign.EndpointLoadReport or an assign.ProxyTrafficReport.
+// Report is a message whose event is an assign.EndpointLoadReport or an assign.ProxyTrafficReport.
 type Report struct{ Event assign.Event }
 
 func (Ping) isMessage()      {}
 func (Collector) isMessage() {}
 func (Report) isMessage()    {}
 
-// Pong returns the line that answers Ping.
-func Pong() []byte { return []byte(`{"@type":"` + pongType + `"}` + "\n") }
+// EncodePong returns the line that answers a Ping, with its line end.
+func EncodePong() []byte { return []byte(`{"@type":"` + pongType + `"}` + "\n") }
 
-// Refused returns the line that a client receives before its connection is closed.
-func Refused() []byte { return []byte(`{"@type":"` + refusedType + `"}` + "\n") }
+// EncodeRefused returns the line that a client is sent before the assigner closes its connection, with its line end.
+func EncodeRefused() []byte { return []byte(`{"@type":"` + refusedType + `"}` + "\n") }
 
-// missingMetric marks a metric that the load report has not stated.
+// missingMetric is the placeholder for a metric that a load report does not contain. Valid values are not negative.
 const missingMetric = -1
 
-// DecodeMessage decodes one line received at the assigner's address.
+// DecodeMessage decodes one line received at the assigner's address. The error wraps ErrUnknownMessage for an
+// unknown type. For a message of a known type, the error names the first invalid field.
 func (c *Codec) DecodeMessage(line []byte) (Message, error) {
-	var fields reportFields
+	var fields messageFields
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return nil, fmt.Errorf("malformed message: %w", err)
 	}
@@ -51,9 +53,9 @@
 		checks.Keep(c.checkZone(fields.Zone))
 		message = Collector{fields.Zone}
 	case endpointLoadReportType:
-		message = Report{c.endpointLoadReport(checks, &fields)}
+		message = Report{c.decodeEndpointLoadReport(checks, &fields)}
 	case proxyTrafficReportType:
-		message = Report{c.proxyTrafficReport(checks, &fields)}
+		message = Report{c.decodeProxyTrafficReport(checks, &fields)}
 	default:
 		return nil, fmt.Errorf("%w %q", ErrUnknownMessage, fields.Type)
 	}
@@ -63,37 +65,41 @@
 	return message, nil
 }
 
-// commonFields are the fields that both reports have.
-type commonFields struct {
-	requests int // or attempts
-	failed   int
-	interval float64 // s
+// commonReportFields has the values that are common to endpoint load reports and proxy traffic reports.
+type commonReportFields struct {
+	requests int     // number of requests, or of attempts in an endpoint load report
+	failed   int     // number of failed requests or attempts
+	interval float64 // time that the report covers, in seconds
 }
 
-func (c *Codec) commonFields(checks *fieldcheck.Checks, fields *reportFields) commonFields {
-	requests := checks.Count(requestsField, "requests or attempts", fields.Requests, maxNumber)
-	failed := checks.Count(failedField, "failed requests or attempts", fields.Failed, maxNumber)
+// decodeCommonFields decodes the fields that are common to both types of report and records the first invalid field in
+// checks.
+func (c *Codec) decodeCommonFields(checks *fieldcheck.Checks, fields *messageFields) commonReportFields {
+	requests := checks.Count(requestsField, "requests or attempts", fields.Requests, maxFieldValue)
+	failed := checks.Count(failedField, "failed requests or attempts", fields.Failed, maxFieldValue)
 	interval := checks.Number(reportIntervalField, "report interval in ms", fields.Interval, c.maxInterval)
 	if interval == 0 {
 		checks.Keep(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
 	}
-	return commonFields{requests, failed, interval / millisecondsPerSecond}
+	return commonReportFields{requests, failed, interval / millisecondsPerSecond}
 }
 
-func (c *Codec) endpointLoadReport(checks *fieldcheck.Checks, fields *reportFields) assign.EndpointLoadReport {
-	counts := c.commonFields(checks, fields)
+// decodeEndpointLoadReport decodes the fields of an endpoint load report and records the first invalid field in checks.
+func (c *Codec) decodeEndpointLoadReport(checks *fieldcheck.Checks, fields *messageFields) assign.EndpointLoadReport {
+	counts := c.decodeCommonFields(checks, fields)
 	checks.Keep(c.checkZone(fields.Zone))
 	if fields.Endpoint == "" {
 		checks.Keep(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
 	}
-	// Only attempts are checked against their failures: a request may fail in an interval after that of its arrival.
+	// Attempts cannot be fewer than the failed attempts. Proxy traffic reports have no such check, because a request
+	// may fail in a later report interval than the interval of its arrival.
 	if counts.failed > counts.requests {
 		checks.Keep(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
 			Want: fmt.Sprintf("failed attempts: at most the %d attempts", counts.requests)})
 	}
 	latency := 0.0
-	if counts.requests > counts.failed { // without a successful attempt the latency has no meaning and may be missing
-		latency = checks.Number(meanLatencyField, "mean latency in ms", fields.MeanLatency, c.maxLatency)
+	if counts.requests > counts.failed { // the mean latency is undefined and may be missing if no attempt succeeded
+		latency = checks.Number(meanLatencyField, "mean latency in ms", fields.MeanLatency, c.maxMeanLatency)
 	}
 	return assign.EndpointLoadReport{
 		Zone:        fields.Zone,
@@ -102,15 +108,16 @@
 		MeanLatency: latency / millisecondsPerSecond,
 		Attempts:    counts.requests,
 		Failed:      counts.failed,
-		Load:        c.load(fields.Load),
+		Load:        c.decodeLoadReport(fields.Load),
 	}
 }
 
-func (c *Codec) proxyTrafficReport(checks *fieldcheck.Checks, fields *reportFields) assign.ProxyTrafficReport {
-	counts := c.commonFields(checks, fields)
-	proxy := c.proxy(checks, fields.Proxy)
-	if !slices.Contains(c.classes, fields.RequestClass) {
-		checks.Keep(fmt.Errorf("%w %q in %q", ErrUnknownClass, fields.RequestClass, requestClassField))
+// decodeProxyTrafficReport decodes the fields of a proxy traffic report and records the first invalid field in checks.
+func (c *Codec) decodeProxyTrafficReport(checks *fieldcheck.Checks, fields *messageFields) assign.ProxyTrafficReport {
+	counts := c.decodeCommonFields(checks, fields)
+	proxy := c.decodeProxy(checks, fields.Proxy)
+	if !slices.Contains(c.requestClasses, fields.RequestClass) {
+		checks.Keep(fmt.Errorf("%w %q in %q", ErrUnknownRequestClass, fields.RequestClass, requestClassField))
 	}
 	return assign.ProxyTrafficReport{
 		Proxy:        proxy,
@@ -121,35 +128,37 @@
 	}
 }
 
-// load returns the values of a load report in the order of the configured metrics. A report with a missing or invalid
-// metric is dropped whole, because a zero in its place would look like an idle endpoint. The rest of the message is used.
-func (c *Codec) load(data json.RawMessage) []float64 {
+// decodeLoadReport returns the values of a load report in the order of the configured metrics, in the units of package
+// assign. It returns nil if the value of any metric is missing or invalid: a zero in its place would make the endpoint
+// look idle. The other fields of the message remain valid.
+func (c *Codec) decodeLoadReport(data json.RawMessage) []float64 {
 	values := map[string]float64{}
 	if len(data) == 0 || len(c.loadMetrics) == 0 || json.Unmarshal(data, &values) != nil {
 		return nil
 	}
-	row := slices.Repeat([]float64{missingMetric}, len(c.loadMetrics))
+	loadValues := slices.Repeat([]float64{missingMetric}, len(c.loadMetrics))
 	for name, value := range values {
 		metric := settings.LoadMetric(name)
 		column := slices.Index(c.loadMetrics, metric)
 		if column < 0 {
 			continue
 		}
-		if !fieldcheck.InRange(value, maxOf(metric)) {
+		if !fieldcheck.InRange(value, maxLoadMetricValue(metric)) {
 			return nil
 		}
-		row[column] = settings.LoadValue(metric, value)
+		loadValues[column] = settings.LoadValue(metric, value)
 	}
-	if slices.Contains(row, missingMetric) {
+	if slices.Contains(loadValues, missingMetric) {
 		return nil
 	}
-	return row
+	return loadValues
 }
 
-// maxOf returns the upper bound of a load metric, in its unit on the wire.
-func maxOf(metric assign.LoadMetric) float64 {
+// maxLoadMetricValue returns the largest valid value of a load metric, in the unit that the protocol uses for the
+// metric.
+func maxLoadMetricValue(metric assign.LoadMetric) float64 {
 	if metric == assign.MetricBusyFraction {
-		return maxBusy
+		return maxBusyFraction
 	}
-	return maxNumber
+	return maxFieldValue
 }
--- a/internal/wire/reports_test.go
+++ b/internal/wire/reports_test.go
@@ -18,30 +18,32 @@
 		`{"@type":"usage","node":5,"route":"sign","total":0,"errors":1,"interval":1000}`: Report{assign.ProxyTrafficReport{
 			Proxy: 5, RequestClass: "sign", Failed: 1, Interval: 1}},
 	} {
-		if got, err := testCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := newTestCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s\n got %#v (%v)\nwant %#v", line, got, err, want)
 		}
 	}
 }
 
-// An invalid load report does not invalidate the attempts of the same message, nor the other way round.
+// TestDecodeMessageDropsInvalidLoadAlone guards against loss of the valid part of an endpoint load report. An invalid
+// load report must not invalidate the attempts of the same message, and a missing mean latency must not invalidate the
+// load.
 func TestDecodeMessageDropsInvalidLoadAlone(t *testing.T) {
-	const twoAttempts = `{"@type":"heard","locality":"b","endpoint":"s","total":2,"errors":%s,"interval":500,"metrics":%s}`
+	const messageFormat = `{"@type":"heard","locality":"b","endpoint":"s","total":2,"errors":%s,"interval":500,"metrics":%s}`
 	succeeded := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, MeanLatency: 0.001, Interval: 0.5}
 	failed := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, Failed: 2, Interval: 0.5, Load: []float64{0.5, 7}}
 	for name, test := range map[string]struct {
 		failed, load string
 		want         assign.EndpointLoadReport
 	}{
-		"missing metric":               {`0,"rtt":1`, `{"util":0.5}`, succeeded},
-		"negative metric":              {`0,"rtt":1`, `{"inflight":7,"util":-1}`, succeeded},
-		"metric above its bound":       {`0,"rtt":1`, `{"inflight":7,"util":1e6}`, succeeded},
-		"load of another type":         {`0,"rtt":1`, `"none"`, succeeded},
-		"no latency, all attempts bad": {`2`, `{"inflight":7,"util":0.5}`, failed},
+		"missing metric":                  {`0,"rtt":1`, `{"util":0.5}`, succeeded},
+		"negative metric":                 {`0,"rtt":1`, `{"inflight":7,"util":-1}`, succeeded},
+		"metric above its bound":          {`0,"rtt":1`, `{"inflight":7,"util":1e6}`, succeeded},
+		"load of another type":            {`0,"rtt":1`, `"none"`, succeeded},
+		"no latency, all attempts failed": {`2`, `{"inflight":7,"util":0.5}`, failed},
 	} {
-		line := fmt.Sprintf(twoAttempts, test.failed, test.load)
+		line := fmt.Sprintf(messageFormat, test.failed, test.load)
 		want := Report{test.want}
-		if got, err := testCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := newTestCodec().DecodeMessage([]byte(line)); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %s\n got %#v (%v)\nwant %#v", name, line, got, err, want)
 		}
 	}
@@ -51,25 +53,25 @@
 	for _, test := range []invalidInput{
 		{input: ``},
 		{input: `[]`},
-		{input: `{"@type":"other"}`, is: ErrUnknownMessage},
-		{input: `{"@type":"collector","locality":"q"}`, is: ErrUnknownZone},
-		{input: `{"@type":"collector"}`, is: ErrUnknownZone},
-		{input: `{"@type":"usage","route":"sign","total":9,"errors":1,"interval":1000}`, field: "node"},
-		{input: `{"@type":"usage","node":6,"route":"sign","total":9,"errors":1,"interval":1000}`, is: ErrUnknownProxy},
-		{input: `{"@type":"usage","node":1,"route":"odd","total":9,"errors":1,"interval":1000}`, is: ErrUnknownClass},
-		{input: `{"@type":"usage","node":1,"route":"sign","total":9,"interval":1000}`, field: "errors"},
-		{input: `{"@type":"usage","node":1,"route":"sign","total":9.5,"errors":1,"interval":1000}`, field: "total"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":3,"rtt":4,"interval":500}`, field: "errors"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":-1,"errors":0,"rtt":4,"interval":500}`, field: "total"},
+		{input: `{"@type":"other"}`, wantError: ErrUnknownMessage},
+		{input: `{"@type":"collector","locality":"q"}`, wantError: ErrUnknownZone},
+		{input: `{"@type":"collector"}`, wantError: ErrUnknownZone},
+		{input: `{"@type":"usage","route":"sign","total":9,"errors":1,"interval":1000}`, wantField: "node"},
+		{input: `{"@type":"usage","node":6,"route":"sign","total":9,"errors":1,"interval":1000}`, wantError: ErrUnknownProxy},
+		{input: `{"@type":"usage","node":1,"route":"odd","total":9,"errors":1,"interval":1000}`, wantError: ErrUnknownRequestClass},
+		{input: `{"@type":"usage","node":1,"route":"sign","total":9,"interval":1000}`, wantField: "errors"},
+		{input: `{"@type":"usage","node":1,"route":"sign","total":9.5,"errors":1,"interval":1000}`, wantField: "total"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":3,"rtt":4,"interval":500}`, wantField: "errors"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":-1,"errors":0,"rtt":4,"interval":500}`, wantField: "total"},
 		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":NaN,"interval":500}`},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1e99,"interval":500}`, field: "rtt"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":0}`, field: "interval"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"","total":1,"errors":0,"rtt":1,"interval":500}`, is: ErrNoEndpointName},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"interval":500}`, field: "rtt"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":99000,"interval":500}`, field: "rtt"},
-		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":99000}`, field: "interval"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1e99,"interval":500}`, wantField: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":0}`, wantField: "interval"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"","total":1,"errors":0,"rtt":1,"interval":500}`, wantError: ErrNoEndpointName},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"interval":500}`, wantField: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":99000,"interval":500}`, wantField: "rtt"},
+		{input: `{"@type":"heard","locality":"a","endpoint":"s","total":1,"errors":0,"rtt":1,"interval":99000}`, wantField: "interval"},
 	} {
-		got, err := testCodec().DecodeMessage([]byte(test.input))
-		test.check(t, got, err)
+		got, err := newTestCodec().DecodeMessage([]byte(test.input))
+		test.checkRejected(t, got, err)
 	}
 }
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -9,34 +9,39 @@
 )
 
 const (
-	// maxEventSize bounds a line of the event stream and the data of one event, in bytes. The relay's events are under 100.
+	// maxEventSize is the largest size of a line of the event stream and of the data of one event, in bytes. The
+	// relay's events are shorter than 100 bytes.
 	maxEventSize = 64 << 10
-	// streamBufferSize is the size of the reader's buffer, in bytes.
+	// streamBufferSize is the size of the read buffer of an event stream, in bytes.
 	streamBufferSize = 4096
-	// defaultEventType is the type of an event that states none.
+	// defaultEventType is the type of an event without a type field.
 	defaultEventType = "message"
-	byteOrderMark    = "\ufeff"
+	// byteOrderMark may precede the first line of an event stream and is ignored.
+	byteOrderMark = "\ufeff"
 )
 
-// ErrEventTooLong reports a line or the data of an event longer than maxEventSize. The stream cannot be read further.
+// ErrEventTooLong reports that a line or the data of an event is longer than maxEventSize. The stream cannot be read
+// further.
 var ErrEventTooLong = errors.New("event stream: event too long")
 
-// Stream reads server-sent events (text/event-stream). It must not be used by two goroutines at once.
-type Stream struct {
-	reader  *bufio.Reader
-	started bool // the first line has been read
-	afterCR bool // the previous line ended in CR, so an LF that follows belongs to its end
+// EventStream reads server-sent events (text/event-stream). It must not be used by several goroutines at once.
+type EventStream struct {
+	reader                *bufio.Reader
+	firstLineRead         bool // whether the first line has been read
+	previousLineEndedInCR bool // whether the previous line ended in CR; an LF right after the CR is part of the line end
 }
 
-// NewStream returns a stream that reads from r. Closing r is the caller's job.
-func NewStream(r io.Reader) *Stream { return &Stream{reader: bufio.NewReaderSize(r, streamBufferSize)} }
+// NewEventStream returns an event stream that reads from r. The caller closes r.
+func NewEventStream(r io.Reader) *EventStream {
+	return &EventStream{reader: bufio.NewReaderSize(r, streamBufferSize)}
+}
 
-// Next blocks until the next event or heartbeat and returns it. A heartbeat is a comment between events; its type is empty.
-// Errors of the reader are wrapped; at the end of the stream that is io.EOF.
-func (s *Stream) Next() (eventType, data string, err error) {
+// Next blocks until the next event or heartbeat and returns it. A heartbeat is a comment between events and is returned
+// with an empty type. Next wraps the errors of the reader, io.EOF at the end of the stream included.
+func (s *EventStream) Next() (eventType, data string, err error) {
 	event := pendingEvent{}
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
 			return "", "", err
 		}
@@ -44,29 +49,30 @@
 		switch {
 		case line == "" && len(event.data) > 0:
 			return event.typeOrDefault(), strings.Join(event.data, "\n"), nil
-		case line == "": // an event without data is not reported
+		case line == "": // an event without data is skipped
 			event = pendingEvent{}
-		case isComment && !event.begun():
+		case isComment && !event.hasFields():
 			return "", "", nil
-		case isComment: // within an event it is skipped, because the event itself serves as a heartbeat
+		case isComment: // a comment within an event is skipped, because the event itself shows that the connection is alive
 		default:
-			if err := event.add(line); err != nil {
+			if err := event.addField(line); err != nil {
 				return "", "", err
 			}
 		}
 	}
 }
 
-// pendingEvent is an event whose end has not been read.
+// pendingEvent is an event of which only the first lines have been read.
 type pendingEvent struct {
-	eventType string   // empty: not stated
-	data      []string // lines
-	size      int      // of the data, bytes
+	eventType string   // empty if no type has been read
+	data      []string // lines of the data that have been read
+	size      int      // size of the data lines without line ends, in bytes
 }
 
-// begun reports whether a type or data has been read.
-func (e *pendingEvent) begun() bool { return e.eventType != "" || len(e.data) > 0 }
+// hasFields reports whether a type or a line of data has been read.
+func (e *pendingEvent) hasFields() bool { return e.eventType != "" || len(e.data) > 0 }
 
+// typeOrDefault returns the type of the event, or defaultEventType if no type has been read.
 func (e *pendingEvent) typeOrDefault() string {
 	if e.eventType == "" {
 		return defaultEventType
@@ -74,8 +80,9 @@
 	return e.eventType
 }
 
-// add applies a line that is neither empty nor a comment. Fields other than the type and the data are ignored.
-func (e *pendingEvent) add(line string) error {
+// addField adds the field on a line that is neither empty nor a comment. Fields other than the type and the data are
+// ignored. The error is ErrEventTooLong.
+func (e *pendingEvent) addField(line string) error {
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
 	switch field {
@@ -91,29 +98,30 @@
 	return nil
 }
 
-// line reads a line without its end, which may be LF, CR or CR LF.
-func (s *Stream) line() (string, error) {
+// readLine reads a line and returns it without its line end, which may be LF, CR or CR LF. The error is
+// ErrEventTooLong, or a wrapped error of the reader.
+func (s *EventStream) readLine() (string, error) {
 	var line strings.Builder
 	for {
-		char, err := s.reader.ReadByte()
+		next, err := s.reader.ReadByte()
 		if err != nil {
 			return "", fmt.Errorf("event stream: %w", err)
 		}
-		if s.afterCR && char == '\n' {
-			s.afterCR = false
+		if s.previousLineEndedInCR && next == '\n' {
+			s.previousLineEndedInCR = false
 			continue
 		}
-		s.afterCR = char == '\r'
-		if char == '\n' || char == '\r' {
+		s.previousLineEndedInCR = next == '\r'
+		if next == '\n' || next == '\r' {
 			break
 		}
 		if line.Len() >= maxEventSize {
 			return "", ErrEventTooLong
 		}
-		line.WriteByte(char)
+		line.WriteByte(next)
 	}
-	if !s.started {
-		s.started = true
+	if !s.firstLineRead {
+		s.firstLineRead = true
 		return strings.TrimPrefix(line.String(), byteOrderMark), nil
 	}
 	return line.String(), nil
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -11,10 +11,10 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// chunkedReader returns a text in chunks of random size.
+// chunkedReader is an io.Reader that returns a text in chunks of random size.
 type chunkedReader struct {
 	random *rand.Rand
-	text   string
+	text   string // text that has not been read
 }
 
 func (r *chunkedReader) Read(b []byte) (int, error) {
@@ -27,9 +27,10 @@
 	return n, nil
 }
 
-// readEvents returns the events of a stream, type and data, and the error that ended it.
+// readEvents reads an event stream to its end. It returns each event as its type and data with "|" between them, and
+// the error that ended the stream.
 func readEvents(r io.Reader) (events []string, err error) {
-	for stream := NewStream(r); ; {
+	for stream := NewEventStream(r); ; {
 		eventType, data, err := stream.Next()
 		if err != nil {
 			return events, err
