--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -57,7 +57,7 @@
 	client        *relay.OrderClient
 	reader        *relay.EventReader
 	server        *reportserver.Server
-	peers         *peer.Socket // nil unless config.UsesPeers
+	peers         *peer.Socket // nil unless config.PeerMessagesEnabled
 	loop          *eventloop.Loop
 	reloader      *configreload.Reloader
 	statusAddress string // empty: no status page
@@ -85,7 +85,7 @@
 		codec:         codec,
 		statusAddress: statusAddress,
 	}
-	listener, err := listen(ctx, cfg.Listen, assigner.random.Int63(), log)
+	listener, err := listen(ctx, cfg.ListenAddress, assigner.random.Int63(), log)
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -121,9 +121,9 @@
 	a.server = reportserver.New(reportserver.Config{
 		Codec:           a.codec,
 		Sink:            a.events.PostReport,
-		DescriptorLimit: a.config.Descriptors,
+		DescriptorLimit: a.config.MaxFileDescriptors,
 		ZoneCount:       len(a.config.Settings.Zones),
-		MemoryLimitMB:   a.config.MemoryMB,
+		MemoryLimitMB:   a.config.MemoryLimitMB,
 		Log:             a.log,
 	})
 	if err := a.makePeerSocket(); err != nil {
@@ -131,23 +131,23 @@
 	}
 	a.makeEventLoop()
 	a.reloader = configreload.New(configreload.Config{
-		Path:      a.config.Path,
-		Discovery: a.discoveryAt,
-		Relay:     a.relayAt,
-		Log:       a.log,
+		FilePath:         a.config.FilePath,
+		DiscoveryAddress: a.discoveryAt,
+		RelayAddress:     a.relayAt,
+		Log:              a.log,
 	})
 	return nil
 }
 
 // makeWatcher creates the client of the discovery agent.
 func (a *assigner) makeWatcher(listVersion int) (err error) {
-	a.discoveryAt = handover.NewAddress(a.config.Discovery)
+	a.discoveryAt = handover.NewAddress(a.config.DiscoveryAddress)
 	a.watcher, err = discovery.New(discovery.Config{
 		Address:        a.discoveryAt,
 		InitialVersion: listVersion,
 		Codec:          a.codec,
 		Sink:           a.events.PostEvent,
-		MemoryMB:       a.config.MemoryMB,
+		MemoryLimitMB:  a.config.MemoryLimitMB,
 		Seed:           a.random.Int63(),
 		Log:            a.log,
 	})
@@ -159,7 +159,7 @@
 
 // makeRelayClients creates the clients of the relay: one sends orders, the other reads events.
 func (a *assigner) makeRelayClients() {
-	a.relayAt = handover.NewAddress(a.config.Relay)
+	a.relayAt = handover.NewAddress(a.config.RelayAddress)
 	a.client = relay.NewOrderClient(relay.OrderClientConfig{
 		Address: a.relayAt,
 		Queue:   a.orders,
@@ -177,13 +177,13 @@
 
 // makePeerSocket opens the datagram socket if the configuration uses peers.
 func (a *assigner) makePeerSocket() (err error) {
-	if !a.config.UsesPeers() {
+	if !a.config.PeerMessagesEnabled() {
 		return nil
 	}
 	a.peers, err = peer.Open(peer.Config{
-		ListenAddress:    a.config.PeerListen,
-		PeerAddresses:    a.config.Peers,
-		BroadcastAddress: a.config.PeersBroadcast,
+		ListenAddress:    a.config.PeerListenAddress,
+		PeerAddresses:    a.config.PeerAddresses,
+		BroadcastAddress: a.config.PeerBroadcastAddress,
 		Sink:             a.events.PostEvent,
 		Log:              a.log,
 	})
@@ -205,8 +205,8 @@
 		},
 		Outputs: eventloop.Outputs{
 			SubmitOrders:    a.orders.Submit,
-			WatchEndpoints:  a.watcher.Watch,
-			FetchEndpoints:  a.watcher.Fetch,
+			WatchEndpoints:  a.watcher.SetFailureReporting,
+			FetchEndpoints:  a.watcher.RequestFullList,
 			SendPeerMessage: a.sendPeerMessage,
 		},
 		StartedAt: a.startedAt,
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -30,7 +30,7 @@
 	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(calls.Add(1)-1, 4)] })
 	p.relay.CutStreamsInEvent(25) // in the data
-	p.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
+	p.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		bad := requests.Add(1) < 3
 		if bad {
 			_, _ = io.WriteString(w, "}")
@@ -75,10 +75,10 @@
 // failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
 func TestAssignerOrdersThroughFaultsAndOverload(t *testing.T) {
 	platform, process := startAttached(t)
-	platform.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
+	platform.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
 	platform.mustAttach(t, process, "s-0", "after a drain")
 	platform.injectFaults()
-	platform.agent.Change(endpoint("s-4", "y", discoverytest.Draining))
+	platform.agent.PutEndpoints(endpoint("s-4", "y", discoverytest.Draining))
 	platform.mustAttach(t, process, "s-4", "after a drain during faults")
 	limited := eventually.True(2*testTimeout, func() bool {
 		platform.reportOverload(t)
@@ -124,7 +124,7 @@
 		}
 		reload()
 		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Draining)
-		platform.agent.Change(leaving)
+		platform.agent.PutEndpoints(leaving)
 		platform.mustAttach(t, process, leaving.Name, fmt.Sprint("after a drain and move ", i))
 	}
 	platform.relay.Inspect(func(state *relaytest.State) {
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -43,7 +43,7 @@
 	if os.Getenv(programVariable) == "" {
 		os.Exit(m.Run())
 	}
-	retry := config.DefaultRetry()
+	retry := config.DefaultRetryPolicy()
 	if timeout, err := time.ParseDuration(os.Getenv(retryTimeoutVariable)); err == nil {
 		retry.Timeout = timeout
 	}
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -40,12 +40,12 @@
 )
 
 func main() {
-	os.Exit(run(os.Args[1:], os.Getenv, config.DefaultRetry()))
+	os.Exit(run(os.Args[1:], os.Getenv, config.DefaultRetryPolicy()))
 }
 
 // run is main with its inputs as parameters. It returns once the program has ended. The retry policy applies to a
 // configuration file that cannot be used yet.
-func run(args []string, env func(string) string, retry config.Retry) (exitCode int) {
+func run(args []string, env func(string) string, retry config.RetryPolicy) (exitCode int) {
 	// Signals are handled from here to the exit. Before, they would kill the process; so would a second one after a call of
 	// signal.Stop.
 	reload, terminated := make(chan os.Signal, 1), make(chan os.Signal, 1)
@@ -94,6 +94,6 @@
 
 // limitRuntime applies the configured CPU and memory limits to the Go runtime. Cores that are not stated count as one.
 func limitRuntime(cfg *config.Config) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryMB) * bytesPerMB))
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.CPUCores))))
+	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryLimitMB) * bytesPerMB))
 }
--- a/cmd/madderhollow/restart_soak_test.go
+++ b/cmd/madderhollow/restart_soak_test.go
@@ -144,7 +144,7 @@
 		}
 		if s.random.Intn(20) == 0 {
 			state := []string{discoverytest.Ready, discoverytest.Draining}[s.random.Intn(2)]
-			s.agent.Change(endpoint(fmt.Sprint("s-", 1+step%11), zoneOf(1+step%11), state))
+			s.agent.PutEndpoints(endpoint(fmt.Sprint("s-", 1+step%11), zoneOf(1+step%11), state))
 		}
 		time.Sleep(2 * time.Millisecond) // rate of reports
 	}
@@ -236,7 +236,7 @@
 		soaked.connectProxies()
 	}
 	soaked.relay.SetFault(nil)
-	soaked.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
+	soaked.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
 	if !eventually.True(testTimeout, func() bool { return soaked.relay.AllAttached("s-0") }) {
 		t.Errorf("got proxies without tables, or with the draining endpoint in them, after %v; want none\n%s", testTimeout, soaked.process.text())
 	}
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -41,7 +41,7 @@
 // injectFaults makes calls and answers of discovery fail at random.
 func (s *soak) injectFaults() {
 	s.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, s.chance(30)-23)) })
-	s.agent.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
+	s.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		bad := s.chance(10) == 0
 		if bad {
 			w.WriteHeader(http.StatusBadGateway)
@@ -86,10 +86,10 @@
 		s.relay.Connect(proxy, zoneOf(proxy), 20, s.chance(2) == 0)
 	case 2:
 		state := []string{discoverytest.Ready, discoverytest.Ready, discoverytest.Draining}[s.chance(3)]
-		s.agent.Change(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), state))
+		s.agent.PutEndpoints(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), state))
 	case 3:
 		replacement := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Ready)
-		s.agent.Change(replacement, endpoint(s.replaceNext, "x", discoverytest.Removed))
+		s.agent.PutEndpoints(replacement, endpoint(s.replaceNext, "x", discoverytest.Removed))
 		s.replaceNext = replacement.Name
 	case 4:
 		s.move(t, 50*time.Millisecond)
@@ -170,7 +170,7 @@
 		}
 	}
 	platform.relay.SetFault(nil)
-	platform.agent.Change(endpoint("s-0", "x", discoverytest.Draining))
+	platform.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
 	for i := range 6 { // fresh proxies may keep their default table, so none of them may be fresh for the check
 		platform.relay.Disconnect(i)
 		platform.relay.Connect(i, zoneOf(i), 20, false)
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -193,7 +193,7 @@
 // holdFirstList makes discovery not answer.
 func holdFirstList(_ *testing.T, p *platform) (reached func() bool) {
 	requested := make(chan struct{}, 100)
-	p.agent.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
+	p.agent.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
 		requested <- struct{}{}
 		<-r.Context().Done()
 		return true
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -27,7 +27,7 @@
 	Listen    string // the assigner's address
 	Discovery string // address of the fake agent
 	Relay     struct{ Address string }
-	Initial   discoverytest.List `json:"known"`
+	Initial   discoverytest.ListResponse `json:"known"`
 }
 
 // readConfig reads a configuration file.
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -61,7 +61,7 @@
 func (d *demo) drain(endpoint discoverytest.Endpoint) error {
 	endpoint.State = discoverytest.Draining
 	began := time.Now()
-	d.agent.Change(endpoint)
+	d.agent.PutEndpoints(endpoint)
 	d.printf("Endpoint %s drains; %d proxies have it in a table.", endpoint.Name, d.proxiesWith(endpoint.Name))
 	if !eventually.True(orderTimeout, func() bool { return d.proxiesWith(endpoint.Name) == 0 }) {
 		return errNotDrained
@@ -77,7 +77,7 @@
 		return err
 	}
 	endpoint.State, endpoint.StartedAt = discoverytest.Ready, time.Now().UnixMilli()
-	d.agent.Change(endpoint)
+	d.agent.PutEndpoints(endpoint)
 	d.printf("The endpoint restarts and warms up: it gets no requests in the first seconds, then its weight increases.")
 	for second := range 9 {
 		if err := d.report(normal()); err != nil {
@@ -128,7 +128,7 @@
 	}
 	d.printf("Discovery and the relay move to new addresses; open connections stay open for two minutes. In a third terminal, where PID is the assigner's process id:\n"+
 		"    cp %s mine.json && kill -HUP PID", movedPath)
-	if !eventually.True(moveTimeout, func() bool { return d.agent.LastHost() == moved.Discovery }) {
+	if !eventually.True(moveTimeout, func() bool { return d.agent.LastRequestHost() == moved.Discovery }) {
 		return fmt.Errorf("%w %s", errNotMoved, moved.Discovery)
 	}
 	d.printf("The assigner uses the new addresses.")
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -2,41 +2,44 @@
 
 import "madderhollow/internal/wire"
 
-// Fields of the configuration file that errors name; dotted if nested.
+// Names of fields of the configuration file, for error messages and for the comparison of two files. The name of a
+// nested field is a path whose elements are separated by dots.
 const (
 	seedField             = "seed"
 	settingsField         = "settings"
 	initialEndpointsField = "known"
 	listenField           = "listen"
 	discoveryField        = "discovery"
-	relayField            = "relay"
+	relaySectionField     = "relay"
 	relayAddressField     = "relay.address"
 	peerListenField       = "peer_listen"
 	peersField            = "peers"
 	peersBroadcastField   = "peers_all"
 )
 
-// file maps the fields of the configuration file. Unknown fields are ignored.
-type file struct {
-	Name             string             `json:"name"`
-	Listen           string             `json:"listen"`
-	Discovery        string             `json:"discovery"`
-	Seed             string             `json:"seed"` // hexadecimal
-	Limits           limits             `json:"limits"`
-	PeerListen       string             `json:"peer_listen"`
-	Peers            []string           `json:"peers"`
-	PeersBroadcast   string             `json:"peers_all"`
-	Relay            relay              `json:"relay"`
-	InitialEndpoints *wire.EndpointList `json:"known"`
-	Settings         map[string]any     `json:"settings"` // see package settings
+// configFile is the JSON object in a configuration file. Unknown fields are ignored.
+type configFile struct {
+	Name                 string             `json:"name"`
+	ListenAddress        string             `json:"listen"`
+	DiscoveryAddress     string             `json:"discovery"`
+	Seed                 string             `json:"seed"` // hexadecimal number of at most 16 digits
+	Limits               resourceLimits     `json:"limits"`
+	PeerListenAddress    string             `json:"peer_listen"`
+	PeerAddresses        []string           `json:"peers"`
+	PeerBroadcastAddress string             `json:"peers_all"`
+	Relay                relaySection       `json:"relay"`
+	InitialEndpoints     *wire.EndpointList `json:"known"`
+	Settings             map[string]any     `json:"settings"` // settings object, which package settings translates
 }
 
-type limits struct {
-	Cores       float64 `json:"cores"`     // share of CPU cores
-	MemoryMB    float64 `json:"memory_mb"` // 2^20 bytes
-	Descriptors int     `json:"sockets"`   // open file descriptors, not only of sockets
+// resourceLimits are the resource limits of the process. Load replaces missing limits by defaults, except CPUCores.
+type resourceLimits struct {
+	CPUCores           float64 `json:"cores"`     // number of CPU cores, possibly fractional
+	MemoryLimitMB      float64 `json:"memory_mb"` // memory limit in MiB
+	MaxFileDescriptors int     `json:"sockets"`   // limit on all open file descriptors, not only on sockets
 }
 
-type relay struct {
-	Address string `json:"address"`
+// relaySection holds the fields of the configuration file that concern the relay.
+type relaySection struct {
+	Address string `json:"address"` // address of the relay, host:port
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -11,51 +11,60 @@
 	"madderhollow/internal/backoff"
 )
 
-// Environment variables.
+// Names of environment variables.
 const (
-	fileVariable      = "EDGE_CONFIG"    // path of the file
-	nameVariable      = "EDGE_NAME"      // overrides "name"
-	listenVariable    = "EDGE_LISTEN"    // overrides "listen"
-	discoveryVariable = "EDGE_DISCOVERY" // overrides "discovery"
+	pathVariable      = "EDGE_CONFIG"    // path of the configuration file
+	nameVariable      = "EDGE_NAME"      // overrides the field "name" of the file
+	listenVariable    = "EDGE_LISTEN"    // overrides the field "listen" of the file
+	discoveryVariable = "EDGE_DISCOVERY" // overrides the field "discovery" of the file
 )
 
-// ErrNoFile reports that the environment names no file.
-var ErrNoFile = errors.New(fileVariable + " is not set")
+// ErrPathNotSet is returned by Load and LoadWithRetry if the environment variable with the path of the configuration
+// file is not set.
+var ErrPathNotSet = errors.New(pathVariable + " is not set")
 
-// Retry describes how LoadWithRetry repeats its attempts. The file may be written while the assigner starts.
-type Retry struct {
-	Timeout  time.Duration                        // since the first attempt; the first attempt after it is the last one
-	Interval time.Duration                        // between attempts
-	Now      func() time.Time                     // required
-	Sleep    func(context.Context, time.Duration) // returns early if the context ends; required
+// RetryPolicy determines how LoadWithRetry repeats its attempts to load the file. Attempts are repeated because another
+// process may still be writing the file while the assigner starts.
+type RetryPolicy struct {
+	// Timeout is counted from the first attempt. The first attempt that fails after the timeout is the last one.
+	Timeout time.Duration
+	// Interval is the time between two attempts.
+	Interval time.Duration
+	// Now returns the current time. It is required.
+	Now func() time.Time
+	// Sleep blocks for a duration, or until the context ends if that is earlier. It is required.
+	Sleep func(context.Context, time.Duration)
 }
 
-// DefaultRetry returns a Retry that reports an invalid file within a second, by the wall clock.
-func DefaultRetry() Retry {
-	return Retry{Timeout: 600 * time.Millisecond, Interval: 20 * time.Millisecond, Now: time.Now, Sleep: backoff.Sleep}
+// DefaultRetryPolicy returns a RetryPolicy that uses the wall clock and reports an invalid file within one second.
+func DefaultRetryPolicy() RetryPolicy {
+	return RetryPolicy{Timeout: 600 * time.Millisecond, Interval: 20 * time.Millisecond, Now: time.Now, Sleep: backoff.Sleep}
 }
 
-// LoadWithRetry is Load, repeated while the file is missing or invalid. It blocks until the file is valid, the timeout has
-// passed or the context ends, and returns the last attempt's error or the context's. ErrNoFile is not retried.
-func LoadWithRetry(ctx context.Context, env func(string) string, retry Retry) (*Config, error) {
-	end := retry.Now().Add(retry.Timeout)
+// LoadWithRetry calls Load repeatedly while the file is missing or invalid. It blocks until the file is valid, the
+// timeout of the policy has passed or the context ends. After the timeout it returns the error of the last attempt.
+// After the end of the context it returns the error of the context. It does not retry after ErrPathNotSet.
+func LoadWithRetry(ctx context.Context, env func(string) string, policy RetryPolicy) (*Config, error) {
+	end := policy.Now().Add(policy.Timeout)
 	for {
 		config, err := Load(env)
-		if err == nil || errors.Is(err, ErrNoFile) || retry.Now().After(end) {
+		if err == nil || errors.Is(err, ErrPathNotSet) || policy.Now().After(end) {
 			return config, err
 		}
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("configuration: %w", ctx.Err())
 		}
-		retry.Sleep(ctx, retry.Interval)
+		policy.Sleep(ctx, policy.Interval)
 	}
 }
 
-// Load reads and validates the file that EDGE_CONFIG names. The other environment variables override its fields.
+// Load reads and validates the configuration file whose path is in the environment variable EDGE_CONFIG. The
+// environment variables EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY override fields of the file. The parameter env
+// looks up an environment variable and returns "" for a variable that is not set.
 func Load(env func(string) string) (*Config, error) {
-	path := env(fileVariable)
+	path := env(pathVariable)
 	if path == "" {
-		return nil, ErrNoFile
+		return nil, ErrPathNotSet
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -65,20 +74,21 @@
 	if err != nil {
 		return nil, err
 	}
-	config.Path = path
+	config.FilePath = path
 	return config, nil
 }
 
-// Parse is Load on the content of a file. An invalid field is a *fieldcheck.Error.
+// Parse validates the content of a configuration file and applies the environment variables, as Load does. The error
+// for an invalid field wraps a *fieldcheck.Error.
 func Parse(data []byte, env func(string) string) (*Config, error) {
-	var fields file
+	var fields configFile
 	if err := json.Unmarshal(data, &fields); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	override(&fields.Name, env(nameVariable))
-	override(&fields.Listen, env(listenVariable))
-	override(&fields.Discovery, env(discoveryVariable))
-	config, err := newConfig(&fields)
+	overrideIfSet(&fields.Name, env(nameVariable))
+	overrideIfSet(&fields.ListenAddress, env(listenVariable))
+	overrideIfSet(&fields.DiscoveryAddress, env(discoveryVariable))
+	config, err := configFromFile(&fields)
 	if err != nil {
 		return nil, err
 	}
@@ -88,8 +98,8 @@
 	return config, nil
 }
 
-// override replaces a field by the value of an environment variable that is set.
-func override(field *string, value string) {
+// overrideIfSet replaces the field by the value of an environment variable, unless the value is empty.
+func overrideIfSet(field *string, value string) {
 	if value != "" {
 		*field = value
 	}
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -9,39 +9,41 @@
 	"slices"
 )
 
-// Update is what a running program applies of a new configuration file. Other fields need a restart.
+// Update holds the fields of a changed configuration file that a running program can apply. A change of any other field
+// needs a restart, except the changes that changeNeedsNoRestart lists.
 type Update struct {
-	Discovery string // address
-	Relay     string // address
-	fields    map[string]json.RawMessage
+	DiscoveryAddress string                     // address of the discovery agent, host:port
+	RelayAddress     string                     // address of the relay, host:port
+	fields           map[string]json.RawMessage // JSON text of all top-level fields of the file, by name
 }
 
-// LoadUpdate reads a new configuration file while the program runs. The file takes precedence over the environment here,
-// because the environment is as old as the process. An update with an invalid address is returned with the error.
+// LoadUpdate reads a changed configuration file while the program runs. Unlike Load it ignores the environment
+// variables, because they were set when the process started and are older than the file. If an address is invalid,
+// LoadUpdate returns both the update and an error that wraps a *fieldcheck.Error.
 func LoadUpdate(path string) (*Update, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	var fields file
+	var fields configFile
 	update := &Update{}
 	if err := errors.Join(json.Unmarshal(data, &fields), json.Unmarshal(data, &update.fields)); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	update.Discovery = fields.Discovery
-	update.Relay = fields.Relay.Address
-	return update, checkAddresses(namedAddress{discoveryField, update.Discovery}, namedAddress{relayAddressField, update.Relay})
+	update.DiscoveryAddress = fields.DiscoveryAddress
+	update.RelayAddress = fields.Relay.Address
+	return update, checkAddresses(fieldAddress{discoveryField, update.DiscoveryAddress}, fieldAddress{relayAddressField, update.RelayAddress})
 }
 
-// NeedsRestart returns the names of the fields in this file that are new or differ from an earlier file and call for a
-// restart, sorted. It names neither fields that were removed nor those of needsNoRestart. Before may be nil, which differs
-// in nothing.
-func (u *Update) NeedsRestart(before *Update) (fields []string) {
+// ChangesNeedingRestart compares the update's file with an earlier file. It returns the sorted names of the top-level
+// fields that were added or changed since then and whose change needs a restart. It does not return fields that were
+// removed. If before is nil, the result is nil.
+func (u *Update) ChangesNeedingRestart(before *Update) (fields []string) {
 	if before == nil {
 		return nil
 	}
 	for name, value := range u.fields {
-		if !needsNoRestart(name) && !bytes.Equal(value, before.fields[name]) {
+		if !changeNeedsNoRestart(name) && !bytes.Equal(value, before.fields[name]) {
 			fields = append(fields, name)
 		}
 	}
@@ -49,8 +51,9 @@
 	return fields
 }
 
-// needsNoRestart reports whether a change of a field calls for no restart: the addresses move while the program runs, and
-// seed and initial endpoints matter only at the next start.
-func needsNoRestart(name string) bool {
-	return slices.Contains([]string{seedField, initialEndpointsField, discoveryField, relayField}, name)
+// changeNeedsNoRestart reports whether the change of a top-level field needs no restart. The addresses of discovery and
+// the relay are applied while the program runs. The seed and the initial endpoint list are used only when the program
+// starts.
+func changeNeedsNoRestart(name string) bool {
+	return slices.Contains([]string{seedField, initialEndpointsField, discoveryField, relaySectionField}, name)
 }
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -1,8 +1,10 @@
-// Package configreload applies a changed configuration file while the program runs: at a signal it reads the file again
-// and moves the addresses of discovery and the relay. Everything else in the file needs a restart.
+// Package configreload applies a changed configuration file while the program runs. When a signal arrives, it reads the
+// file again and moves the addresses of discovery and the relay. A change of any other field that the running program
+// uses needs a restart.
 //
-// All work is done by the goroutine that calls Reloader.Run, the only method. It blocks while the file is read, for
-// instance on a named pipe without a writer, and does not return then before the read ends.
+// All work is done by the goroutine that calls Reloader.Run, the only exported method. Run blocks while the file is
+// read, and the end of its context does not interrupt the read. For example, a read of a named pipe without a writer
+// blocks.
 package configreload
 
 import (
@@ -17,93 +19,95 @@
 )
 
 const (
-	// retryInterval is the time between two attempts to read a file that is not usable yet, or that has the addresses in
-	// use: its writer may signal before the last byte is written. The old addresses close 1.5 s after the signal.
+	// retryInterval is the time between two attempts to read a file that is missing or invalid, or that still has the
+	// addresses in use. Attempts are repeated because the signal may arrive before the last byte of the file is
+	// written. The interval is short because the old addresses close 1.5 s after the signal.
 	retryInterval = 50 * time.Millisecond
-	// retryTimeout is the time after the signal at which the attempts end. Only the operator can mend a file that is not
-	// usable by then.
+	// retryTimeout is the time after the signal at which the attempts end. A file that is still missing or invalid by
+	// then needs a correction by the operator.
 	retryTimeout = 5 * time.Second
 )
 
-// Config describes a Reloader.
+// Config configures a Reloader.
 type Config struct {
-	Path      string            // of the configuration file that the program started with; required
-	Discovery *handover.Address // moved by the Reloader alone; required
-	Relay     *handover.Address // moved by the Reloader alone; required
-	Log       zerolog.Logger    // New adds the component; default: no log
+	FilePath         string            // path of the configuration file that the program started with; required
+	DiscoveryAddress *handover.Address // address of the discovery agent; only the Reloader may move it; required
+	RelayAddress     *handover.Address // address of the relay; only the Reloader may move it; required
+	Log              zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
 
-// Reloader reads the file and moves the addresses. Its states are idle and reloading; its transitions:
+// Reloader reads the configuration file and moves the addresses. A Reloader is in one of the states idle and reloading.
+// Its transitions, with the state, the event and the next state, are:
 //
-//	idle       signal                                     -> reloading until retryTimeout has passed
-//	reloading  signal                                     -> reloading, from the beginning
-//	reloading  file with a new address                    -> idle
-//	reloading  file not usable, or without a new address  -> reloading; the next attempt follows after retryInterval
-//	reloading  the same after retryTimeout                -> idle
+//	idle       signal                                             -> reloading, until retryTimeout has passed
+//	reloading  signal                                             -> reloading, and the timeout starts again
+//	reloading  file with a new address                            -> idle
+//	reloading  invalid file or no new address, before the timeout -> reloading, with an attempt after retryInterval
+//	reloading  invalid file or no new address, after the timeout  -> idle
 //
-// Each reload logs one line for each transition between the states.
+// A missing file counts as invalid. Each transition from one state to the other logs one line.
 type Reloader struct {
-	path      string
-	discovery *handover.Address
-	relay     *handover.Address
-	log       zerolog.Logger
-	initial   *config.Update // the file at the start of Run; nil: it could not be read or parsed
-	deadline  time.Time      // of the reload in progress; zero: idle
-	lastError string         // the last one that was logged in this reload
+	filePath         string
+	discoveryAddress *handover.Address
+	relayAddress     *handover.Address
+	log              zerolog.Logger
+	initialFile      *config.Update // file content at the start of Run; nil if the file could not be read or parsed
+	deadline         time.Time      // time at which the reload in progress ends; zero in the state idle
+	lastLoggedError  string         // text of the last error that was logged in this reload, to log it only once
 }
 
-// New returns a reloader that does nothing until Run.
+// New returns a Reloader, which does nothing until Run is called.
 func New(config Config) *Reloader {
 	return &Reloader{
-		path:      config.Path,
-		discovery: config.Discovery,
-		relay:     config.Relay,
-		log:       config.Log.With().Str("component", "config_reload").Logger(),
+		filePath:         config.FilePath,
+		discoveryAddress: config.DiscoveryAddress,
+		relayAddress:     config.RelayAddress,
+		log:              config.Log.With().Str("component", "config_reload").Logger(),
 	}
 }
 
-// Run reloads the file at each signal, until the context ends. It must be called once. A file that is not usable leaves
-// the addresses as they are.
+// Run reloads the file at each signal until the context ends. It must be called only once. A missing or invalid file
+// leaves the addresses unchanged.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
-	// After an error, initial is nil or has an invalid address. If it is nil, no fields that need a restart are logged.
-	// Its addresses are not used.
-	r.initial, _ = config.LoadUpdate(r.path)
-	retry := time.NewTimer(0) // fires once while idle, without effect
-	defer retry.Stop()
+	// The error is ignored. After an error, initialFile is nil or has an invalid address. If it is nil, the log does
+	// not list the fields that need a restart. The addresses of initialFile are not used.
+	r.initialFile, _ = config.LoadUpdate(r.filePath)
+	retryTimer := time.NewTimer(0) // fires once in the state idle, which has no effect
+	defer retryTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			r.begin(time.Now())
-		case <-retry.C:
+			r.startReload(time.Now())
+		case <-retryTimer.C:
 			if r.deadline.IsZero() {
 				continue
 			}
 		}
-		r.attempt()
+		r.tryReload()
 		if !r.deadline.IsZero() {
-			retry.Reset(retryInterval)
+			retryTimer.Reset(retryInterval)
 		}
 	}
 }
 
-// begin starts a reload, or starts the one in progress over.
-func (r *Reloader) begin(now time.Time) {
+// startReload starts a reload at the time now. If a reload is in progress, its timeout starts again.
+func (r *Reloader) startReload(now time.Time) {
 	r.deadline = now.Add(retryTimeout)
-	r.lastError = ""
+	r.lastLoggedError = ""
 	r.log.Info().Msg("configuration reload started")
 }
 
-// attempt reads the file once and ends the reload if it can or must.
-func (r *Reloader) attempt() {
-	update, err := config.LoadUpdate(r.path)
-	if err == nil && r.move(update) {
+// tryReload reads the file once. It ends the reload if the file has a new address or if the timeout has passed.
+func (r *Reloader) tryReload() {
+	update, err := config.LoadUpdate(r.filePath)
+	if err == nil && r.moveAddresses(update) {
 		r.deadline = time.Time{}
 		return
 	}
-	if err != nil && err.Error() != r.lastError {
-		r.lastError = err.Error()
+	if err != nil && err.Error() != r.lastLoggedError {
+		r.lastLoggedError = err.Error()
 		r.log.Warn().Err(err).Msg("configuration file not usable; retrying")
 	}
 	if !time.Now().After(r.deadline) {
@@ -114,17 +118,17 @@
 		r.log.Error().Err(err).Msg("configuration reload failed; keeping current configuration")
 		return
 	}
-	r.log.Info().Strs("needs_restart", update.NeedsRestart(r.initial)).Msg("configuration reload found no new address")
+	r.log.Info().Strs("needs_restart", update.ChangesNeedingRestart(r.initialFile)).Msg("configuration reload found no new address")
 }
 
-// move sets the addresses, and reports whether one has changed.
-func (r *Reloader) move(update *config.Update) bool {
-	discoveryMoved := r.discovery.Set(update.Discovery)
-	relayMoved := r.relay.Set(update.Relay)
+// moveAddresses sets both addresses to those of the file, and reports whether at least one of them has changed.
+func (r *Reloader) moveAddresses(update *config.Update) bool {
+	discoveryMoved := r.discoveryAddress.Set(update.DiscoveryAddress)
+	relayMoved := r.relayAddress.Set(update.RelayAddress)
 	if !discoveryMoved && !relayMoved {
 		return false
 	}
 	r.log.Info().Bool("discovery_moved", discoveryMoved).Bool("relay_moved", relayMoved).
-		Strs("needs_restart", update.NeedsRestart(r.initial)).Msg("configuration reloaded")
+		Strs("needs_restart", update.ChangesNeedingRestart(r.initialFile)).Msg("configuration reloaded")
 	return true
 }
--- a/internal/configreload/configreload_test.go
+++ b/internal/configreload/configreload_test.go
@@ -17,88 +17,91 @@
 	"madderhollow/internal/logtest"
 )
 
-// testTimeout bounds any wait. It is long enough for a busy machine.
+// testTimeout is the longest time that a test waits for a condition. It is long enough for a machine under high load.
 const testTimeout = 10 * time.Second
 
-// Addresses before and after a reload.
+// Addresses of discovery and the relay before a reload, and the address of discovery after it.
 const (
-	oldDiscovery = "127.0.0.1:1"
-	oldRelay     = "127.0.0.1:2"
-	newDiscovery = "127.0.0.1:3"
+	oldDiscoveryAddress = "127.0.0.1:1"
+	oldRelayAddress     = "127.0.0.1:2"
+	newDiscoveryAddress = "127.0.0.1:3"
 )
 
-// fileWith returns a configuration file with a discovery address.
-func fileWith(discovery string) string {
-	return fmt.Sprintf(`{"name":"n","discovery":%q,"relay":{"address":%q}}`, discovery, oldRelay)
+// configWithDiscovery returns the content of a configuration file with the given discovery address and oldRelayAddress.
+func configWithDiscovery(discovery string) string {
+	return fmt.Sprintf(`{"name":"n","discovery":%q,"relay":{"address":%q}}`, discovery, oldRelayAddress)
 }
 
-// newReloader returns a reloader of a file, which does not exist yet, in a folder of its own.
+// newReloader returns a Reloader with the old addresses. Its configuration file, in a new temporary directory, does not
+// exist yet.
 func newReloader(t *testing.T, log zerolog.Logger) *Reloader {
 	t.Helper()
 	return New(Config{
-		Path:      filepath.Join(t.TempDir(), "config.json"),
-		Discovery: handover.NewAddress(oldDiscovery),
-		Relay:     handover.NewAddress(oldRelay),
-		Log:       log,
+		FilePath:         filepath.Join(t.TempDir(), "config.json"),
+		DiscoveryAddress: handover.NewAddress(oldDiscoveryAddress),
+		RelayAddress:     handover.NewAddress(oldRelayAddress),
+		Log:              log,
 	})
 }
 
-// writeFile replaces the content of a reloader's file.
+// writeFile creates or replaces the configuration file of a Reloader.
 func writeFile(t *testing.T, reloader *Reloader, text string) {
 	t.Helper()
-	if err := os.WriteFile(reloader.path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(reloader.filePath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestReloadEndsAtNewAddressOrTimeout(t *testing.T) {
-	const begun = "info: configuration reload started"
+	const startedLine = "info: configuration reload started"
 	now := time.Now()
 	for name, test := range map[string]struct {
-		files         []string // of one attempt each; empty: missing
-		begun         time.Time
+		files         []string // file content at each attempt; an empty string leaves the file as it is, or missing
+		startedAt     time.Time
 		wantReloading bool
 		wantDiscovery string
 		wantLog       []string
 	}{
 		"new address": {
-			files: []string{fileWith(newDiscovery)}, begun: now, wantDiscovery: newDiscovery,
-			wantLog: []string{begun, "info: configuration reloaded"},
+			files: []string{configWithDiscovery(newDiscoveryAddress)}, startedAt: now, wantDiscovery: newDiscoveryAddress,
+			wantLog: []string{startedLine, "info: configuration reloaded"},
 		},
 		"same addresses": {
-			files: []string{fileWith(oldDiscovery)}, begun: now, wantReloading: true, wantDiscovery: oldDiscovery,
-			wantLog: []string{begun},
+			files: []string{configWithDiscovery(oldDiscoveryAddress)}, startedAt: now, wantReloading: true, wantDiscovery: oldDiscoveryAddress,
+			wantLog: []string{startedLine},
 		},
 		"same addresses at the deadline": {
-			files: []string{fileWith(oldDiscovery)}, begun: now.Add(-retryTimeout), wantDiscovery: oldDiscovery,
-			wantLog: []string{begun, "info: configuration reload found no new address"},
+			files: []string{configWithDiscovery(oldDiscoveryAddress)}, startedAt: now.Add(-retryTimeout), wantDiscovery: oldDiscoveryAddress,
+			wantLog: []string{startedLine, "info: configuration reload found no new address"},
 		},
-		"missing, then half written, then whole": {
-			files: []string{"", "", fileWith(newDiscovery)[:20], fileWith(newDiscovery)[:20], fileWith(newDiscovery)}, begun: now,
-			wantDiscovery: newDiscovery,
-			wantLog: []string{begun, "warn: configuration file not usable; retrying", "warn: configuration file not usable; retrying",
+		"missing, then partly written, then complete": {
+			files: []string{"", "", configWithDiscovery(newDiscoveryAddress)[:20], configWithDiscovery(newDiscoveryAddress)[:20],
+				configWithDiscovery(newDiscoveryAddress)},
+			startedAt:     now,
+			wantDiscovery: newDiscoveryAddress,
+			wantLog: []string{startedLine, "warn: configuration file not usable; retrying", "warn: configuration file not usable; retrying",
 				"info: configuration reloaded"},
 		},
-		"wrong address at the deadline": {
-			files: []string{fileWith("nowhere")}, begun: now.Add(-retryTimeout), wantDiscovery: oldDiscovery,
-			wantLog: []string{begun, "warn: configuration file not usable; retrying",
+		"invalid address at the deadline": {
+			files: []string{configWithDiscovery("nowhere")}, startedAt: now.Add(-retryTimeout), wantDiscovery: oldDiscoveryAddress,
+			wantLog: []string{startedLine, "warn: configuration file not usable; retrying",
 				"error: configuration reload failed; keeping current configuration"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := logtest.New(t, "config_reload")
 			reloader := newReloader(t, log.Logger())
-			reloader.begin(test.begun)
+			reloader.startReload(test.startedAt)
 			for _, text := range test.files {
 				if text != "" {
 					writeFile(t, reloader, text)
 				}
-				reloader.attempt()
+				reloader.tryReload()
 			}
 			if got := !reloader.deadline.IsZero(); got != test.wantReloading {
 				t.Errorf("got reloading %t, want %t", got, test.wantReloading)
 			}
-			if got, _ := reloader.discovery.Current(); got != test.wantDiscovery {
+			if got, _ := reloader.discoveryAddress.Current(); got != test.wantDiscovery {
 				t.Errorf("got discovery address %s, want %s", got, test.wantDiscovery)
 			}
 			log.ExpectLines(t, test.wantLog...)
@@ -109,15 +112,15 @@
 func TestReloadLogsFieldsThatNeedRestart(t *testing.T) {
 	var output bytes.Buffer
 	reloader := newReloader(t, zerolog.New(&output))
-	writeFile(t, reloader, fileWith(oldDiscovery))
+	writeFile(t, reloader, configWithDiscovery(oldDiscoveryAddress))
 	ctx, cancel := context.WithCancel(t.Context())
 	signals, ended := make(chan os.Signal), make(chan struct{})
-	go func() { defer close(ended); reloader.Run(ctx, signals) }() // ends with ctx, below
-	signals <- os.Interrupt                                        // received only once Run has read the initial file
-	writeFile(t, reloader, strings.Replace(fileWith(newDiscovery), `"n"`, `"m"`, 1))
-	current := func() string { address, _ := reloader.discovery.Current(); return address }
-	if !eventually.True(testTimeout, func() bool { return current() == newDiscovery }) {
-		t.Errorf("got discovery address %s after %v, want %s", current(), testTimeout, newDiscovery)
+	go func() { defer close(ended); reloader.Run(ctx, signals) }() // ends when the test cancels ctx
+	signals <- os.Interrupt                                        // blocks until Run has read the initial file
+	writeFile(t, reloader, strings.Replace(configWithDiscovery(newDiscoveryAddress), `"n"`, `"m"`, 1))
+	current := func() string { address, _ := reloader.discoveryAddress.Current(); return address }
+	if !eventually.True(testTimeout, func() bool { return current() == newDiscoveryAddress }) {
+		t.Errorf("got discovery address %s after %v, want %s", current(), testTimeout, newDiscoveryAddress)
 	}
 	cancel()
 	<-ended
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -14,81 +14,91 @@
 	"madderhollow/internal/httpconn"
 )
 
-// The protocol's names in a request to the agent. Package wire has those in the answer.
+// Names that the discovery protocol defines for requests to the agent. Package wire defines the names in the responses.
 const (
 	listPath       = "/v1/servers"
-	afterParameter = "after"   // the version after which changes are requested; absent: the full list
-	waitParameter  = "wait_ms" // how long the agent may wait for a change, ms
+	afterParameter = "after"   // version after which changes are requested; without it the full list is requested
+	waitParameter  = "wait_ms" // longest time that the agent may wait for a change before it responds, in ms
 )
 
 const (
-	// pollWait is how long the agent may wait for a change. Polls cost the agent nothing, and the platform expects a
-	// change to be known 2 s after the end of a wait: a short one finds a dead connection in time to honor a drain.
-	pollWait = time.Second
-	// answerTimeout bounds the time of an answer beyond the wait. The agent is on the same machine and answers at once.
-	answerTimeout = 500 * time.Millisecond
-	// dialTimeout bounds the time to connect to an agent on the same machine.
+	// longPollWait is the longest time that the agent may wait for a change before it responds to a long poll. A
+	// short wait is affordable because polls cost the agent nothing. The platform expects the assigner to know a
+	// change 2 s after the end of a wait. With a short wait, a dead connection is detected in time for the drain of
+	// an endpoint to be honored.
+	longPollWait = time.Second
+	// responseTimeout is the longest time for a response in addition to the wait of a long poll. The agent is on the
+	// same machine and responds immediately.
+	responseTimeout = 500 * time.Millisecond
+	// dialTimeout is the longest time for connecting to the agent, which is on the same machine.
 	dialTimeout = 500 * time.Millisecond
-	// maxAnswer bounds an answer, in bytes; a thousand endpoints take 200 KB. An answer is also bounded to the part
-	// 1/answerMemoryFraction of the memory, since reading one takes several times its size.
-	maxAnswer            = 8 << 20
-	answerMemoryFraction = 32
+	// maxResponseBytes is the maximum size of a response body in bytes. A list of a thousand endpoints takes 200 KB.
+	maxResponseBytes = 8 << 20
+	// responseMemoryDivisor limits a response body further, to the memory limit of the process divided by this number.
+	// The reason is that reading a response takes several times its size in memory.
+	responseMemoryDivisor = 32
 )
 
-// Errors of an agent's answer.
+// Errors of a response or of the connection on which it arrived.
 var (
-	ErrAnswerTooLarge = errors.New("answer too large")
-	// ErrConnectionClosed follows an answer that was received whole, with which the agent closed the connection.
+	// ErrResponseTooLarge reports a response body that exceeds the size limit.
+	ErrResponseTooLarge = errors.New("response too large")
+	// ErrConnectionClosed reports that the agent closed the connection after a complete response, which was applied.
 	ErrConnectionClosed = errors.New("connection closed by agent")
 )
 
-// maxAnswerSize returns the bound of an answer for a process with so many MB of memory, in bytes.
-func maxAnswerSize(memoryMB int) int64 {
-	return int64(min(maxAnswer, memoryMB<<20/answerMemoryFraction))
+// maxResponseSize returns the maximum size of a response body in bytes, for a process with a memory limit in units of
+// 2^20 bytes.
+func maxResponseSize(memoryLimitMB int) int64 {
+	return int64(min(maxResponseBytes, memoryLimitMB<<20/responseMemoryDivisor))
 }
 
-// request is a request for the full list, or for the changes after a version.
-type request struct {
-	full    bool
-	after   int   // version; unused if full
-	fetches int64 // number of calls of Watcher.Fetch before it was made, which its answer fulfills if full
+// listRequest is a request for the full list, or for the changes after a version.
+type listRequest struct {
+	full         bool // whether the request is for the full list
+	afterVersion int  // version after which changes are requested; unused if full is set
+	// fullListCalls is the number of calls of Watcher.RequestFullList before this request was created. If full is
+	// set, the response to this request fulfills these calls.
+	fullListCalls int64
 }
 
-// pollState is what pollAgent delivers to Watcher.receive: once before the first request of a connection, and after each
-// answer. Watcher.receive sets either the next request or the error for which the answer is rejected.
+// pollState is the state of the polls over one connection. pollAgent passes it to Watcher.handlePoll before the first
+// request of the connection, without an update, and after each response, with the update from the response.
+// Watcher.handlePoll sets nextRequest, or rejection if it rejects the update.
 type pollState struct {
-	address  string // of the agent
-	answered bool   // update is set
-	update   assign.EndpointUpdate
-	next     request
-	err      error
+	address     string                // address of the agent
+	hasUpdate   bool                  // whether a response was received, so that update is set
+	update      assign.EndpointUpdate // content of the last response
+	nextRequest listRequest           // request to send next, set by Watcher.handlePoll
+	rejection   error                 // reason for the rejection of update, set by Watcher.handlePoll; nil if accepted
 }
 
-// pollAgent polls an agent over one connection until a request fails, an answer is rejected, the agent closes the
-// connection or the context ends. It is the Open of a handover.Source.
+// pollAgent polls the agent at an address over one connection, until a request fails, a response is rejected, the agent
+// closes the connection or the context ends. It returns the reason for its end, which is never nil. It is used as the
+// Open function of a handover.Source.
 func (w *Watcher) pollAgent(ctx context.Context, address string, deliver func(*pollState) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
 		return fmt.Errorf("agent %s: %w", address, err)
 	}
-	defer func() { _ = conn.Close() }() // the connection is not used again, so an error of closing it changes nothing
+	defer func() { _ = conn.Close() }() // the connection is not used again, so an error from Close has no effect
 	defer conn.CloseOnContextDone(ctx)()
 	poll := &pollState{address: address}
-	if !deliver(poll) { // sets the first request
+	if !deliver(poll) { // handlePoll sets the first request
 		return fmt.Errorf("agent %s: %w", address, ctx.Err())
 	}
 	for {
-		update, closing, err := w.requestList(conn, poll.next)
+		update, closing, err := w.requestEndpointList(conn, poll.nextRequest)
 		if err != nil {
 			return fmt.Errorf("agent %s: %w", address, err)
 		}
-		poll.answered = true
+		poll.hasUpdate = true
 		poll.update = update
-		if !deliver(poll) { // the watcher may still use poll
+		if !deliver(poll) { // handlePoll may still be using poll, so poll must not be accessed after this point
 			return fmt.Errorf("agent %s: %w", address, ctx.Err())
 		}
-		if poll.err != nil {
-			return poll.err
+		if poll.rejection != nil {
+			return poll.rejection
 		}
 		if closing {
 			return ErrConnectionClosed
@@ -96,37 +106,39 @@
 	}
 }
 
-// requestList makes one request and returns its answer. Closing reports that the connection cannot be used again.
-func (w *Watcher) requestList(conn *httpconn.Conn, wanted request) (update assign.EndpointUpdate, closing bool, err error) {
-	timeout := answerTimeout
+// requestEndpointList sends one request and returns the update from its response. The result closing is true if the
+// connection cannot be used for another request.
+func (w *Watcher) requestEndpointList(conn *httpconn.Conn, request listRequest) (update assign.EndpointUpdate, closing bool, err error) {
+	timeout := responseTimeout
 	httpRequest := conn.NewRequest(http.MethodGet, listPath)
-	if !wanted.full {
-		timeout += pollWait
+	if !request.full {
+		timeout += longPollWait
 		httpRequest.URL.RawQuery = url.Values{
-			afterParameter: {strconv.Itoa(wanted.after)},
-			waitParameter:  {strconv.FormatInt(pollWait.Milliseconds(), 10)},
+			afterParameter: {strconv.Itoa(request.afterVersion)},
+			waitParameter:  {strconv.FormatInt(longPollWait.Milliseconds(), 10)},
 		}.Encode()
 	}
 	response, _, err := conn.Do(httpRequest, timeout)
 	if err != nil {
 		return update, true, fmt.Errorf("request list: %w", err)
 	}
-	body, err := w.readBody(response)
+	body, err := w.readResponseBody(response)
 	if err != nil {
-		return update, true, fmt.Errorf("read answer: %w", err)
+		return update, true, fmt.Errorf("read response: %w", err)
 	}
-	update, err = w.codec.DecodeEndpointList(body)
+	update, err = w.responseCodec.DecodeEndpointList(body)
 	if err != nil {
-		return update, true, fmt.Errorf("decode answer: %w", err)
+		return update, true, fmt.Errorf("decode response: %w", err)
 	}
 	return update, response.Close, nil
 }
 
-// readBody reads an answer's body and closes it, unless it is too large.
-func (w *Watcher) readBody(response *http.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxAnswer+1))
-	if int64(len(body)) > w.maxAnswer { // the rest stays unread, since the caller closes the connection
-		return nil, ErrAnswerTooLarge
+// readResponseBody reads the body of a response and closes it. It returns ErrResponseTooLarge, and does not close the
+// body, if the body exceeds the size limit. It returns an error that wraps httpconn.ErrUnexpectedStatus if the status is not OK.
+func (w *Watcher) readResponseBody(response *http.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxResponseSize+1))
+	if int64(len(body)) > w.maxResponseSize { // the rest is not read, because the caller closes the connection
+		return nil, ErrResponseTooLarge
 	}
 	if err := errors.Join(err, response.Body.Close()); err != nil {
 		return nil, err
--- a/internal/discovery/version.go
+++ b/internal/discovery/version.go
@@ -9,79 +9,93 @@
 )
 
 const (
-	// minRegressions answers with a lower version are rejected before a full list with one is accepted: full lists, or
-	// changes as the first of them.
-	minRegressions = 3
-	// minRegressionTime has to pass between the first of them and the accepted list if the list held is discovery's. An
-	// agent that is behind for a shorter time would bring back endpoints that were removed.
-	minRegressionTime = 2 * time.Second
+	// minRejectedRegressions is the number of updates with a lower version that are rejected before a full list with
+	// a lower version is accepted. Each rejected full list counts. Rejected changes count only if they are the first
+	// of the rejected updates.
+	minRejectedRegressions = 3
+	// minRegressionDuration is the time that must pass between the first rejected update and the acceptance of a full
+	// list with a lower version, if the current list came from discovery. Without this delay, a list from an agent
+	// that is out of date for a shorter time would bring back endpoints that were removed.
+	minRegressionDuration = 2 * time.Second
 )
 
-// Errors of rejected answers.
+// Errors of rejected updates.
 var (
+	// ErrVersionRegressed reports an update whose version is lower than the version of the current list.
 	ErrVersionRegressed = errors.New("list version regressed")
-	ErrNotFull          = errors.New("changes received instead of the full list")
+	// ErrFullListMissing reports an update with changes before the first full list from discovery.
+	ErrFullListMissing = errors.New("changes received instead of the full list")
 )
 
-// listVersion decides by their versions which answers are applied to the endpoint list. Its states:
+// versionTracker decides which updates from discovery are applied to the current endpoint list, by the versions of the
+// updates. An update is either a full list or a list of changes. A versionTracker has three states:
 //
-//	initial    not synced: the list held is the configuration's; the full list is requested
-//	synced     the list held is discovery's; changes after its version are requested
-//	regressed  regressions is above 0: the last answers had lower versions; the full list is requested (resync)
+//	initial    The current list is the list of the configuration. The full list is requested.
+//	synced     The current list came from discovery. Changes after its version are requested.
+//	regressed  The last updates had lower versions than the current list. The full list is requested again.
 //
-// Its transitions:
+// Its transitions, with the state, the update and the next state, are:
 //
-//	initial    full list                        -> synced
-//	initial    changes                          -> initial, answer rejected
-//	initial    lower version                    -> regressed, answer rejected
-//	synced     full list or changes             -> synced
-//	synced     lower version                    -> regressed, answer rejected
-//	regressed  full list, version not lower     -> synced
-//	regressed  changes, version not lower       -> synced; from initial: regressed, answer rejected
-//	regressed  lower version, too early         -> regressed, answer rejected
-//	regressed  full list with a lower version   -> synced: discovery has restarted its versions
+//	initial    full list, version not lower        -> synced
+//	initial    changes, version not lower          -> initial, update rejected
+//	initial    any update, lower version           -> regressed, update rejected
+//	synced     any update, version not lower       -> synced
+//	synced     any update, lower version           -> regressed, update rejected
+//	regressed  full list, version not lower        -> synced
+//	regressed  changes, version not lower          -> synced if the current list came from discovery;
+//	                                                  otherwise regressed, update rejected
+//	regressed  changes, lower version              -> regressed, update rejected
+//	regressed  full list, lower version, too early -> regressed, update rejected
+//	regressed  full list, lower version, otherwise -> synced, because discovery has restarted its versions
 //
-// A lower version is too early until minRegressions of them were rejected and, unless regressed followed initial, until
-// minRegressionTime has passed. Changes with a lower version are always rejected; they count only where they are the
-// first.
-type listVersion struct {
-	held           int       // version of the list held
-	synced         bool      // the list held was received from discovery, by this process
-	regressions    int       // full lists in a row that were rejected for their lower versions, or changes as the first
-	regressedSince time.Time // the time of the first of them
+// A full list with a lower version is too early in two cases. The first case is that fewer than
+// minRejectedRegressions updates were counted as rejected before it. The second case is that the current list came
+// from discovery and less than minRegressionDuration has passed since the first of these rejections.
+type versionTracker struct {
+	currentVersion int  // version of the current list
+	synced         bool // whether the current list came from discovery, instead of from the configuration
+	// regressions is the number of consecutive full lists that were rejected for their lower versions. Changes with a
+	// lower version are counted only if they are the first of the rejected updates. regressions is above 0 in the
+	// state regressed.
+	regressions         int
+	firstRegressionTime time.Time // time of the first update that is counted in regressions
 }
 
-// needsFullList reports whether the full list has to be requested.
-func (v *listVersion) needsFullList() bool { return !v.synced || v.regressions > 0 }
+// needsFullList reports whether the full list must be requested instead of changes.
+func (t *versionTracker) needsFullList() bool { return !t.synced || t.regressions > 0 }
 
-// check returns nil if an update may be applied, and ErrVersionRegressed or ErrNotFull, wrapped, if it is rejected.
-func (v *listVersion) check(update assign.EndpointUpdate, now time.Time) error {
-	if update.Version < v.held {
-		return v.checkRegression(update, now)
+// checkUpdate returns nil if an update that was received at the time now may be applied. Otherwise it returns an
+// error that wraps ErrVersionRegressed or ErrFullListMissing.
+func (t *versionTracker) checkUpdate(update assign.EndpointUpdate, now time.Time) error {
+	if update.Version < t.currentVersion {
+		return t.checkRegression(update, now)
 	}
-	if !v.synced && !update.Full {
-		return fmt.Errorf("list version %d: %w", update.Version, ErrNotFull)
+	if !t.synced && !update.Full {
+		return fmt.Errorf("list version %d: %w", update.Version, ErrFullListMissing)
 	}
 	return nil
 }
 
-// checkRegression is check for an update with a lower version.
-func (v *listVersion) checkRegression(update assign.EndpointUpdate, now time.Time) error {
-	if v.regressions == 0 {
-		v.regressedSince = now
+// checkRegression returns nil if an update with a lower version than the current list may be applied. Otherwise it
+// counts the update and returns an error that wraps ErrVersionRegressed.
+func (t *versionTracker) checkRegression(update assign.EndpointUpdate, now time.Time) error {
+	if t.regressions == 0 {
+		t.firstRegressionTime = now
 	}
-	regressed := fmt.Errorf("%w: %d after %d", ErrVersionRegressed, update.Version, v.held)
+	err := fmt.Errorf("%w: %d after %d", ErrVersionRegressed, update.Version, t.currentVersion)
 	if !update.Full {
-		v.regressions = max(v.regressions, 1)
-		return regressed
+		t.regressions = max(t.regressions, 1)
+		return err
 	}
-	tooEarly := v.synced && now.Sub(v.regressedSince) < minRegressionTime
-	if v.regressions < minRegressions || tooEarly {
-		v.regressions++
-		return regressed
+	tooEarly := t.synced && now.Sub(t.firstRegressionTime) < minRegressionDuration
+	if t.regressions < minRejectedRegressions || tooEarly {
+		t.regressions++
+		return err
 	}
 	return nil
 }
 
-// applied records that an update was applied.
-func (v *listVersion) applied(version int) { *v = listVersion{held: version, synced: true} }
+// recordApplied records that an update with the given version was applied.
+func (t *versionTracker) recordApplied(version int) {
+	*t = versionTracker{currentVersion: version, synced: true}
+}
--- a/internal/discovery/version_test.go
+++ b/internal/discovery/version_test.go
@@ -8,97 +8,100 @@
 	"madderhollow/assign"
 )
 
-// heldVersion is the version of the list held at the start of each case.
-const heldVersion = 10
+// startVersion is the version of the current list at the start of each test case.
+const startVersion = 10
 
-// answer is an answer of an agent, and the error with which it is rejected, or nil.
-type answer struct {
-	version int
-	full    bool
-	after   time.Duration // since the answer before
-	want    error
+// versionedResponse is a response of an agent with an update, and the error that checkUpdate must return for the
+// update.
+type versionedResponse struct {
+	listVersion   int
+	full          bool
+	sincePrevious time.Duration // time since the previous response
+	wantError     error
 }
 
-// versionCase is a sequence of answers for a list that is discovery's (synced) or the configuration's.
+// versionCase is a sequence of responses, and whether the current list at the start came from discovery (synced) or
+// from the configuration.
 type versionCase struct {
-	synced  bool
-	answers []answer
+	synced    bool
+	responses []versionedResponse
 }
 
+// versionCases returns the test cases by their names.
 func versionCases() map[string]versionCase {
-	rejectedList := answer{version: 9, full: true, want: ErrVersionRegressed}
-	rejectedChanges := answer{version: 9, want: ErrVersionRegressed}
-	afterTime := func(a answer, after time.Duration) answer { a.after = after; return a }
+	olderFullList := versionedResponse{listVersion: 9, full: true, wantError: ErrVersionRegressed}
+	olderChanges := versionedResponse{listVersion: 9, wantError: ErrVersionRegressed}
+	withDelay := func(r versionedResponse, delay time.Duration) versionedResponse { r.sincePrevious = delay; return r }
 	return map[string]versionCase{
 		"initial, changes": {
-			answers: []answer{{version: 11, want: ErrNotFull}, {version: 11, want: ErrNotFull}},
+			responses: []versionedResponse{{listVersion: 11, wantError: ErrFullListMissing}, {listVersion: 11, wantError: ErrFullListMissing}},
 		},
 		"initial, full list": {
-			answers: []answer{{version: 10, full: true}},
+			responses: []versionedResponse{{listVersion: 10, full: true}},
 		},
 		"initial, lower version, then changes": {
-			answers: []answer{rejectedList, {version: 10, want: ErrNotFull}},
+			responses: []versionedResponse{olderFullList, {listVersion: 10, wantError: ErrFullListMissing}},
 		},
 		"initial, full lists with a lower version": {
-			answers: []answer{rejectedList, rejectedList, rejectedList, {version: 9, full: true}},
+			responses: []versionedResponse{olderFullList, olderFullList, olderFullList, {listVersion: 9, full: true}},
 		},
 		"synced, changes and full list": {
-			synced:  true,
-			answers: []answer{{version: 10}, {version: 11}, {version: 12, full: true}},
+			synced:    true,
+			responses: []versionedResponse{{listVersion: 10}, {listVersion: 11}, {listVersion: 12, full: true}},
 		},
 		"synced, lower version, then changes": {
-			synced:  true,
-			answers: []answer{rejectedList, {version: 10}},
+			synced:    true,
+			responses: []versionedResponse{olderFullList, {listVersion: 10}},
 		},
-		"synced, full lists with a lower version before minRegressionTime": {
-			synced:  true,
-			answers: []answer{rejectedList, rejectedList, rejectedList, afterTime(rejectedList, minRegressionTime-1)},
+		"synced, full lists with a lower version before minRegressionDuration": {
+			synced:    true,
+			responses: []versionedResponse{olderFullList, olderFullList, olderFullList, withDelay(olderFullList, minRegressionDuration-1)},
 		},
-		"synced, full lists with a lower version at minRegressionTime": {
+		"synced, full lists with a lower version at minRegressionDuration": {
 			synced: true,
-			answers: []answer{rejectedList, rejectedList, rejectedList,
-				{version: 8, full: true, after: minRegressionTime}},
+			responses: []versionedResponse{olderFullList, olderFullList, olderFullList,
+				{listVersion: 8, full: true, sincePrevious: minRegressionDuration}},
 		},
 		"synced, too few full lists with a lower version": {
-			synced:  true,
-			answers: []answer{rejectedList, rejectedList, afterTime(rejectedList, minRegressionTime)},
+			synced:    true,
+			responses: []versionedResponse{olderFullList, olderFullList, withDelay(olderFullList, minRegressionDuration)},
 		},
 		"synced, changes with a lower version": {
 			synced: true,
-			answers: []answer{rejectedChanges, rejectedChanges, rejectedChanges, rejectedChanges,
-				afterTime(rejectedChanges, minRegressionTime)},
+			responses: []versionedResponse{olderChanges, olderChanges, olderChanges, olderChanges,
+				withDelay(olderChanges, minRegressionDuration)},
 		},
 		"synced, changes with a lower version count once": {
 			synced: true,
-			answers: []answer{rejectedChanges, rejectedChanges, rejectedChanges,
-				afterTime(rejectedList, minRegressionTime), rejectedList, {version: 9, full: true}},
+			responses: []versionedResponse{olderChanges, olderChanges, olderChanges,
+				withDelay(olderFullList, minRegressionDuration), olderFullList, {listVersion: 9, full: true}},
 		},
-		"synced, lower versions in a row again after an applied answer": {
+		"synced, lower versions counted again after an applied update": {
 			synced: true,
-			answers: []answer{rejectedList, rejectedList, {version: 10},
-				afterTime(rejectedList, minRegressionTime), afterTime(rejectedList, minRegressionTime)},
+			responses: []versionedResponse{olderFullList, olderFullList, {listVersion: 10},
+				withDelay(olderFullList, minRegressionDuration), withDelay(olderFullList, minRegressionDuration)},
 		},
 	}
 }
 
-func TestListVersionChecksEachAnswer(t *testing.T) {
+func TestVersionTrackerChecksEachUpdate(t *testing.T) {
 	t.Parallel()
 	for name, test := range versionCases() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			version := listVersion{held: heldVersion, synced: test.synced}
+			tracker := versionTracker{currentVersion: startVersion, synced: test.synced}
 			now := time.Unix(1000, 0)
-			for i, answer := range test.answers {
-				now = now.Add(answer.after)
-				err := version.check(assign.EndpointUpdate{Version: answer.version, Full: answer.full}, now)
-				if !errors.Is(err, answer.want) {
-					t.Fatalf("answer %d: got error %v, want %v", i, err, answer.want)
+			for i, response := range test.responses {
+				now = now.Add(response.sincePrevious)
+				err := tracker.checkUpdate(assign.EndpointUpdate{Version: response.listVersion, Full: response.full}, now)
+				if !errors.Is(err, response.wantError) {
+					t.Fatalf("response %d: got error %v, want %v", i, err, response.wantError)
 				}
 				if err == nil {
-					version.applied(answer.version)
+					tracker.recordApplied(response.listVersion)
 				}
-				if got, want := version.needsFullList(), err != nil; got != want {
-					t.Errorf("answer %d: got full list needed %t, want %t", i, got, want)
+				if got, want := tracker.needsFullList(), err != nil; got != want {
+					t.Errorf("response %d: got needsFullList %t, want %t", i, got, want)
 				}
 			}
 		})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,8 +1,8 @@
-// Package discovery is the client of the discovery agent. It fetches the full endpoint list and then watches it by long
-// polls, so that no change is missed, and passes each update to the decision module.
+// Package discovery is the client of the discovery agent. It requests the full endpoint list and then long-polls for
+// changes after the version that it has, so that no change is missed. It passes each update to the decision module.
 //
-// Watcher owns the connections (watcher.go, with the requests in connection.go); listVersion decides which answers are
-// applied (version.go).
+// Watcher, in watcher.go, owns the connections to the agent. connection.go sends the requests and reads the responses.
+// versionTracker, in version.go, decides which updates are applied.
 package discovery
 
 import (
@@ -22,68 +22,71 @@
 	"madderhollow/internal/wire"
 )
 
-// minRetryDelay and maxRetryDelay bound the delays between failed attempts. The platform expects a change to be known 6 s
-// after a failure, and a drain's grace may be as short as 3 s.
+// minRetryDelay and maxRetryDelay are the bounds of the delay between a failed attempt to watch the list and the next
+// one, before jitter. The platform expects the assigner to know a change 6 s after a failure. The time within which
+// proxies must stop sending to a draining endpoint may be as short as 3 s.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 300 * time.Millisecond
 )
 
-// ErrMemory is returned by New for a Config without memory for the answers of an agent.
-var ErrMemory = errors.New("memory limit below 1 MB")
+// ErrMemoryLimit reports a Config with a memory limit below 1 MB, which leaves no memory for the responses of an agent.
+var ErrMemoryLimit = errors.New("memory limit below 1 MB")
 
-// Config describes a Watcher.
+// Config configures a Watcher.
 type Config struct {
-	Address        *handover.Address // of the agent; its owner may move it at any time; required
-	InitialVersion int               // of the list that the module starts with, from the configuration; default 0: none
-	Codec          *wire.Codec       // decodes answers; required
-	Sink           eventqueue.Sink   // receives every assign.EndpointUpdate, from the goroutine that calls Run; required
-	MemoryMB       int               // the process's memory limit; bounds the size of an answer; at least 1
-	Seed           int64             // of the delays between attempts; any value
-	Log            zerolog.Logger    // New adds the component; default: no log
+	Address        *handover.Address // address of the agent, which its owner may move at any time; required
+	InitialVersion int               // version of the endpoint list in the configuration; 0 if there is none
+	Codec          *wire.Codec       // decoder of the agent's responses; required
+	Sink           eventqueue.Sink   // receives each assign.EndpointUpdate, in the goroutine of Run; required
+	MemoryLimitMB  int               // memory limit of the process in MiB, at least 1; also limits each response
+	Seed           int64             // seed of the jitter of the delays between attempts; any value is valid
+	Log            zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
 
-// Watcher watches the list of one agent, over one connection, or two while the agent's address moves. Watch and Fetch may be
-// called by any goroutine and do not block.
+// Watcher watches the endpoint list of one discovery agent. It uses one connection, or two while the address of the
+// agent moves. SetFailureReporting and RequestFullList may be called by any goroutine and do not block.
 type Watcher struct {
-	address   *handover.Address
-	codec     *wire.Codec
-	sink      eventqueue.Sink
-	log       zerolog.Logger
-	delays    *backoff.Backoff
-	maxAnswer int64 // bytes
-
-	reportFailures atomic.Bool  // the module wants an event for each failure, ordinary closes by the agent included
-	fetches        atomic.Int64 // calls of Fetch
-
-	// The rest is used by the goroutine that calls Run.
-	version          listVersion
-	fetchesFulfilled int64                   // calls of Fetch that an answer with the full list has followed
-	watchFailures    *conditionlog.Condition // of the watch that the module depends on
-	handoverFailures *conditionlog.Condition // of the watch at a new address, while the old one is watched
+	address         *handover.Address
+	responseCodec   *wire.Codec
+	eventSink       eventqueue.Sink
+	log             zerolog.Logger
+	retryDelays     *backoff.Backoff
+	maxResponseSize int64 // maximum size of a response body in bytes
+
+	// reportFailures is set if the decision module gets an event for each failure. A connection that the agent closes
+	// after a response counts as a failure, too.
+	reportFailures atomic.Bool
+	fullListCalls  atomic.Int64 // number of calls of RequestFullList
+
+	// The fields below are used only by the goroutine that calls Run.
+	versionTracker         versionTracker
+	fullListCallsFulfilled int64                   // number of calls of RequestFullList that a full list has followed
+	watchCondition         *conditionlog.Condition // log of failures and recoveries of the watch in use
+	handoverCondition      *conditionlog.Condition // log of failures of the new watch during a handover of the address
 }
 
-// New returns a watcher that does nothing until Run. It returns an error that wraps ErrMemory if config.MemoryMB is not
-// above 0.
+// New returns a Watcher, which does nothing until Run is called. It returns an error that wraps ErrMemoryLimit if
+// config.MemoryLimitMB is below 1.
 func New(config Config) (*Watcher, error) {
-	if config.MemoryMB < 1 {
-		return nil, fmt.Errorf("%w: %d MB", ErrMemory, config.MemoryMB)
+	if config.MemoryLimitMB < 1 {
+		return nil, fmt.Errorf("%w: %d MB", ErrMemoryLimit, config.MemoryLimitMB)
 	}
 	log := config.Log.With().Str("component", "discovery").Logger()
 	return &Watcher{
-		address:   config.Address,
-		codec:     config.Codec,
-		sink:      config.Sink,
-		log:       log,
-		delays:    backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
-		maxAnswer: maxAnswerSize(config.MemoryMB),
-		version:   listVersion{held: config.InitialVersion},
-		watchFailures: conditionlog.New(conditionlog.Config{
+		address:         config.Address,
+		responseCodec:   config.Codec,
+		eventSink:       config.Sink,
+		log:             log,
+		retryDelays:     backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+		maxResponseSize: maxResponseSize(config.MemoryLimitMB),
+		versionTracker:  versionTracker{currentVersion: config.InitialVersion},
+		watchCondition: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "endpoint watch failed; keeping current list",
 			Recovered: "endpoint watch recovered",
 		}),
-		handoverFailures: conditionlog.New(conditionlog.Config{
+		handoverCondition: conditionlog.New(conditionlog.Config{
 			Log:       log,
 			Failing:   "new discovery address failed; watching old address",
 			Recovered: "discovery address handover completed",
@@ -91,99 +94,112 @@
 	}, nil
 }
 
-// Watch sets whether the module gets an event for each failure. The list is watched in either case, since that costs the
-// agent nothing.
-func (w *Watcher) Watch(enabled bool) { w.reportFailures.Store(enabled) }
+// SetFailureReporting sets whether the decision module gets an event for each failure of the watch. The list is
+// watched in either case, because that costs the agent nothing.
+func (w *Watcher) SetFailureReporting(enabled bool) { w.reportFailures.Store(enabled) }
 
-// Fetch makes the next request one for the full list, and enables the events for failures.
-func (w *Watcher) Fetch() {
+// RequestFullList makes the next request to the agent a request for the full list. It also enables the events for
+// failures, as SetFailureReporting(true) does.
+func (w *Watcher) RequestFullList() {
 	w.reportFailures.Store(true)
-	w.fetches.Add(1)
+	w.fullListCalls.Add(1)
 }
 
-// Run watches the list until the context ends. It must be called once. When the address moves, it requests the full list
-// from the new agent while it still watches the old one.
+// Run watches the list until the context ends. It must be called only once. After the address moves, Run requests the
+// full list from the agent at the new address while it still watches the list of the agent at the old address.
 func (w *Watcher) Run(ctx context.Context) {
-	handover.Follow(ctx, w.address, w.delays, handover.Source[*pollState]{
+	handover.Follow(ctx, w.address, w.retryDelays, handover.Source[*pollState]{
 		Open: w.pollAgent,
 		Receive: func(poll *pollState, duringHandover bool) bool {
-			return w.receive(ctx, poll, duringHandover)
+			return w.handlePoll(ctx, poll, duringHandover)
 		},
-		Failed: func(err error, duringHandover bool) { w.failed(ctx, err, duringHandover) },
+		Failed: func(err error, duringHandover bool) { w.handleFailure(ctx, err, duringHandover) },
 	})
 }
 
-// failed logs the end of a connection, and reports it to the module if no other connection is open.
-func (w *Watcher) failed(ctx context.Context, err error, duringHandover bool) {
+// handleFailure logs the end of a connection with its error. It reports the failure to the decision module if failures
+// are reported, unless the connection was the new one of a handover and the old one continues. It does nothing after
+// the end of the context.
+func (w *Watcher) handleFailure(ctx context.Context, err error, duringHandover bool) {
 	if ctx.Err() != nil {
 		return
 	}
 	w.logFailure(err, duringHandover)
 	if w.reportFailures.Load() && !duringHandover {
-		// The only error is that the context has ended, which also ends Run.
-		_ = w.sink(ctx, assign.EndpointUpdate{Version: w.version.held, Failed: true})
+		// The only possible error is that the context has ended, which also ends Run.
+		_ = w.eventSink(ctx, assign.EndpointUpdate{Version: w.versionTracker.currentVersion, Failed: true})
 	}
 }
 
+// logFailure logs the end of a connection: as a failure of the new watch during a handover, as a normal close by the
+// agent, or as a failure of the watch in use.
 func (w *Watcher) logFailure(err error, duringHandover bool) {
-	addVersion := func(line *zerolog.Event) { line.Int("version", w.version.held) }
+	addVersion := func(line *zerolog.Event) { line.Int("version", w.versionTracker.currentVersion) }
 	switch {
 	case duringHandover:
-		w.handoverFailures.RecordFailure(err, addVersion)
-	case errors.Is(err, ErrConnectionClosed): // after an answer that was applied
+		w.handoverCondition.RecordFailure(err, addVersion)
+	case errors.Is(err, ErrConnectionClosed): // the response before the close was complete and was applied
 		w.log.Debug().Msg("agent closed connection; reconnecting")
 	default:
-		w.watchFailures.RecordFailure(err, addVersion)
+		w.watchCondition.RecordFailure(err, addVersion)
 	}
 }
 
-// receive applies an answer and sets the next request, or the error for which the answer is rejected. It reports whether an
-// answer was applied, with which a new agent is ready to replace the old one.
-func (w *Watcher) receive(ctx context.Context, poll *pollState, duringHandover bool) (ready bool) {
-	if !poll.answered {
-		poll.next = w.firstRequest(duringHandover)
+// handlePoll handles a poll state from pollAgent. It applies the update, if there is one, and sets poll.nextRequest.
+// If it rejects the update, it sets poll.rejection instead. The result ready is true if an update was applied; during
+// a handover, the new agent is then ready to replace the old one.
+func (w *Watcher) handlePoll(ctx context.Context, poll *pollState, duringHandover bool) (ready bool) {
+	if !poll.hasUpdate {
+		poll.nextRequest = w.firstRequest(duringHandover)
 		return false
 	}
-	if poll.err = w.apply(ctx, poll.update); poll.err != nil {
+	if poll.rejection = w.applyUpdate(ctx, poll.update); poll.rejection != nil {
 		return false
 	}
-	w.delays.Reset()
-	w.watchFailures.RecordSuccess()
+	w.retryDelays.Reset()
+	w.watchCondition.RecordSuccess()
 	if address, _ := w.address.Current(); poll.address == address {
-		w.handoverFailures.RecordSuccess()
+		w.handoverCondition.RecordSuccess()
 	}
-	if poll.next.full {
-		w.fetchesFulfilled = poll.next.fetches
+	if poll.nextRequest.full {
+		w.fullListCallsFulfilled = poll.nextRequest.fullListCalls
 	}
-	poll.next = w.request(false)
+	poll.nextRequest = w.nextRequest(false)
 	return true
 }
 
-// firstRequest returns the first request of a connection.
-func (w *Watcher) firstRequest(duringHandover bool) request {
-	return w.request(duringHandover || w.version.needsFullList())
+// firstRequest returns the first request of a connection. The first request of the new connection during a handover is
+// always for the full list.
+func (w *Watcher) firstRequest(duringHandover bool) listRequest {
+	return w.nextRequest(duringHandover || w.versionTracker.needsFullList())
 }
 
-// request returns the next request: for the full list if it is needed or a call of Fetch is not fulfilled yet.
-func (w *Watcher) request(fullNeeded bool) request {
-	fetches := w.fetches.Load()
-	return request{full: fullNeeded || fetches > w.fetchesFulfilled, after: w.version.held, fetches: fetches}
+// nextRequest returns the next request. The request is for the full list if needsFullList is true, or if no response
+// has fulfilled the last call of RequestFullList yet. Otherwise it is for the changes after the current version.
+func (w *Watcher) nextRequest(needsFullList bool) listRequest {
+	calls := w.fullListCalls.Load()
+	return listRequest{
+		full:          needsFullList || calls > w.fullListCallsFulfilled,
+		afterVersion:  w.versionTracker.currentVersion,
+		fullListCalls: calls,
+	}
 }
 
-// apply passes an update to the module, unless its version rules it out or it changes nothing.
-func (w *Watcher) apply(ctx context.Context, update assign.EndpointUpdate) error {
-	if err := w.version.check(update, time.Now()); err != nil {
+// applyUpdate passes an update to the decision module, unless the update has no changes, and records its version. It
+// returns an error if the version rules the update out or if the context has ended.
+func (w *Watcher) applyUpdate(ctx context.Context, update assign.EndpointUpdate) error {
+	if err := w.versionTracker.checkUpdate(update, time.Now()); err != nil {
 		return err
 	}
-	if update.Version < w.version.held {
-		w.log.Warn().Int("version", update.Version).Int("old_version", w.version.held).
+	if update.Version < w.versionTracker.currentVersion {
+		w.log.Warn().Int("version", update.Version).Int("old_version", w.versionTracker.currentVersion).
 			Msg("list version restarted; lower version accepted")
 	}
 	if update.Full || len(update.Endpoints) > 0 {
-		if err := w.sink(ctx, update); err != nil {
+		if err := w.eventSink(ctx, update); err != nil {
 			return err
 		}
 	}
-	w.version.applied(update.Version)
+	w.versionTracker.recordApplied(update.Version)
 	return nil
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,60 +24,61 @@
 	"madderhollow/internal/wire"
 )
 
-// testTimeout bounds any wait. It is long enough for a busy machine.
+// testTimeout is the longest time that a test waits for a condition. It is long enough for a machine under high load.
 const testTimeout = 10 * time.Second
 
 const (
-	firstVersion = 41 // of the agent's first list
-	memoryMB     = 64
+	initialAgentVersion = 41 // version of the fake agent's list at its start
+	memoryLimitMB       = 64 // memory limit of the watcher in MiB
 )
 
-// entry returns an entry of the endpoint list.
-func entry(name, state string) discoverytest.Endpoint {
+// endpointEntry returns an entry of the endpoint list with the given name and state.
+func endpointEntry(name, state string) discoverytest.Endpoint {
 	return discoverytest.Endpoint{Name: name, Zone: "a", State: state, Weight: 1}
 }
 
-// fullList returns an answer with the full list.
-func fullList(version int64, entries ...discoverytest.Endpoint) discoverytest.List {
-	return discoverytest.List{Version: version, Full: true, Endpoints: entries}
+// fullList returns the content of a response with the full list.
+func fullList(version int64, entries ...discoverytest.Endpoint) discoverytest.ListResponse {
+	return discoverytest.ListResponse{Version: version, Full: true, Endpoints: entries}
 }
 
-// changes returns an answer with changes.
-func changes(version int64, entries ...discoverytest.Endpoint) discoverytest.List {
-	return discoverytest.List{Version: version, Endpoints: entries}
+// changedEntries returns the content of a response with changes.
+func changedEntries(version int64, entries ...discoverytest.Endpoint) discoverytest.ListResponse {
+	return discoverytest.ListResponse{Version: version, Endpoints: entries}
 }
 
-// harness is a fake agent and a watcher of it, with the updates that the watcher passes to the module.
-type harness struct {
+// watcherHarness is a fake agent and a Watcher of its list. The channel updates has the updates that the watcher
+// passes to the decision module.
+type watcherHarness struct {
 	*discoverytest.Agent
 	address *handover.Address
 	watcher *Watcher
 	updates chan assign.EndpointUpdate
 }
 
-// newHarness starts a watcher that holds a list of an initial version, and receives the first update, the full list. Both
-// end with the test.
-func newHarness(t *testing.T, initialVersion int) *harness {
+// newHarness starts a fake agent and a watcher whose list from the configuration has the given version. It receives the
+// first update, which is the full list from the agent. The agent and the watcher stop when the test ends.
+func newHarness(t *testing.T, initialVersion int) *watcherHarness {
 	t.Helper()
-	agent, err := discoverytest.New("", firstVersion, entry("s", discoverytest.Ready), entry("u", discoverytest.Ready))
+	agent, err := discoverytest.New("", initialAgentVersion, endpointEntry("s", discoverytest.Ready), endpointEntry("u", discoverytest.Ready))
 	if err != nil {
 		t.Fatal(err)
 	}
-	setup := &harness{Agent: agent, address: handover.NewAddress(agent.Address()), updates: make(chan assign.EndpointUpdate, 1000)}
+	harness := &watcherHarness{Agent: agent, address: handover.NewAddress(agent.Address()), updates: make(chan assign.EndpointUpdate, 1000)}
 	sink := func(_ context.Context, event assign.Event) error {
 		update, ok := event.(assign.EndpointUpdate)
 		if !ok {
 			t.Errorf("got event %#v, want an EndpointUpdate", event)
 		}
-		setup.updates <- update
+		harness.updates <- update
 		return nil
 	}
-	setup.watcher, err = New(Config{
-		Address:        setup.address,
+	harness.watcher, err = New(Config{
+		Address:        harness.address,
 		InitialVersion: initialVersion,
 		Codec:          wire.NewCodec(assign.DefaultConfig(), time.Now()),
 		Sink:           sink,
-		MemoryMB:       memoryMB,
+		MemoryLimitMB:  memoryLimitMB,
 		Seed:           1,
 		Log:            zerolog.Nop(),
 	})
@@ -86,7 +87,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); setup.watcher.Run(ctx) }() // ends with ctx, which the cleanup cancels
+	go func() { defer close(ended); harness.watcher.Run(ctx) }() // ends when the cleanup cancels ctx
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -94,20 +95,20 @@
 			t.Error(err)
 		}
 	})
-	if update := setup.next(t); update.Version != firstVersion || !update.Full || len(update.Endpoints) != 2 {
-		t.Fatalf("first update: got %+v, want the full list of version %d with 2 endpoints", update, firstVersion)
+	if update := harness.receiveUpdate(t); update.Version != initialAgentVersion || !update.Full || len(update.Endpoints) != 2 {
+		t.Fatalf("first update: got %+v, want the full list of version %d with 2 endpoints", update, initialAgentVersion)
 	}
-	return setup
+	return harness
 }
 
-// startHarness is newHarness with an initial version lower than the agent's.
-func startHarness(t *testing.T) *harness {
+// newHarnessWithOlderList calls newHarness with a version that is lower than the version of the agent's list.
+func newHarnessWithOlderList(t *testing.T) *watcherHarness {
 	t.Helper()
-	return newHarness(t, firstVersion-1)
+	return newHarness(t, initialAgentVersion-1)
 }
 
-// next receives the next update.
-func (h *harness) next(t *testing.T) assign.EndpointUpdate {
+// receiveUpdate waits for the next update that the watcher passes to the decision module.
+func (h *watcherHarness) receiveUpdate(t *testing.T) assign.EndpointUpdate {
 	t.Helper()
 	select {
 	case update := <-h.updates:
@@ -118,8 +119,9 @@
 	}
 }
 
-// moveAgent moves the agent and the watcher's address. The agent's old address stays open for a time.
-func (h *harness) moveAgent(t *testing.T, oldOpen time.Duration) {
+// moveAgent moves the agent to a new address and then sets the watcher's address to it. The agent keeps its old address
+// open for the duration oldOpen.
+func (h *watcherHarness) moveAgent(t *testing.T, oldOpen time.Duration) {
 	t.Helper()
 	if err := h.Move("", oldOpen); err != nil {
 		t.Fatal(err)
@@ -127,33 +129,34 @@
 	h.address.Set(h.Address())
 }
 
-// write writes a part of an answer. It ignores errors: the client may have closed the connection.
-func write(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
+// writeText writes a part of a response body. It ignores errors, because the client may have closed the connection.
+func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// writeList answers with a list.
-func writeList(t *testing.T, w io.Writer, list discoverytest.List) {
+// writeList writes a response body with a list.
+func writeList(t *testing.T, w io.Writer, list discoverytest.ListResponse) {
 	t.Helper()
-	write(w, string(encode(t, list)))
+	writeText(w, string(encodeJSON(t, list)))
 }
 
-// encode returns the JSON text of a value.
-func encode(t *testing.T, value any) []byte {
+// encodeJSON returns a value encoded as JSON.
+func encodeJSON(t *testing.T, value any) []byte {
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
-		t.Error(err) // not Fatal: handlers of the fake agent call it, too
+		t.Error(err) // not Fatal, because handlers of the fake agent call encodeJSON in other goroutines
 	}
 	return text
 }
 
-// wantsFull reports whether a request is for the full list.
-func wantsFull(r *http.Request) bool { return r.FormValue(afterParameter) == "" }
+// requestsFullList reports whether a request to the agent is for the full list.
+func requestsFullList(r *http.Request) bool { return r.FormValue(afterParameter) == "" }
 
-// rejectFullRequests fails the test for each later request for the full list. Prepare is called for each answer.
-func (h *harness) rejectFullRequests(t *testing.T, prepare func(http.ResponseWriter)) {
+// rejectFullRequests makes the test fail at each further request for the full list. It calls prepare before the agent
+// responds to a request.
+func (h *watcherHarness) rejectFullRequests(t *testing.T, prepare func(http.ResponseWriter)) {
 	t.Helper()
-	h.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
-		if wantsFull(r) {
+	h.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+		if requestsFullList(r) {
 			t.Error("got a request for the full list, want requests for changes")
 		}
 		prepare(w)
@@ -163,87 +166,89 @@
 
 func TestWatcherReportsEachChangeOnceAfterFullList(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	setup.rejectFullRequests(t, func(http.ResponseWriter) {})
+	harness := newHarnessWithOlderList(t)
+	harness.rejectFullRequests(t, func(http.ResponseWriter) {})
 	for i, change := range []struct {
-		listed string
-		state  assign.EndpointState
+		listState string
+		state     assign.EndpointState
 	}{{discoverytest.Draining, assign.Draining}, {discoverytest.Removed, assign.Removed}, {discoverytest.Ready, assign.Ready}} {
-		setup.Change(entry("s", change.listed))
-		want := assign.EndpointUpdate{Version: firstVersion + 1 + i,
+		harness.PutEndpoints(endpointEntry("s", change.listState))
+		want := assign.EndpointUpdate{Version: initialAgentVersion + 1 + i,
 			Endpoints: []assign.Endpoint{{Zone: "a", Name: "s", Weight: 1, State: change.state}}}
-		if update := setup.next(t); !reflect.DeepEqual(update, want) {
+		if update := harness.receiveUpdate(t); !reflect.DeepEqual(update, want) {
 			t.Errorf("got %+v, want %+v", update, want)
 		}
 	}
 }
 
-// badAnswers are answers that must not be applied, by name.
-func badAnswers(t *testing.T) map[string]http.HandlerFunc {
+// invalidResponses returns handlers for responses that must not be applied, by the names of the test cases.
+func invalidResponses(t *testing.T) map[string]http.HandlerFunc {
 	t.Helper()
-	answer := func(text string) http.HandlerFunc {
-		return func(w http.ResponseWriter, _ *http.Request) { write(w, text) }
+	respond := func(text string) http.HandlerFunc {
+		return func(w http.ResponseWriter, _ *http.Request) { writeText(w, text) }
 	}
-	list := func(list discoverytest.List) http.HandlerFunc { return answer(string(encode(t, list))) }
+	list := func(list discoverytest.ListResponse) http.HandlerFunc { return respond(string(encodeJSON(t, list))) }
 	return map[string]http.HandlerFunc{
 		"server error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"garbage":      answer("\x00\xff{"),
+		"invalid JSON": respond("\x00\xff{"),
 		"truncated": func(w http.ResponseWriter, _ *http.Request) {
-			text := encode(t, fullList(99))
+			text := encodeJSON(t, fullList(99))
 			w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-			write(w, string(text[:len(text)/2]))
+			writeText(w, string(text[:len(text)/2]))
 		},
 		"connection reset":         func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"no answer":                func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"no response":              func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"lower version, full list": list(fullList(7)),
-		"lower version, changes":   list(changes(7)),
-		"unknown state":            list(changes(99, entry("s", "odd"))),
+		"lower version, changes":   list(changedEntries(7)),
+		"unknown state":            list(changedEntries(99, endpointEntry("s", "odd"))),
 	}
 }
 
-// The failure is reported to the module, which has asked for that, and the next good answer is applied.
-func TestWatcherKeepsListAfterBadAnswer(t *testing.T) {
-	for name, answer := range badAnswers(t) {
+// TestWatcherKeepsListAfterInvalidResponse checks that an invalid response is not applied and is reported as a
+// failure to the decision module, which has enabled failure reports. The next valid response must be applied.
+func TestWatcherKeepsListAfterInvalidResponse(t *testing.T) {
+	for name, respond := range invalidResponses(t) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			setup := startHarness(t)
-			setup.watcher.Watch(true)
-			var bad atomic.Int32
+			harness := newHarnessWithOlderList(t)
+			harness.watcher.SetFailureReporting(true)
+			var requests atomic.Int32
 			var changed atomic.Bool
-			setup.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
-				if bad.Add(1) > 2 && changed.Load() {
+			harness.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+				if requests.Add(1) > 2 && changed.Load() {
 					return false
 				}
-				answer(w, r)
+				respond(w, r)
 				return true
 			})
-			if !eventually.True(testTimeout, func() bool { return bad.Load() > 0 }) { // the poll in progress has ended
-				t.Fatalf("got no request within %v, want one to give the bad answer to", testTimeout)
+			// The first request that is counted follows the end of the poll that was in progress.
+			if !eventually.True(testTimeout, func() bool { return requests.Load() > 0 }) {
+				t.Fatalf("got no request within %v, want one that gets the invalid response", testTimeout)
 			}
-			setup.Change(entry("s", discoverytest.Draining))
+			harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
 			changed.Store(true)
-			if failures := setup.failuresUntil(t, firstVersion+1); failures < 1 {
+			if failures := harness.countFailuresUntil(t, initialAgentVersion+1); failures < 1 {
 				t.Errorf("got %d failures reported, want at least 1", failures)
 			}
 		})
 	}
 }
 
-// failuresUntil receives updates up to one of a version, and returns the number of those that report a failure. It checks
-// that the others are changes.
-func (h *harness) failuresUntil(t *testing.T, version int) (failures int) {
+// countFailuresUntil receives updates until an update has the given version. It returns the number of updates that
+// report a failure, and checks that all other updates are changes.
+func (h *watcherHarness) countFailuresUntil(t *testing.T, version int) (failures int) {
 	t.Helper()
 	for {
-		update := h.next(t)
+		update := h.receiveUpdate(t)
 		if update.Failed {
 			failures++
-			if update.Version != firstVersion || update.Full || update.Endpoints != nil {
-				t.Errorf("got failure %+v, want one with version %d and nothing else", update, firstVersion)
+			if update.Version != initialAgentVersion || update.Full || update.Endpoints != nil {
+				t.Errorf("got failure %+v, want one with version %d and nothing else", update, initialAgentVersion)
 			}
 			continue
 		}
-		if update.Version == firstVersion || len(update.Endpoints) == 0 {
-			t.Errorf("got update %+v, want changes after version %d", update, firstVersion)
+		if update.Version == initialAgentVersion || len(update.Endpoints) == 0 {
+			t.Errorf("got update %+v, want changes after version %d", update, initialAgentVersion)
 		}
 		if update.Version == version {
 			return failures
@@ -251,197 +256,208 @@
 	}
 }
 
-// Without the list of the restarted agent, no drain would be reported any more.
+// TestWatcherAppliesListAfterAgentRestartsVersions checks that the list of an agent that has restarted its versions is
+// applied, although its version is lower. Otherwise the watcher would not report the drain of an endpoint any more.
 func TestWatcherAppliesListAfterAgentRestartsVersions(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	setup.Restart(3)
-	setup.Change(entry("u", discoverytest.Draining))
-	if update := setup.next(t); update.Version != 4 || !update.Full || len(update.Endpoints) != 2 {
+	harness := newHarnessWithOlderList(t)
+	harness.RestartVersions(3)
+	harness.PutEndpoints(endpointEntry("u", discoverytest.Draining))
+	if update := harness.receiveUpdate(t); update.Version != 4 || !update.Full || len(update.Endpoints) != 2 {
 		t.Errorf("got %+v, want the full list of version 4 with 2 endpoints", update)
 	}
 }
 
 func TestWatcherFetchesFullListOnRequest(t *testing.T) {
 	t.Parallel()
-	setup := newHarness(t, firstVersion+9) // a configuration newer than the agent: its lower version is applied as well
-	setup.watcher.Fetch()
-	if update := setup.next(t); update.Version != firstVersion || !update.Full {
-		t.Errorf("got %+v, want the full list of version %d", update, firstVersion)
+	harness := newHarness(t, initialAgentVersion+9) // the agent's list is applied, although its version is lower
+	harness.watcher.RequestFullList()
+	if update := harness.receiveUpdate(t); update.Version != initialAgentVersion || !update.Full {
+		t.Errorf("got %+v, want the full list of version %d", update, initialAgentVersion)
 	}
 }
 
-// A request for the full list that gets no answer does not end the module's wish for it.
-func TestWatcherFetchesFullListAfterLostAnswer(t *testing.T) {
+// TestWatcherFetchesFullListAfterLostResponse checks that the watcher requests the full list again if the connection is
+// reset before the response to the first request for the full list.
+func TestWatcherFetchesFullListAfterLostResponse(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	var lost atomic.Bool
-	setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		if wantsFull(r) && !lost.Swap(true) {
+	harness := newHarnessWithOlderList(t)
+	var lostResponse atomic.Bool
+	harness.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
+		if requestsFullList(r) && !lostResponse.Swap(true) {
 			panic(http.ErrAbortHandler) // resets the connection
 		}
 		return false
 	})
-	setup.watcher.Fetch()
+	harness.watcher.RequestFullList()
 	for {
-		update := setup.next(t)
+		update := harness.receiveUpdate(t)
 		if update.Failed {
 			continue
 		}
-		if !lost.Load() || update.Version != firstVersion || !update.Full {
-			t.Errorf("got %+v, lost answer %t, want the full list of version %d after a lost answer", update, lost.Load(), firstVersion)
+		if !lostResponse.Load() || update.Version != initialAgentVersion || !update.Full {
+			t.Errorf("got %+v, lost response %t, want the full list of version %d after a lost response", update, lostResponse.Load(),
+				initialAgentVersion)
 		}
 		return
 	}
 }
 
-// Changes are reported at all times: by the old agent while no agent answers at the new address or the new one has not
-// sent the full list, by the new agent from then on.
+// TestWatcherReplacesAgentWhenAddressMoves checks that changes are reported at all times while the agent's address
+// moves. The old agent reports changes while the new address refuses connections and until the new agent has sent the
+// full list. The new agent reports changes afterwards.
 func TestWatcherReplacesAgentWhenAddressMoves(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	setup.watcher.Watch(true)
+	harness := newHarnessWithOlderList(t)
+	harness.watcher.SetFailureReporting(true)
 	for i := range 3 {
-		version := firstVersion + 1 + 2*i
-		setup.address.Set("127.0.0.1:1") // refuses connections
-		setup.Change(entry("s", discoverytest.Draining))
-		if update := setup.next(t); update.Version != version || update.Failed {
+		version := initialAgentVersion + 1 + 2*i
+		harness.address.Set("127.0.0.1:1") // this port refuses connections
+		harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
+		if update := harness.receiveUpdate(t); update.Version != version || update.Failed {
 			t.Fatalf("from the old agent: got %+v, want version %d", update, version)
 		}
 		var fullRequested atomic.Bool
-		setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-			if wantsFull(r) {
+		harness.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
+			if requestsFullList(r) {
 				fullRequested.Store(true)
 			}
 			return false
 		})
-		setup.moveAgent(t, 2*pollWait)
-		if !eventually.True(pollWait, fullRequested.Load) {
-			t.Errorf("got no request for the full list within %v, want one", pollWait)
+		harness.moveAgent(t, 2*longPollWait)
+		if !eventually.True(longPollWait, fullRequested.Load) {
+			t.Errorf("got no request for the full list within %v, want one", longPollWait)
 		}
-		if update := setup.next(t); update.Version != version || !update.Full {
+		if update := harness.receiveUpdate(t); update.Version != version || !update.Full {
 			t.Fatalf("first from the new agent: got %+v, want the full list of version %d", update, version)
 		}
-		setup.Change(entry("u", discoverytest.Draining))
-		if update := setup.next(t); update.Version != version+1 || update.Failed || len(update.Endpoints) != 1 {
+		harness.PutEndpoints(endpointEntry("u", discoverytest.Draining))
+		if update := harness.receiveUpdate(t); update.Version != version+1 || update.Failed || len(update.Endpoints) != 1 {
 			t.Fatalf("from the new agent: got %+v, want one change of version %d", update, version+1)
 		}
 	}
 }
 
-// Its list would bring back endpoints that were removed. The next newer list is applied.
-func TestWatcherRejectsListOfAgentBehindForLessThanMinRegressionTime(t *testing.T) {
+// TestWatcherRejectsListOfAgentOutOfDateForShortTime checks that full lists with a lower version are rejected while
+// the agent is out of date for less than minRegressionDuration. These lists would bring back endpoints that were
+// removed. The next list with a higher version must be applied.
+func TestWatcherRejectsListOfAgentOutOfDateForShortTime(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	setup.Change(entry("s", discoverytest.Draining))
-	if update := setup.next(t); update.Version != firstVersion+1 {
-		t.Fatalf("got %+v, want version %d", update, firstVersion+1)
-	}
-	var behind atomic.Int32
-	setup.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
-		if behind.Add(1) > minRegressions+3 {
+	harness := newHarnessWithOlderList(t)
+	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
+	if update := harness.receiveUpdate(t); update.Version != initialAgentVersion+1 {
+		t.Fatalf("got %+v, want version %d", update, initialAgentVersion+1)
+	}
+	var requests atomic.Int32
+	harness.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
+		if requests.Add(1) > minRejectedRegressions+3 {
 			return false
 		}
-		writeList(t, w, fullList(firstVersion-1, entry("s", discoverytest.Ready)))
+		writeList(t, w, fullList(initialAgentVersion-1, endpointEntry("s", discoverytest.Ready)))
 		return true
 	})
-	if !eventually.True(testTimeout, func() bool { return behind.Load() > minRegressions+3 }) {
-		t.Fatalf("got %d requests, want more than %d", behind.Load(), minRegressions+3)
+	if !eventually.True(testTimeout, func() bool { return requests.Load() > minRejectedRegressions+3 }) {
+		t.Fatalf("got %d requests, want more than %d", requests.Load(), minRejectedRegressions+3)
 	}
-	setup.Change(entry("u", discoverytest.Draining))
-	for update := setup.next(t); update.Version != firstVersion+2; update = setup.next(t) {
-		if update.Version < firstVersion+1 {
-			t.Fatalf("got %+v, want no version below %d", update, firstVersion+1)
+	harness.PutEndpoints(endpointEntry("u", discoverytest.Draining))
+	for update := harness.receiveUpdate(t); update.Version != initialAgentVersion+2; update = harness.receiveUpdate(t) {
+		if update.Version < initialAgentVersion+1 {
+			t.Fatalf("got %+v, want no version below %d", update, initialAgentVersion+1)
 		}
 	}
 }
 
-// The old agent answers only after the new one's list was applied. No change is lost.
-func TestWatcherIgnoresOldAgentAnswerAfterHandover(t *testing.T) {
+// TestWatcherIgnoresOldAgentResponseAfterHandover checks a handover in which the old agent responds only after the
+// list of the new agent was applied. The late response must be ignored, and no change may be lost.
+func TestWatcherIgnoresOldAgentResponseAfterHandover(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	held, release := make(chan struct{}, 10), make(chan struct{})
-	old := setup.Address()
-	setup.Intercept(func(_ http.ResponseWriter, r *http.Request) bool {
-		if r.Host == old {
-			held <- struct{}{}
+	harness := newHarnessWithOlderList(t)
+	blocked, release := make(chan struct{}, 10), make(chan struct{})
+	oldAddress := harness.Address()
+	harness.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
+		if r.Host == oldAddress {
+			blocked <- struct{}{}
 			<-release
 		}
 		return false
 	})
-	setup.Change(entry("s", discoverytest.Draining)) // the poll in progress is answered, the next one is held
+	// The change ends the poll that is in progress. The interceptor blocks the next poll.
+	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
 	select {
-	case <-held:
+	case <-blocked:
 	case <-time.After(testTimeout):
-		t.Fatalf("got no poll within %v, want one to hold", testTimeout)
+		t.Fatalf("got no poll within %v, want one that can be blocked", testTimeout)
 	}
-	setup.moveAgent(t, time.Hour)
-	update := setup.next(t)
-	if !update.Full { // of the poll that was answered
-		update = setup.next(t)
+	harness.moveAgent(t, time.Hour)
+	update := harness.receiveUpdate(t)
+	if !update.Full { // the first update may be the change from the poll that was in progress
+		update = harness.receiveUpdate(t)
 	}
-	if update.Version != firstVersion+1 || !update.Full {
-		t.Fatalf("from the new agent: got %+v, want the full list of version %d", update, firstVersion+1)
+	if update.Version != initialAgentVersion+1 || !update.Full {
+		t.Fatalf("from the new agent: got %+v, want the full list of version %d", update, initialAgentVersion+1)
 	}
-	close(release) // the watcher has closed the connection
-	setup.Change(entry("u", discoverytest.Draining))
-	if update := setup.next(t); update.Version != firstVersion+2 || len(update.Endpoints) != 1 {
-		t.Errorf("got %+v, want one change of version %d", update, firstVersion+2)
+	close(release) // the old agent responds, but the watcher has closed the connection
+	harness.PutEndpoints(endpointEntry("u", discoverytest.Draining))
+	if update := harness.receiveUpdate(t); update.Version != initialAgentVersion+2 || len(update.Endpoints) != 1 {
+		t.Errorf("got %+v, want one change of version %d", update, initialAgentVersion+2)
 	}
 }
 
-func TestWatcherRejectsAnswerOverMemoryBound(t *testing.T) {
+// TestWatcherRejectsResponseOverSizeLimit checks that a response that exceeds the size limit for the configured
+// memory is not applied, and that the watcher continues with the next response.
+func TestWatcherRejectsResponseOverSizeLimit(t *testing.T) {
 	t.Parallel()
-	entrySize := len(encode(t, entry(fmt.Sprintf("%08d", 0), discoverytest.Ready)))
-	tooLarge := fullList(99)
-	for i := range memoryMB<<20/answerMemoryFraction/entrySize + 1 {
-		tooLarge.Endpoints = append(tooLarge.Endpoints, entry(fmt.Sprintf("%08d", i), discoverytest.Ready))
+	bytesPerEntry := len(encodeJSON(t, endpointEntry(fmt.Sprintf("%08d", 0), discoverytest.Ready)))
+	tooLargeList := fullList(99)
+	for i := range memoryLimitMB<<20/responseMemoryDivisor/bytesPerEntry + 1 {
+		tooLargeList.Endpoints = append(tooLargeList.Endpoints, endpointEntry(fmt.Sprintf("%08d", i), discoverytest.Ready))
 	}
-	setup := startHarness(t)
+	harness := newHarnessWithOlderList(t)
 	var requests atomic.Int32
-	setup.Intercept(func(w http.ResponseWriter, _ *http.Request) bool {
+	harness.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		if requests.Add(1) > 1 {
 			return false
 		}
-		writeList(t, w, tooLarge)
+		writeList(t, w, tooLargeList)
 		return true
 	})
-	setup.Change(entry("s", discoverytest.Draining))
-	for update := setup.next(t); update.Version != firstVersion+1; update = setup.next(t) {
-		t.Errorf("got version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), firstVersion+1)
+	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
+	for update := harness.receiveUpdate(t); update.Version != initialAgentVersion+1; update = harness.receiveUpdate(t) {
+		t.Errorf("got version %d with %d endpoints, want version %d", update.Version, len(update.Endpoints), initialAgentVersion+1)
 	}
 	if !eventually.True(testTimeout, func() bool { return requests.Load() > 1 }) {
 		t.Errorf("got %d requests, want more than 1", requests.Load())
 	}
 }
 
-// An agent may answer with the full list where changes were requested. The watch continues from its version.
+// TestWatcherAppliesFullListInPlaceOfChanges checks that the watcher applies a full list in a response to a request for
+// changes, as an agent may send it. The next request must be for the changes after the version of this list.
 func TestWatcherAppliesFullListInPlaceOfChanges(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
+	harness := newHarnessWithOlderList(t)
 	var requestedAfter atomic.Int64
-	setup.Intercept(func(w http.ResponseWriter, r *http.Request) bool {
+	harness.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 		after, err := strconv.ParseInt(r.FormValue(afterParameter), 10, 64)
 		if err != nil || after < 60 {
-			writeList(t, w, fullList(60, entry("v", discoverytest.Ready)))
+			writeList(t, w, fullList(60, endpointEntry("v", discoverytest.Ready)))
 			return true
 		}
 		requestedAfter.Store(after)
 		if after > 60 {
 			return false
 		}
-		writeList(t, w, changes(61, entry("v", discoverytest.Draining)))
+		writeList(t, w, changedEntries(61, endpointEntry("v", discoverytest.Draining)))
 		return true
 	})
-	setup.Change(entry("s", discoverytest.Draining)) // ends the poll in progress
-	update := setup.next(t)
-	if update.Version == firstVersion+1 {
-		update = setup.next(t)
+	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining)) // ends the poll in progress
+	update := harness.receiveUpdate(t)
+	if update.Version == initialAgentVersion+1 {
+		update = harness.receiveUpdate(t)
 	}
 	if update.Version != 60 || !update.Full || len(update.Endpoints) != 1 {
 		t.Errorf("got %+v, want the full list of version 60 with 1 endpoint", update)
 	}
-	if update = setup.next(t); update.Version != 61 || update.Full || update.Endpoints[0].State != assign.Draining {
+	if update = harness.receiveUpdate(t); update.Version != 61 || update.Full || update.Endpoints[0].State != assign.Draining {
 		t.Errorf("got %+v, want one draining endpoint of version 61", update)
 	}
 	if !eventually.True(testTimeout, func() bool { return requestedAfter.Load() == 61 }) {
@@ -451,12 +467,12 @@
 
 func TestWatcherReconnectsAfterAgentClosesConnection(t *testing.T) {
 	t.Parallel()
-	setup := startHarness(t)
-	setup.rejectFullRequests(t, func(w http.ResponseWriter) { w.Header().Set("Connection", "close") })
+	harness := newHarnessWithOlderList(t)
+	harness.rejectFullRequests(t, func(w http.ResponseWriter) { w.Header().Set("Connection", "close") })
 	for i := range 5 {
-		setup.Change(entry("s", []string{discoverytest.Draining, discoverytest.Ready}[i%2]))
-		want := firstVersion + 1 + i
-		if update := setup.next(t); update.Version != want || update.Full || len(update.Endpoints) != 1 {
+		harness.PutEndpoints(endpointEntry("s", []string{discoverytest.Draining, discoverytest.Ready}[i%2]))
+		want := initialAgentVersion + 1 + i
+		if update := harness.receiveUpdate(t); update.Version != want || update.Full || len(update.Endpoints) != 1 {
 			t.Errorf("got %+v, want one change of version %d", update, want)
 		}
 	}
@@ -465,31 +481,33 @@
 func TestNewRejectsConfigWithoutMemory(t *testing.T) {
 	t.Parallel()
 	for _, memoryMB := range []int{-1, 0} {
-		if _, err := New(Config{MemoryMB: memoryMB}); !errors.Is(err, ErrMemory) {
-			t.Errorf("New with %d MB: got error %v, want %v", memoryMB, err, ErrMemory)
+		if _, err := New(Config{MemoryLimitMB: memoryMB}); !errors.Is(err, ErrMemoryLimit) {
+			t.Errorf("New with %d MB: got error %v, want %v", memoryMB, err, ErrMemoryLimit)
 		}
 	}
 }
 
-// Failures of the watch and of a handover are conditions of their own: one lasts while the other attempts succeed.
+// TestWatcherLogsFailuresAsConditions checks that failures of the watch in use and failures of the new watch during a
+// handover are logged as separate conditions. The condition of the handover must continue while the watch in use
+// succeeds.
 func TestWatcherLogsFailuresAsConditions(t *testing.T) {
 	t.Parallel()
 	log := logtest.New(t, "discovery")
 	address := handover.NewAddress("old")
 	watcher, err := New(Config{
 		Address:        address,
-		InitialVersion: firstVersion,
+		InitialVersion: initialAgentVersion,
 		Sink:           func(context.Context, assign.Event) error { return nil },
-		MemoryMB:       memoryMB,
+		MemoryLimitMB:  memoryLimitMB,
 		Log:            log.Logger(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	fail := func(err error, duringHandover bool) { watcher.failed(t.Context(), err, duringHandover) }
+	fail := func(err error, duringHandover bool) { watcher.handleFailure(t.Context(), err, duringHandover) }
 	succeed := func(from string) {
-		update := assign.EndpointUpdate{Version: firstVersion, Full: true}
-		watcher.receive(t.Context(), &pollState{address: from, answered: true, update: update}, false)
+		update := assign.EndpointUpdate{Version: initialAgentVersion, Full: true}
+		watcher.handlePoll(t.Context(), &pollState{address: from, hasUpdate: true, update: update}, false)
 	}
 	for range 3 {
 		fail(httpconn.ErrUnexpectedStatus, false)
--- a/internal/discoverytest/discovery.go
+++ b/internal/discoverytest/discovery.go
@@ -1,5 +1,5 @@
-// Package discoverytest provides a fake discovery agent for tests and the demo, as net/http/httptest does for HTTP. It answers
-// requests for the full endpoint list, and long polls for changes since a version.
+// Package discoverytest provides a fake discovery agent for tests and for the demo program. The agent responds to
+// requests for the full endpoint list, and to long polls for the changes after a version.
 package discoverytest
 
 import (
@@ -14,18 +14,18 @@
 	"madderhollow/internal/testserver"
 )
 
-// The protocol's names in a request.
+// Names that the discovery protocol defines for requests.
 const (
 	listPath       = "/v1/servers"
-	afterParameter = "after"   // version after which changes are requested; absent: the full list
-	waitParameter  = "wait_ms" // longest wait for a change, ms
+	afterParameter = "after"   // version after which changes are requested; without it the full list is requested
+	waitParameter  = "wait_ms" // longest time to wait for a change before the response, in ms
 )
 
-// States of an endpoint.
+// States of an endpoint, as encoded in the field State of Endpoint.
 const (
-	Ready    = "active"
-	Draining = "leaving"
-	Removed  = "left"
+	Ready    = "active"  // the endpoint accepts requests
+	Draining = "leaving" // the endpoint must not receive new requests
+	Removed  = "left"    // the endpoint is no longer in the list
 )
 
 // Endpoint is an entry of the endpoint list.
@@ -34,36 +34,37 @@
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"type"`
-	Group       int     `json:"group"`    // of machines
-	State       string  `json:"status"`   // Ready, Draining or Removed
-	Weight      float64 `json:"weight"`   // capacity relative to other endpoints
-	StartedAt   int64   `json:"since_ms"` // Unix time, ms
+	Group       int     `json:"group"`    // number of the endpoint's group of machines
+	State       string  `json:"status"`   // one of Ready, Draining and Removed
+	Weight      float64 `json:"weight"`   // capacity relative to the other endpoints
+	StartedAt   int64   `json:"since_ms"` // Unix time of the start of the endpoint, in ms
 }
 
-// List is an answer of discovery: the full list, or the changes since a version.
-type List struct {
-	Version   int64      `json:"index"`
-	Full      bool       `json:"snapshot"`
-	Endpoints []Endpoint `json:"endpoints"`
+// ListResponse is the JSON body of the agent's response to a request: the full list, or the changes after a version.
+type ListResponse struct {
+	Version   int64      `json:"index"`     // version of the list after the changes
+	Full      bool       `json:"snapshot"`  // whether Endpoints is the full list instead of the changed entries
+	Endpoints []Endpoint `json:"endpoints"` // entries of the full list, or the changed entries
 }
 
-// Agent is a fake discovery agent. Several goroutines may call its methods.
+// Agent is a fake discovery agent. Its methods may be called by several goroutines at once. The embedded server can
+// move the agent to another address.
 type Agent struct {
 	*testserver.Server
 
-	mu        sync.Mutex
-	intercept func(http.ResponseWriter, *http.Request) bool
-	version   int64
-	list      []Endpoint
-	changedIn map[string]int64 // version of the last change, by endpoint
-	changed   chan struct{}    // closed and replaced at each change
-	lastHost  string
+	mu                 sync.Mutex                                    // protects all fields below
+	interceptor        func(http.ResponseWriter, *http.Request) bool // called before each response; nil if not set
+	version            int64                                         // version of the list
+	entries            []Endpoint                                    // the full list, including removed endpoints
+	lastChangeVersions map[string]int64                              // list version of the last change by endpoint
+	listChanged        chan struct{}                                 // closed and replaced at each change of the list
+	lastRequestHost    string                                        // host and port to which the last request was sent
 }
 
-// New starts an agent at an address; an empty address stands for a free port on the loopback address. The caller closes the
-// agent.
+// New starts an agent with the given list and list version at an address. If the address is empty, the agent uses a
+// free port on the loopback address. The caller must close the agent.
 func New(address string, version int64, list ...Endpoint) (*Agent, error) {
-	a := &Agent{version: version, list: list, changedIn: map[string]int64{}, changed: make(chan struct{})}
+	a := &Agent{version: version, entries: list, lastChangeVersions: map[string]int64{}, listChanged: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+listPath, a.serveList)
 	server, err := testserver.New(address, mux)
@@ -74,71 +75,74 @@
 	return a, nil
 }
 
-// Intercept makes f handle each request first. The agent answers the requests for which f returns false.
-func (a *Agent) Intercept(f func(http.ResponseWriter, *http.Request) bool) {
+// SetInterceptor sets a function that is called for each request before the agent handles it. If the function returns
+// true, it has handled the request. If it returns false, the agent sends the usual response.
+func (a *Agent) SetInterceptor(f func(http.ResponseWriter, *http.Request) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.intercept = f
+	a.interceptor = f
 }
 
-// LastHost returns the host and port to which the last request was sent.
-func (a *Agent) LastHost() string {
+// LastRequestHost returns the host and port to which the last request was sent, or "" before the first request.
+func (a *Agent) LastRequestHost() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lastHost
+	return a.lastRequestHost
 }
 
 // List returns the full list, including removed endpoints.
-func (a *Agent) List() List {
+func (a *Agent) List() ListResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return List{a.version, true, slices.Clone(a.list)}
+	return ListResponse{a.version, true, slices.Clone(a.entries)}
 }
 
-// Change adds or replaces entries under a new version. A removed entry appears in changes, but not in answers with the
-// full list.
-func (a *Agent) Change(entries ...Endpoint) {
+// PutEndpoints adds entries to the list, or replaces the entries with the same names, and increments the list
+// version. A removed endpoint appears in responses with changes, but not in responses with the full list.
+func (a *Agent) PutEndpoints(entries ...Endpoint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
 	for _, entry := range entries {
-		a.list = slices.DeleteFunc(a.list, func(other Endpoint) bool { return other.Name == entry.Name })
-		a.list = append(a.list, entry)
-		a.changedIn[entry.Name] = a.version
+		a.entries = slices.DeleteFunc(a.entries, func(other Endpoint) bool { return other.Name == entry.Name })
+		a.entries = append(a.entries, entry)
+		a.lastChangeVersions[entry.Name] = a.version
 	}
-	a.wake()
+	a.endLongPolls()
 }
 
-// Restart sets the version, as a restarted agent does that counts from the beginning.
-func (a *Agent) Restart(version int64) {
+// RestartVersions sets the list version and forgets all changes. It simulates a restart of an agent that counts its
+// versions from the beginning.
+func (a *Agent) RestartVersions(version int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version = version
-	a.changedIn = map[string]int64{}
-	a.wake()
+	a.lastChangeVersions = map[string]int64{}
+	a.endLongPolls()
 }
 
-// wake ends the pending long polls. The caller holds the lock.
-func (a *Agent) wake() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+// endLongPolls ends the pending long polls. The caller must hold a.mu.
+func (a *Agent) endLongPolls() {
+	close(a.listChanged)
+	a.listChanged = make(chan struct{})
 }
 
-// serveList answers a request for the list or its changes.
+// serveList responds to a request for the full list or for changes, unless the interceptor handles the request.
 func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	intercept := a.intercept
-	a.lastHost = r.Host
+	intercept := a.interceptor
+	a.lastRequestHost = r.Host
 	a.mu.Unlock()
 	if intercept != nil && intercept(w, r) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(a.listFor(r)) // fails if the client has disconnected
+	_ = json.NewEncoder(w).Encode(a.responseTo(r)) // an error means that the client has disconnected
 }
 
-// listFor returns the answer to a request. It blocks while a long poll waits for a change.
-func (a *Agent) listFor(request *http.Request) List {
+// responseTo returns the response to a request. It blocks while a long poll waits for a change. A request without a
+// version, or with a version above the current one, gets the full list.
+func (a *Agent) responseTo(request *http.Request) ListResponse {
 	full := a.List()
 	after, err := strconv.ParseInt(request.FormValue(afterParameter), 10, 64)
 	if err != nil || after > full.Version {
@@ -153,10 +157,11 @@
 	return a.changesSince(after)
 }
 
-// waitForChange waits until the list is newer than a version, the timeout has passed, or the client has disconnected.
+// waitForChange blocks until the list changes, the timeout has passed or the client has disconnected. It returns
+// immediately if the list does not have the given version any more.
 func (a *Agent) waitForChange(after int64, timeout time.Duration, disconnected <-chan struct{}) {
 	a.mu.Lock()
-	changed, version := a.changed, a.version
+	changed, version := a.listChanged, a.version
 	a.mu.Unlock()
 	if version != after {
 		return
@@ -170,13 +175,13 @@
 	}
 }
 
-// changesSince returns the entries that changed after a version.
-func (a *Agent) changesSince(after int64) List {
+// changesSince returns a response with the entries that changed after the given version.
+func (a *Agent) changesSince(after int64) ListResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changes := List{Version: a.version}
-	for _, entry := range a.list {
-		if a.changedIn[entry.Name] > after {
+	changes := ListResponse{Version: a.version}
+	for _, entry := range a.entries {
+		if a.lastChangeVersions[entry.Name] > after {
 			changes.Endpoints = append(changes.Endpoints, entry)
 		}
 	}
--- a/internal/discoverytest/example_test.go
+++ b/internal/discoverytest/example_test.go
@@ -10,14 +10,14 @@
 	"madderhollow/internal/discoverytest"
 )
 
-// A client that has version 1 of the list receives the entries that changed since then.
+// This example shows that a client with version 1 of the list receives only the entries that changed after version 1.
 func Example() {
 	agent, err := discoverytest.New("", 1, discoverytest.Endpoint{Name: "server-1", Zone: "zone-a", State: discoverytest.Ready})
 	if err != nil {
 		log.Fatal(err)
 	}
 	defer func() { _ = agent.Close() }()
-	agent.Change(discoverytest.Endpoint{Name: "server-2", Zone: "zone-a", State: discoverytest.Draining})
+	agent.PutEndpoints(discoverytest.Endpoint{Name: "server-2", Zone: "zone-a", State: discoverytest.Draining})
 
 	response, err := http.Get(fmt.Sprintf("http://%s/v1/servers?after=1&wait_ms=1000", agent.Address()))
 	if err != nil {
--- a/internal/fieldcheck/checks.go
+++ b/internal/fieldcheck/checks.go
@@ -1,30 +1,30 @@
 package fieldcheck
 
-// Checks validates the fields of one message and keeps the first error. Its methods return 0 for an invalid field, so the
-// caller may go on reading and look at Err once, before it uses the message. The zero value is ready for use; several
-// goroutines must not use it at once.
-type Checks struct{ err error }
+// Validator validates the fields of one message and keeps the first error. Its methods return 0 for an invalid field.
+// Therefore the caller may read all fields and check Err once, before it uses the message. The zero value is ready for
+// use. A Validator must not be used by several goroutines at once.
+type Validator struct{ err error }
 
-// Keep records an error unless it is nil or there is one already.
-func (c *Checks) Keep(err error) {
-	if c.err == nil {
-		c.err = err
+// RecordError records err as the first error. It does nothing if err is nil or an error was recorded before.
+func (v *Validator) RecordError(err error) {
+	if v.err == nil {
+		v.err = err
 	}
 }
 
-// Err returns the first error, nil if there is none.
-func (c *Checks) Err() error { return c.err }
+// Err returns the first recorded error, or nil if no error was recorded.
+func (v *Validator) Err() error { return v.err }
 
-// Number is the function Number with its error kept.
-func (c *Checks) Number(name, term string, value *float64, maximum float64) float64 {
-	number, err := Number(name, term, value, maximum)
-	c.Keep(err)
+// Number returns the result of the function Number and records its error.
+func (v *Validator) Number(name, description string, value *float64, maximum float64) float64 {
+	number, err := Number(name, description, value, maximum)
+	v.RecordError(err)
 	return number
 }
 
-// Count is the function Count with its error kept.
-func (c *Checks) Count(name, term string, value *float64, maximum float64) int {
-	count, err := Count(name, term, value, maximum)
-	c.Keep(err)
+// Count returns the result of the function Count and records its error.
+func (v *Validator) Count(name, description string, value *float64, maximum float64) int {
+	count, err := Count(name, description, value, maximum)
+	v.RecordError(err)
 	return count
 }
--- a/internal/fieldcheck/fieldcheck_test.go
+++ b/internal/fieldcheck/fieldcheck_test.go
@@ -20,7 +20,7 @@
 		}
 		var fieldError *Error
 		if !test.valid && (!errors.As(err, &fieldError) || fieldError.Field != "delay") {
-			t.Errorf("%g: got error %v, want one of field delay", test.value, err)
+			t.Errorf("%g: got error %v, want an error for field delay", test.value, err)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestErrorNamesFieldValueAndTerm(t *testing.T) {
+func TestErrorNamesFieldValueAndExpectedRange(t *testing.T) {
 	negative := -1.0
 	for value, want := range map[*float64]string{
 		nil:       `"delay" is missing, want mean latency in ms: a number from 0 to 10`,
@@ -47,15 +47,15 @@
 	}
 }
 
-func TestChecksKeepFirstError(t *testing.T) {
+func TestValidatorKeepsFirstError(t *testing.T) {
 	first, value, negative := errors.New("first"), 3.0, -1.0
-	checks := &Checks{}
-	checks.Keep(nil)
-	if got := checks.Number("delay", "mean latency in ms", &value, 10); got != value || checks.Err() != nil {
-		t.Errorf("valid field: got %g (%v), want %g", got, checks.Err(), value)
+	validator := &Validator{}
+	validator.RecordError(nil)
+	if got := validator.Number("delay", "mean latency in ms", &value, 10); got != value || validator.Err() != nil {
+		t.Errorf("number in range: got %g (%v), want %g", got, validator.Err(), value)
 	}
-	checks.Keep(first)
-	if got := checks.Count("sum", "requests", &negative, 10); got != 0 || !errors.Is(checks.Err(), first) {
-		t.Errorf("invalid field after an error: got %d (%v), want 0 (%v)", got, checks.Err(), first)
+	validator.RecordError(first)
+	if got := validator.Count("sum", "requests", &negative, 10); got != 0 || !errors.Is(validator.Err(), first) {
+		t.Errorf("negative count after an error: got %d (%v), want 0 (%v)", got, validator.Err(), first)
 	}
 }
--- a/internal/settings/hosts_test.go
+++ b/internal/settings/hosts_test.go
@@ -12,31 +12,33 @@
 	"madderhollow/internal/wire"
 )
 
-// settingsObject is a deployment's settings as both hosts receive them.
-const settingsObject = `{"az":"x","balancers":2,"caps":{"peers":false},"classes":[{"name":"read","effect":"safe","worth":3,
+// settingsJSON is the JSON text of a deployment's settings, as the daemon and the simulator adapter receive them.
+const settingsJSON = `{"az":"x","balancers":2,"caps":{"peers":false},"classes":[{"name":"read","effect":"safe","worth":3,
 	"onTimeMs":1000,"deadlineMs":3000,"group":"all"},{"name":"sign","effect":"unsafe","onlyZones":["x"]}],
 	"familyInfo":{"bareMs":6000,"homeOnly":[false,true],"mutating":[false,true],"proxyCount":6},"unknown":{"key":[1,"z"]},
 	"report":{"columns":["load_share","mean_ms","tps"],"via":"inline"},"roundMs":2,"zones":["x","y"]}`
 
-// Messages of both hosts' protocols. Load values are an array in the simulator's and an object in the daemon's; the daemon's
-// load metrics have two names each.
+// The same settings and load report, encoded in the protocols of the simulator and of the daemon. The simulator's
+// protocol encodes load values as an array. The daemon's protocol encodes them as an object and has two names for each
+// load metric.
 const (
-	openInstance        = `["openInstance",0,7,` + settingsObject + `]`
+	openInstanceMessage = `["openInstance",0,7,` + settingsJSON + `]`
 	simulatorLoadReport = `["tally",0,"x",41.5,3,1000,"t",212,[0.61,140,93]]`
 
-	configurationFile = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
-		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":` + settingsObject + `}`
+	daemonConfigurationFile = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
+		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":` + settingsJSON + `}`
 	daemonLoadReportFormat = `{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
-		"interval":1000,"metrics":%s}` // with the load as argument
+		"interval":1000,"metrics":%s}` // the argument is the JSON object with the load values
 	loadByFirstNames  = `{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`
 	loadBySecondNames = `{"util":0.61,"qps":93,"latency_ms":140}`
 )
 
-// fromSimulator returns the configuration and the event of a report that the simulator's host passes to the module.
-func fromSimulator(t *testing.T) (assign.Config, assign.Event) {
+// simulatorInput returns the configuration and the load report that the simulator adapter passes to the decision
+// module.
+func simulatorInput(t *testing.T) (assign.Config, assign.Event) {
 	t.Helper()
 	decoder := simproto.NewDecoder()
-	message, err := decoder.Decode([]byte(openInstance))
+	message, err := decoder.Decode([]byte(openInstanceMessage))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,10 +57,12 @@
 	return open.Config, report.Event
 }
 
-// Measurements in the simulator are valid for the daemon only if both hosts pass the same configuration and events.
+// TestBothHostsPassSameConfigAndEvents checks that the simulator adapter and the daemon pass the same configuration
+// and the same load report to the decision module. Otherwise measurements in the simulator would not be valid for the
+// daemon.
 func TestBothHostsPassSameConfigAndEvents(t *testing.T) {
-	simulated, report := fromSimulator(t)
-	cfg, err := config.Parse([]byte(configurationFile), func(string) string { return "" })
+	simulated, report := simulatorInput(t)
+	cfg, err := config.Parse([]byte(daemonConfigurationFile), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/mappings.go
+++ b/internal/settings/mappings.go
@@ -2,120 +2,128 @@
 
 import "madderhollow/assign"
 
-// mapping connects a setting to the field of assign.Config that it sets.
-type mapping struct {
-	path string // dotted
-	set  func(value any)
+// settingMapping connects a setting to the field of assign.Config or assign.RequestClassConfig that it sets.
+type settingMapping struct {
+	path string          // keys of the nested settings objects, separated by dots
+	set  func(value any) // assigns the decoded JSON value to the field; ignores an invalid value
 }
 
-// configMappings returns the table of all settings except those of request classes: path, field and, by the function, type and
-// unit. assign.Config documents the fields, docs/configuration.md the settings.
-func configMappings(config *assign.Config) []mapping {
-	return []mapping{
-		{"az", text(&config.Zone)},
-		{"zones", list(&config.Zones)},
-		{"roundMs", milliseconds(&config.MinBatchInterval)},
-		{"discovery", word(&config.DiscoveryMode, listModes())},
-		{"caps.peers", flag(&config.PeerMessagesAllowed)},
-		{"report.columns", loadMetrics(&config.Reports.LoadMetrics)},
-		{"familyInfo.admission", word(&config.Admission, admissionModes())},
-		{"familyInfo.bareMs", milliseconds(&config.MaxTimeWithoutEndpoint)},
-		{"familyInfo.countedOverMs", milliseconds(&config.Channel.MessageWindow)},
-		{"familyInfo.homeOnly", ownZoneOnly(config.RequestClasses)},
-		{"familyInfo.intakePerS", number(&config.Reports.MaxPerSecond)}, // 1/s
-		{"familyInfo.intervalMs", milliseconds(&config.Reports.Interval)},
-		{"familyInfo.linesPerS", number(&config.Channel.LinesPerSecond)},  // lines per second
-		{"familyInfo.messagesMost", number(&config.Channel.MessageLimit)}, // messages per MessageWindow
-		{"familyInfo.partitionsN", number(&config.ShardCount)},
-		{"familyInfo.pendingMax", number(&config.Channel.QueueLimit)},      // lines
-		{"familyInfo.perMessage", number(&config.Channel.MessageOverhead)}, // lines
-		{"familyInfo.propagationMs", milliseconds(&config.Channel.MeanTransitTime)},
-		{"familyInfo.proxyCount", number(&config.ProxyCount)},
-		{"familyInfo.usualHow", count(&config.Retries)},
-		{"familyInfo.worstTransitMs", milliseconds(&config.Channel.MaxTransitTime)},
-		{"obligations.coldFrom", number(&config.WarmUp.InitialCapacityFraction)}, // fraction of the capacity
-		{"obligations.coldMs", milliseconds(&config.WarmUp.Duration)},
-		{"obligations.drainGraceMs", milliseconds(&config.DrainGracePeriod)},
-		{"obligations.droppedStayOpen", flag(&config.RemovalIsAdvisory)},
-		{"obligations.fallMs", milliseconds(&config.WarmUp.OverloadWindow)},
-		{"obligations.tipMultiple", number(&config.WarmUp.OverloadMultiple)}, // multiple of the capacity
+// configMappings returns the mappings of all settings except the settings of request classes. Each mapping has the path
+// of the setting and a setter for a field of config; the setter determines the JSON type and the unit of the setting.
+// assign.Config documents the fields, and docs/configuration.md documents the settings.
+func configMappings(config *assign.Config) []settingMapping {
+	return []settingMapping{
+		{"az", stringSetter(&config.Zone)},
+		{"zones", listSetter(&config.Zones)},
+		{"roundMs", millisecondsSetter(&config.MinBatchInterval)},
+		{"discovery", enumSetter(&config.DiscoveryMode, listModesByName())},
+		{"caps.peers", boolSetter(&config.PeerMessagesAllowed)},
+		{"report.columns", loadMetricsSetter(&config.Reports.LoadMetrics)},
+		{"familyInfo.admission", enumSetter(&config.Admission, admissionModesByName())},
+		{"familyInfo.bareMs", millisecondsSetter(&config.MaxTimeWithoutEndpoint)},
+		{"familyInfo.countedOverMs", millisecondsSetter(&config.Channel.MessageWindow)},
+		{"familyInfo.homeOnly", ownZoneOnlySetter(config.RequestClasses)},
+		{"familyInfo.intakePerS", numberSetter(&config.Reports.MaxPerSecond)}, // reports per second
+		{"familyInfo.intervalMs", millisecondsSetter(&config.Reports.Interval)},
+		{"familyInfo.linesPerS", numberSetter(&config.Channel.LinesPerSecond)},  // lines per second
+		{"familyInfo.messagesMost", numberSetter(&config.Channel.MessageLimit)}, // messages per MessageWindow
+		{"familyInfo.partitionsN", numberSetter(&config.ShardCount)},
+		{"familyInfo.pendingMax", numberSetter(&config.Channel.QueueLimit)},      // number of lines
+		{"familyInfo.perMessage", numberSetter(&config.Channel.MessageOverhead)}, // number of lines
+		{"familyInfo.propagationMs", millisecondsSetter(&config.Channel.MeanTransitTime)},
+		{"familyInfo.proxyCount", numberSetter(&config.ProxyCount)},
+		{"familyInfo.usualHow", integerSetter(&config.Retries)},
+		{"familyInfo.worstTransitMs", millisecondsSetter(&config.Channel.MaxTransitTime)},
+		{"obligations.coldFrom", numberSetter(&config.WarmUp.InitialCapacityFraction)}, // fraction of an endpoint's capacity
+		{"obligations.coldMs", millisecondsSetter(&config.WarmUp.Duration)},
+		{"obligations.drainGraceMs", millisecondsSetter(&config.DrainGracePeriod)},
+		{"obligations.droppedStayOpen", boolSetter(&config.RemovalIsAdvisory)},
+		{"obligations.fallMs", millisecondsSetter(&config.WarmUp.OverloadWindow)},
+		// The setting below is a multiple of an endpoint's capacity.
+		{"obligations.tipMultiple", numberSetter(&config.WarmUp.OverloadMultiple)},
 	}
 }
 
-// requestClassesSetting is the list of request classes, one object for each.
-const requestClassesSetting = "classes"
+// requestClassesKey is the name of the setting that holds the request classes: a list with one object for each class.
+const requestClassesKey = "classes"
 
-// classMappings returns the table of a request class.
-func classMappings(class *assign.RequestClassConfig) []mapping {
-	return []mapping{
-		{"name", text(&class.Name)},
-		{"group", text(&class.EndpointGroup)},
-		{"effect", word(&class.RetrySafety, retrySafeties())},
-		{"worth", number(&class.Priority)},
-		{"onTimeMs", dividedMilliseconds(&class.LatencyObjective)},
-		{"deadlineMs", dividedMilliseconds(&class.Deadline)},
-		{"onlyZones", list(&class.AllowedZones)},
+// requestClassMappings returns the mappings of the settings of one request class to the fields of class.
+func requestClassMappings(class *assign.RequestClassConfig) []settingMapping {
+	return []settingMapping{
+		{"name", stringSetter(&class.Name)},
+		{"group", stringSetter(&class.EndpointGroup)},
+		{"effect", enumSetter(&class.RetrySafety, retrySafetiesByName())},
+		{"worth", numberSetter(&class.Priority)},
+		{"onTimeMs", dividedMillisecondsSetter(&class.LatencyObjective)},
+		{"deadlineMs", dividedMillisecondsSetter(&class.Deadline)},
+		{"onlyZones", listSetter(&class.AllowedZones)},
 	}
 }
 
-// listModes has the words of "discovery". Any other word is assign.DiscoveryPushed.
-func listModes() map[string]assign.DiscoveryMode {
+// listModesByName returns the values of the setting "discovery" that select a mode. With any other value, the mode
+// stays at the default, assign.DiscoveryPushed.
+func listModesByName() map[string]assign.DiscoveryMode {
 	return map[string]assign.DiscoveryMode{"on_request": assign.DiscoveryOnRequest}
 }
 
-// admissionModes has the words of "familyInfo.admission". Any other word is assign.AdmitByRate.
-func admissionModes() map[string]assign.AdmissionMode {
+// admissionModesByName returns the values of the setting "familyInfo.admission" that select a mode. With any other
+// value, the mode stays at the default, assign.AdmitByRate.
+func admissionModesByName() map[string]assign.AdmissionMode {
 	return map[string]assign.AdmissionMode{"off": assign.AdmitAll, "ratio": assign.AdmitByRatio}
 }
 
-// retrySafeties has the words of "effect" of a request class. Any other word is assign.RetryUnsafe, which allows no retry.
-func retrySafeties() map[string]assign.RetrySafety {
+// retrySafetiesByName returns the values of the request class setting "effect" that allow a retry. With any other
+// value, the retry safety stays at the default, assign.RetryUnsafe, which allows no retry.
+func retrySafetiesByName() map[string]assign.RetrySafety {
 	return map[string]assign.RetrySafety{"safe": assign.RetrySafe, "keyed": assign.RetryWithIdempotencyKey}
 }
 
-// ownZoneOnly sets, by position, which request classes must stay in the proxy's zone.
-func ownZoneOnly(classes []assign.RequestClassConfig) func(any) {
+// ownZoneOnlySetter returns a setter for a list of booleans: element i states whether the requests of classes[i] must
+// stay in the proxy's zone. Elements beyond the last class are ignored.
+func ownZoneOnlySetter(classes []assign.RequestClassConfig) func(any) {
 	return func(value any) {
 		var flags []bool
-		list(&flags)(value)
+		listSetter(&flags)(value)
 		for i := range min(len(flags), len(classes)) {
 			classes[i].OwnZoneOnly = flags[i]
 		}
 	}
 }
 
-// loadMetrics sets a field to the metrics of a list of names.
-func loadMetrics(field *[]assign.LoadMetric) func(any) {
+// loadMetricsSetter returns a setter for a list of metric names, which it converts by LoadMetric and appends to the
+// field.
+func loadMetricsSetter(field *[]assign.LoadMetric) func(any) {
 	return func(value any) {
 		var names []string
-		list(&names)(value)
+		listSetter(&names)(value)
 		for _, name := range names {
 			*field = append(*field, LoadMetric(name))
 		}
 	}
 }
 
-// LoadMetric returns the metric of a load report's column. The protocol has two names for each metric that the module uses;
-// another metric keeps its name.
+// LoadMetric returns the metric with the given protocol name. The protocol has two names for each metric with a
+// standard meaning. Any other name is returned unchanged as the metric's name.
 func LoadMetric(name string) assign.LoadMetric {
 	switch name {
-	case "load_share", "util": // used fraction of the capacity
+	case "load_share", "util": // used fraction of the endpoint's capacity
 		return assign.MetricBusyFraction
-	case "concurrent", "inflight": // requests
+	case "concurrent", "inflight": // requests in progress at the endpoint
 		return assign.MetricInFlight
-	case "mean_ms", "latency_ms": // ms
+	case "mean_ms", "latency_ms": // mean service time in ms
 		return assign.MetricServiceTime
-	case "tps", "qps": // 1/s
+	case "tps", "qps": // completed requests per second
 		return assign.MetricCompletionRate
-	case "err_ps", "eps": // 1/s
+	case "err_ps", "eps": // failed requests per second
 		return assign.MetricErrorRate
-	case "depth", "queue": // requests
+	case "depth", "queue": // requests queued at the endpoint
 		return assign.MetricQueued
 	}
 	return assign.LoadMetric(name)
 }
 
-// LoadValue converts the value of a load metric to the unit of package assign: ms become seconds.
+// LoadValue converts the value of a load metric from the protocol's unit to the unit of package assign. A service time
+// is converted from milliseconds to seconds; the values of all other metrics are returned unchanged.
 func LoadValue(metric assign.LoadMetric, value float64) float64 {
 	if metric == assign.MetricServiceTime {
 		return value / millisecondsPerSecond
--- a/internal/settings/random_settings_test.go
+++ b/internal/settings/random_settings_test.go
@@ -14,13 +14,14 @@
 	"madderhollow/internal/testconfig"
 )
 
-// invalidValue draws a value that is invalid for most settings.
+// invalidValue returns a random value that is invalid for most settings.
 func invalidValue(random *rand.Rand) any {
 	return []any{nil, "odd", -1.0, 0.0, 1e300, true, []any{}, []any{"a", 1.0, nil}, map[string]any{"x": 1.0},
 		math.MaxInt64 * 1.0}[random.Intn(10)]
 }
 
-// corrupt removes settings of an object, adds others, and sets some to a value of another type or out of range.
+// corrupt removes random settings of an object, adds unknown settings, and sets random settings to a value of another
+// type or out of range.
 func corrupt(random *rand.Rand, object map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(object)) {
 		switch value := object[name].(type) {
@@ -40,7 +41,7 @@
 	}
 }
 
-// corruptList corrupts the objects of a list, and sometimes removes its last elements.
+// corruptList corrupts the objects in a list, and with probability 1/8 truncates the list at a random length.
 func corruptList(random *rand.Rand, list []any) []any {
 	for _, element := range list {
 		if object, ok := element.(map[string]any); ok {
@@ -53,7 +54,7 @@
 	return list
 }
 
-// corruptSettings returns the corrupted settings of a small deployment.
+// corruptSettings returns the settings of a small deployment with random corruption.
 func corruptSettings(t *testing.T, random *rand.Rand) map[string]any {
 	t.Helper()
 	text, err := json.Marshal(testconfig.Settings())
@@ -68,28 +69,30 @@
 	return object
 }
 
-// zoneOf returns one of four zones by number; the last has no name.
-func zoneOf(i int) string { return []string{"x", "y", "z", ""}[i%4] }
+// zoneName returns the zone of endpoint number i, one of four zones. The fourth zone has an empty name.
+func zoneName(i int) string { return []string{"x", "y", "z", ""}[i%4] }
 
-func nameOf(i int) string { return string(rune('a' + i)) }
+// endpointName returns the name of endpoint number i.
+func endpointName(i int) string { return string(rune('a' + i)) }
 
-// fullList returns a full list of twelve endpoints.
+// fullList returns an update with the full list of twelve endpoints.
 func fullList() assign.EndpointUpdate {
 	update := assign.EndpointUpdate{Full: true}
 	for i := range 12 {
-		update.Endpoints = append(update.Endpoints, assign.Endpoint{Zone: zoneOf(i), Name: nameOf(i), Weight: float64(i % 3)})
+		update.Endpoints = append(update.Endpoints, assign.Endpoint{Zone: zoneName(i), Name: endpointName(i), Weight: float64(i % 3)})
 	}
 	return update
 }
 
-// randomEvents draws the events of one batch.
+// randomEvents returns random events for one batch at the time now, in seconds. Acknowledgments have the given sequence
+// number.
 func randomEvents(random *rand.Rand, now float64, classes []assign.RequestClassConfig, sequence int) []assign.Event {
 	i := random.Intn(12)
 	events := []assign.Event{
-		assign.ProxyConnected{Proxy: random.Intn(6), Zone: zoneOf(i), TypicalRate: float64(random.Intn(30)), DefaultTablesOnly: random.Intn(2) == 0},
-		assign.EndpointLoadReport{Zone: zoneOf(i), Endpoint: nameOf(i), Interval: 1, MeanLatency: random.Float64() * 4, Attempts: 20,
+		assign.ProxyConnected{Proxy: random.Intn(6), Zone: zoneName(i), TypicalRate: float64(random.Intn(30)), DefaultTablesOnly: random.Intn(2) == 0},
+		assign.EndpointLoadReport{Zone: zoneName(i), Endpoint: endpointName(i), Interval: 1, MeanLatency: random.Float64() * 4, Attempts: 20,
 			Failed: random.Intn(20), Load: []float64{random.Float64()}},
-		assign.EndpointUpdate{Endpoints: []assign.Endpoint{{Zone: zoneOf(i), Name: nameOf(i), Weight: 1,
+		assign.EndpointUpdate{Endpoints: []assign.Endpoint{{Zone: zoneName(i), Name: endpointName(i), Weight: 1,
 			State: assign.EndpointState(random.Intn(3)), StartedAt: now * float64(random.Intn(2))}}},
 		assign.Acknowledged{Proxy: random.Intn(6), Sequence: sequence},
 	}
@@ -99,8 +102,9 @@
 	return events
 }
 
-// encodable reports whether the numbers of an order are finite and not negative.
-func encodable(order assign.Order) bool {
+// isEncodable reports whether the numbers of an order are finite and not negative, as the protocols require. The
+// delay of a timer must be above 0.
+func isEncodable(order assign.Order) bool {
 	switch order := order.(type) {
 	case assign.SetWeight:
 		return order.Weight >= 0 && order.Weight < math.MaxFloat64 && order.Table >= 0
@@ -114,8 +118,8 @@
 	return true
 }
 
-// For settings with missing, unknown, empty or invalid ones, the module decides with what remains, and each of its orders
-// can be encoded.
+// TestTranslateAcceptsCorruptSettings checks that the decision module works with settings some of which are missing,
+// unknown, empty or invalid, and that each order that it returns can be encoded.
 func TestTranslateAcceptsCorruptSettings(t *testing.T) {
 	property := func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -129,7 +133,7 @@
 				if request, ok := order.(assign.AcknowledgmentRequest); ok {
 					sequence = request.Sequence
 				}
-				if !encodable(order) {
+				if !isEncodable(order) {
 					t.Logf("seed %d: settings %v: got order %#v, want finite numbers from 0", seed, object, order)
 					return false
 				}
--- a/internal/settings/setters.go
+++ b/internal/settings/setters.go
@@ -2,21 +2,23 @@
 
 import "madderhollow/internal/fieldcheck"
 
-// maxNumber bounds the numbers of a settings object. Orders computed from a larger number could not be encoded.
-const maxNumber = 1e15
+// maxSettingNumber is the largest number that a setting may have. Orders computed from a larger number could not be
+// encoded.
+const maxSettingNumber = 1e15
 
-// Times are milliseconds in the settings and seconds in assign.Config. milliseconds multiplies by the one constant and
-// dividedMilliseconds divides by the other. Their results may differ in the last digit, which can decide between two
-// tables that are otherwise equal, so neither may replace the other.
+// Conversion factors for times, which are in milliseconds in the settings and in seconds in assign.Config.
+// millisecondsSetter multiplies by secondsPerMillisecond, and dividedMillisecondsSetter divides by
+// millisecondsPerSecond. Their results may differ in the last digit, and that digit can decide between two tables
+// that are otherwise equal. Therefore neither function may be replaced by the other.
 const (
 	secondsPerMillisecond = 1e-3
 	millisecondsPerSecond = 1000
 )
 
-// Each function below returns a setter: it assigns a setting's value to the field, and leaves the field unchanged if the
-// value is of another type or out of range.
+// Each function below with a name that ends in Setter returns a function that assigns the value of a setting to the
+// field. The returned function leaves the field unchanged if the value has another type or is out of range.
 
-func text(field *string) func(any) {
+func stringSetter(field *string) func(any) {
 	return func(value any) {
 		if v, ok := value.(string); ok {
 			*field = v
@@ -24,7 +26,7 @@
 	}
 }
 
-func flag(field *bool) func(any) {
+func boolSetter(field *bool) func(any) {
 	return func(value any) {
 		if v, ok := value.(bool); ok {
 			*field = v
@@ -32,70 +34,75 @@
 	}
 }
 
-// validNumber returns a setting's number and whether it is one from 0 to maxNumber.
-func validNumber(value any) (number float64, ok bool) {
+// numberInRange returns the value as a number, and reports whether it is a number from 0 to maxSettingNumber.
+func numberInRange(value any) (number float64, ok bool) {
 	number, ok = value.(float64)
-	return number, ok && fieldcheck.InRange(number, maxNumber)
+	return number, ok && fieldcheck.InRange(number, maxSettingNumber)
 }
 
-func number(field *float64) func(any) {
-	return converted(field, func(number float64) float64 { return number })
+func numberSetter(field *float64) func(any) {
+	return convertedNumberSetter(field, func(number float64) float64 { return number })
 }
 
-// milliseconds sets a field in seconds.
-func milliseconds(field *float64) func(any) {
-	return converted(field, func(number float64) float64 { return number * secondsPerMillisecond })
+// millisecondsSetter returns a setter for a time that is in milliseconds in the settings and in seconds in the field.
+// It converts by multiplication.
+func millisecondsSetter(field *float64) func(any) {
+	return convertedNumberSetter(field, func(number float64) float64 { return number * secondsPerMillisecond })
 }
 
-// dividedMilliseconds sets a field in seconds.
-func dividedMilliseconds(field *float64) func(any) {
-	return converted(field, func(number float64) float64 { return number / millisecondsPerSecond })
+// dividedMillisecondsSetter returns a setter for a time that is in milliseconds in the settings and in seconds in the
+// field. It converts by division.
+func dividedMillisecondsSetter(field *float64) func(any) {
+	return convertedNumberSetter(field, func(number float64) float64 { return number / millisecondsPerSecond })
 }
 
-func converted(field *float64, convert func(float64) float64) func(any) {
+// convertedNumberSetter returns a setter that assigns the result of convert for the setting's number.
+func convertedNumberSetter(field *float64, convert func(float64) float64) func(any) {
 	return func(value any) {
-		if v, ok := validNumber(value); ok {
+		if v, ok := numberInRange(value); ok {
 			*field = convert(v)
 		}
 	}
 }
 
-// count sets a field that holds a whole number; a fraction is cut off.
-func count(field *int) func(any) {
+// integerSetter returns a setter for an integer field. It truncates a number with a fractional part.
+func integerSetter(field *int) func(any) {
 	return func(value any) {
-		if v, ok := validNumber(value); ok {
+		if v, ok := numberInRange(value); ok {
 			*field = int(v)
 		}
 	}
 }
 
-// list sets a field to a list whose elements all have its type.
-func list[T any](field *[]T) func(any) {
+// listSetter returns a setter for a list whose elements all have type T. A list with an element of another type leaves
+// the field unchanged.
+func listSetter[T any](field *[]T) func(any) {
 	return func(value any) {
 		values, ok := value.([]any)
 		if !ok {
 			return
 		}
-		var typed []T
+		var elements []T
 		for _, v := range values {
 			element, ok := v.(T)
 			if !ok {
 				return
 			}
-			typed = append(typed, element)
+			elements = append(elements, element)
 		}
-		*field = typed
+		*field = elements
 	}
 }
 
-// word sets an enumerated field to the value of a word. An unknown word leaves the field unchanged.
-func word[T any](field *T, values map[string]T) func(any) {
+// enumSetter returns a setter for an enumerated field. The setting is a string that valuesByName maps to the value of
+// the field. A string that is not in valuesByName leaves the field unchanged.
+func enumSetter[T any](field *T, valuesByName map[string]T) func(any) {
 	return func(value any) {
 		name, ok := value.(string)
 		if !ok {
 			return
 		}
-		if v, ok := values[name]; ok {
+		if v, ok := valuesByName[name]; ok {
 			*field = v
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,11 @@
-// Package settings translates a deployment's settings object into assign.Config. Both hosts of the decision module use it.
+// Package settings translates a deployment's settings object into assign.Config. Both host programs of the decision
+// module use it: the daemon and the simulator adapter.
 //
-// The names, units and words of the settings object are mapped in mappings.go and used nowhere else. A setting that is missing,
-// of another type or out of range leaves the default of assign.DefaultConfig, and unknown ones are ignored, so that any
-// deployment's settings can be used. All functions are pure and may be called by any goroutine.
+// The names, units and enumerated values of the settings object are mapped in mappings.go and used nowhere else. A
+// setting that is missing, has another type or is out of range leaves the default of assign.DefaultConfig. Unknown
+// settings are ignored. Therefore the settings of any deployment can be used.
+//
+// All functions are pure and may be called by any goroutine.
 package settings
 
 import (
@@ -11,36 +14,38 @@
 	"madderhollow/assign"
 )
 
-// Translate returns the configuration for a settings object as decoded by encoding/json.
+// Translate returns the configuration for a settings object that was decoded by encoding/json. It never fails: an
+// invalid setting leaves the default of assign.DefaultConfig.
 func Translate(object map[string]any) assign.Config {
 	config := assign.DefaultConfig()
-	config.RequestClasses = requestClasses(object[requestClassesSetting])
-	apply(object, configMappings(&config))
+	config.RequestClasses = requestClasses(object[requestClassesKey])
+	applyMappings(object, configMappings(&config))
 	return config
 }
 
-// requestClasses translates the list of request classes. What a class does not state is empty or 0.
+// requestClasses translates the list of request classes. A field of a class that has no setting keeps its zero value.
 func requestClasses(value any) []assign.RequestClassConfig {
 	entries, _ := value.([]any)
 	classes := make([]assign.RequestClassConfig, len(entries))
 	for i, entry := range entries {
 		object, _ := entry.(map[string]any)
-		apply(object, classMappings(&classes[i]))
+		applyMappings(object, requestClassMappings(&classes[i]))
 	}
 	return classes
 }
 
-// apply sets the fields of the settings that the object has.
-func apply(object map[string]any, mappings []mapping) {
+// applyMappings calls the setter of each mapping whose setting is present in the object.
+func applyMappings(object map[string]any, mappings []settingMapping) {
 	for _, m := range mappings {
-		if value, ok := lookUp(object, m.path); ok {
+		if value, ok := lookUpSetting(object, m.path); ok {
 			m.set(value)
 		}
 	}
 }
 
-// lookUp returns the setting at a dotted path.
-func lookUp(object map[string]any, path string) (any, bool) {
+// lookUpSetting returns the value of the setting at a path of keys separated by dots, and reports whether the setting
+// is present.
+func lookUpSetting(object map[string]any, path string) (any, bool) {
 	for {
 		name, rest, nested := strings.Cut(path, ".")
 		value, ok := object[name]
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,8 @@
 	"madderhollow/internal/settings"
 )
 
-// Settings that are missing, of another type or out of range leave the defaults; unknown ones are ignored.
+// TestTranslateKeepsDefaultsForInvalidSettings checks that settings that are missing, have another type or are out of
+// range leave the defaults, and that unknown settings are ignored.
 func TestTranslateKeepsDefaultsForInvalidSettings(t *testing.T) {
 	for name, object := range map[string]map[string]any{
 		"nothing":       {},
@@ -71,7 +72,7 @@
 	}
 }
 
-func TestLoadValueConvertsServiceTimeAlone(t *testing.T) {
+func TestLoadValueConvertsOnlyServiceTime(t *testing.T) {
 	if got := settings.LoadValue(assign.MetricServiceTime, 140); got != 0.14 {
 		t.Errorf("service time of 140 ms: got %g s, want 0.14 s", got)
 	}
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -25,7 +25,7 @@
 type fieldReader struct {
 	name   string // name of the message, or "entry" and the position of the entry
 	values []any
-	checks fieldcheck.Checks
+	checks fieldcheck.Validator
 }
 
 // err returns the first error that was recorded, or nil if all fields read so far are valid.
@@ -38,7 +38,7 @@
 
 // recordInvalid records an error for the field at position i. Want describes the valid values of the field.
 func (f *fieldReader) recordInvalid(i int, want string) {
-	f.checks.Keep(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
+	f.checks.RecordError(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
 }
 
 // valueText returns the text that represents the value of a field in an error.
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -113,10 +113,10 @@
 
 // decodeProxy returns the number of a proxy and records an error in checks if the number is invalid. A nil value stands
 // for a missing field.
-func (c *Codec) decodeProxy(checks *fieldcheck.Checks, value *float64) int {
+func (c *Codec) decodeProxy(checks *fieldcheck.Validator, value *float64) int {
 	number := checks.Count(proxyField, proxyFieldDescription, value, maxFieldValue)
 	if number >= c.proxyCount {
-		checks.Keep(fmt.Errorf("%w %d in %q, want a number below %d", ErrUnknownProxy, number, proxyField, c.proxyCount))
+		checks.RecordError(fmt.Errorf("%w %d in %q, want a number below %d", ErrUnknownProxy, number, proxyField, c.proxyCount))
 	}
 	return number
 }
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -28,7 +28,7 @@
 	}
 	endpoints := make([]assign.Endpoint, len(list.Endpoints))
 	for i, entry := range list.Endpoints {
-		checks := &fieldcheck.Checks{}
+		checks := &fieldcheck.Validator{}
 		endpoints[i] = c.decodeEndpoint(checks, entry)
 		if err := checks.Err(); err != nil {
 			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", *list.Version, i, entry.Name, err)
@@ -57,11 +57,11 @@
 }
 
 // decodeEndpoint converts one entry of an endpoint list and records the first invalid field in checks.
-func (c *Codec) decodeEndpoint(checks *fieldcheck.Checks, entry ListedEndpoint) assign.Endpoint {
+func (c *Codec) decodeEndpoint(checks *fieldcheck.Validator, entry ListedEndpoint) assign.Endpoint {
 	state, err := decodeEndpointState(entry.State)
-	checks.Keep(err)
+	checks.RecordError(err)
 	if !isValidOrderArgument(entry.Name) {
-		checks.Keep(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
+		checks.RecordError(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
 			Want: fmt.Sprintf("name of an endpoint: a string, not empty, without any of %q", reservedCharacters)})
 	}
 	return assign.Endpoint{
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -38,7 +38,7 @@
 func (c *Codec) decodeProxyConnected(fields *eventFields) assign.ProxyConnected {
 	proxy := c.decodeEventProxy(fields)
 	zone := fields.values.Get(zoneField)
-	fields.checks.Keep(c.checkZone(zone))
+	fields.checks.RecordError(c.checkZone(zone))
 	return assign.ProxyConnected{
 		Proxy:             proxy,
 		Zone:              zone,
@@ -69,7 +69,7 @@
 // eventFields reads the fields of a relay event. It keeps the first error, so the caller may
 // read several fields before it looks at checks.Err.
 type eventFields struct {
-	checks fieldcheck.Checks
+	checks fieldcheck.Validator
 	values url.Values
 }
 
@@ -79,7 +79,7 @@
 func (f *eventFields) number(name, description string) float64 {
 	value, err := strconv.ParseFloat(f.values.Get(name), 64)
 	if err != nil {
-		f.checks.Keep(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
+		f.checks.RecordError(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
 		return 0
 	}
 	return f.checks.Number(name, description, &value, maxFieldValue)
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -44,13 +44,13 @@
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return nil, fmt.Errorf("malformed message: %w", err)
 	}
-	checks := &fieldcheck.Checks{}
+	checks := &fieldcheck.Validator{}
 	var message Message
 	switch fields.Type {
 	case pingType:
 		message = Ping{}
 	case collectorType:
-		checks.Keep(c.checkZone(fields.Zone))
+		checks.RecordError(c.checkZone(fields.Zone))
 		message = Collector{fields.Zone}
 	case endpointLoadReportType:
 		message = Report{c.decodeEndpointLoadReport(checks, &fields)}
@@ -74,27 +74,27 @@
 
 // decodeCommonFields decodes the fields that are common to both types of report and records the first invalid field in
 // checks.
-func (c *Codec) decodeCommonFields(checks *fieldcheck.Checks, fields *messageFields) commonReportFields {
+func (c *Codec) decodeCommonFields(checks *fieldcheck.Validator, fields *messageFields) commonReportFields {
 	requests := checks.Count(requestsField, "requests or attempts", fields.Requests, maxFieldValue)
 	failed := checks.Count(failedField, "failed requests or attempts", fields.Failed, maxFieldValue)
 	interval := checks.Number(reportIntervalField, "report interval in ms", fields.Interval, c.maxInterval)
 	if interval == 0 {
-		checks.Keep(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
+		checks.RecordError(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
 	}
 	return commonReportFields{requests, failed, interval / millisecondsPerSecond}
 }
 
 // decodeEndpointLoadReport decodes the fields of an endpoint load report and records the first invalid field in checks.
-func (c *Codec) decodeEndpointLoadReport(checks *fieldcheck.Checks, fields *messageFields) assign.EndpointLoadReport {
+func (c *Codec) decodeEndpointLoadReport(checks *fieldcheck.Validator, fields *messageFields) assign.EndpointLoadReport {
 	counts := c.decodeCommonFields(checks, fields)
-	checks.Keep(c.checkZone(fields.Zone))
+	checks.RecordError(c.checkZone(fields.Zone))
 	if fields.Endpoint == "" {
-		checks.Keep(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
+		checks.RecordError(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
 	}
 	// Attempts cannot be fewer than the failed attempts. Proxy traffic reports have no such check, because a request
 	// may fail in a later report interval than the interval of its arrival.
 	if counts.failed > counts.requests {
-		checks.Keep(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
+		checks.RecordError(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
 			Want: fmt.Sprintf("failed attempts: at most the %d attempts", counts.requests)})
 	}
 	latency := 0.0
@@ -113,11 +113,11 @@
 }
 
 // decodeProxyTrafficReport decodes the fields of a proxy traffic report and records the first invalid field in checks.
-func (c *Codec) decodeProxyTrafficReport(checks *fieldcheck.Checks, fields *messageFields) assign.ProxyTrafficReport {
+func (c *Codec) decodeProxyTrafficReport(checks *fieldcheck.Validator, fields *messageFields) assign.ProxyTrafficReport {
 	counts := c.decodeCommonFields(checks, fields)
 	proxy := c.decodeProxy(checks, fields.Proxy)
 	if !slices.Contains(c.requestClasses, fields.RequestClass) {
-		checks.Keep(fmt.Errorf("%w %q in %q", ErrUnknownRequestClass, fields.RequestClass, requestClassField))
+		checks.RecordError(fmt.Errorf("%w %q in %q", ErrUnknownRequestClass, fields.RequestClass, requestClassField))
 	}
 	return assign.ProxyTrafficReport{
 		Proxy:        proxy,
