--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Command benchlink hosts assigners for the operators' simulator. It reads the simulator's protocol (package simproto) from
-// standard input, writes replies to standard output and diagnostics to standard error.
+// Command benchlink hosts assigners for the operators' simulator. It reads batches of events from standard input and
+// writes one reply to each batch to standard output, both in the simulator's protocol (package simproto). It writes
+// diagnostics to standard error.
 package main
 
 import (
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -28,128 +28,133 @@
 )
 
 const (
-	// maxLogRate bounds the log, in lines a second, apart from the lines of package loglimit, which have bounds of their
-	// own. Further lines are dropped, so that a repeated failure cannot fill a disk.
+	// maxLogRate is the maximum rate of log lines, in lines per second. Lines above this rate are dropped, so that a
+	// repeated failure cannot fill a disk. Lines that package loglimit limits do not count towards this rate.
 	maxLogRate = 50
-	// maxLogBuffered bounds the lines that wait for a slow reader of the log. Further lines are dropped, because writing
-	// a line must not block.
+	// maxLogBuffered is the maximum number of log lines that wait for a slow reader of the log. The buffer drops lines
+	// that exceed this number, because writing a log line must not block the assigner.
 	maxLogBuffered = 1000
-	// logPollInterval 0 makes the log writer wait for the next line instead of polling for it.
+	// logPollInterval is the interval at which the log writer polls for buffered lines. The value 0 disables polling:
+	// the log writer blocks until the next line arrives.
 	logPollInterval = 0
 )
 
-// ignoreDroppedLines is called with the number of lines that a slow reader of the log has missed. They cannot be logged.
+// ignoreDroppedLines is the log writer's callback for log lines that were dropped because the reader of the log was
+// too slow. It ignores the number of dropped lines, because a log that drops lines cannot report the loss.
 func ignoreDroppedLines(int) {}
 
-// assigner holds the program's parts. Each part owns its connections and goroutines.
+// assigner holds the components of the program. Each component owns its connections and goroutines.
 type assigner struct {
-	config        *config.Config
-	log           zerolog.Logger // for the parts, which add their component
-	ownLog        zerolog.Logger // for the start and the end
-	random        *rand.Rand     // source of the seeds: of the listener, of the parts in the order of makeParts, of the status page
-	startedAt     time.Time
-	codec         *wire.Codec
-	discoveryAt   *handover.Address
-	relayAt       *handover.Address
-	events        *eventqueue.Queue
-	orders        *orderqueue.Queue
-	watcher       *discovery.Watcher
-	client        *relay.OrderClient
-	reader        *relay.EventReader
-	server        *reportserver.Server
-	peers         *peer.Socket // nil unless config.PeerMessagesEnabled
-	loop          *eventloop.Loop
-	reloader      *configreload.Reloader
-	statusAddress string // empty: no status page
+	config           *config.Config
+	baseLog          zerolog.Logger // base logger; each component adds its own name
+	assignerLog      zerolog.Logger // logger of the messages about the start and the end of the process
+	seedSource       *rand.Rand     // source of the seeds that listen and the components receive
+	startedAt        time.Time
+	codec            *wire.Codec
+	discoveryAddress *handover.Address
+	relayAddress     *handover.Address
+	eventQueue       *eventqueue.Queue
+	orderQueue       *orderqueue.Queue
+	discoveryWatcher *discovery.Watcher
+	orderClient      *relay.OrderClient
+	eventReader      *relay.EventReader
+	reportServer     *reportserver.Server
+	peerSocket       *peer.Socket // nil if config.PeerMessagesEnabled returns false
+	eventLoop        *eventloop.Loop
+	reloader         *configreload.Reloader
+	statusAddress    string // host:port of the status page; empty: no status page
 }
 
-// serve runs an assigner until the context ends. Each signal on reload makes it read its configuration file again. It
-// returns an error only if the assigner could not start.
-func serve(ctx context.Context, cfg *config.Config, reload <-chan os.Signal, statusAddress string, logs io.Writer) error {
+// runAssigner runs an assigner until the context ends. Each signal on reloadSignals makes the assigner read its
+// configuration file again. An empty statusAddress disables the status page. The log is written to logOutput.
+// runAssigner returns an error only if the assigner could not start.
+func runAssigner(ctx context.Context, cfg *config.Config, reloadSignals <-chan os.Signal, statusAddress string, logOutput io.Writer) error {
 	startedAt := time.Now()
 	codec := wire.NewCodec(cfg.Settings, eventloop.ClockZero(startedAt))
 	initial, err := codec.ConvertEndpointList(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
-	writerOnly := struct{ io.Writer }{logs} // hides Close, which the diode would call
+	writerOnly := struct{ io.Writer }{logOutput} // hides the method Close, which the diode would call
 	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, logPollInterval, ignoreDroppedLines)
-	defer func() { _ = logWriter.Close() }() // the log is the only place for an error, and it is closed
+	defer func() { _ = logWriter.Close() }() // an error of Close cannot be reported, because the log is closed
 	log := newLogger(logWriter, cfg.Name)
 	assigner := &assigner{
 		config:        cfg,
-		log:           log,
-		ownLog:        log.With().Str("component", "assigner").Logger(),
-		random:        rand.New(rand.NewSource(cfg.Seed)),
+		baseLog:       log,
+		assignerLog:   log.With().Str("component", "assigner").Logger(),
+		seedSource:    rand.New(rand.NewSource(cfg.Seed)),
 		startedAt:     startedAt,
 		codec:         codec,
 		statusAddress: statusAddress,
 	}
-	listener, err := listen(ctx, cfg.ListenAddress, assigner.random.Int63(), log)
+	listener, err := listen(ctx, cfg.ListenAddress, assigner.seedSource.Int63(), log)
 	if ctx.Err() != nil {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	defer func() { _ = listener.Close() }() // fails if the report server has closed it already
-	if err := assigner.makeParts(initial.Version); err != nil {
+	defer func() { _ = listener.Close() }() // Close fails if the report server has already closed the listener
+	if err := assigner.createComponents(initial.Version); err != nil {
 		return err
 	}
-	// The parts do not run yet. The assigner is ready once the report server answers, see run.
-	assigner.ownLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
-	assigner.run(ctx, initial, listener, reload)
-	assigner.ownLog.Info().EmbedObject(assigner.counters()).Msg("ended")
+	// The components are not running yet. The assigner becomes ready when the report server starts, see runComponents.
+	assigner.assignerLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
+	assigner.runComponents(ctx, initial, listener, reloadSignals)
+	assigner.assignerLog.Info().EmbedObject(assigner.collectCounters()).Msg("ended")
 	return nil
 }
 
-// newLogger returns a logger that writes at most maxLogRate lines a second.
-func newLogger(w io.Writer, name string) zerolog.Logger {
-	return zerolog.New(w).With().Timestamp().Str("assigner", name).Logger().
+// newLogger returns a logger that writes at most maxLogRate lines per second to output. Each line carries the
+// assigner's name.
+func newLogger(output io.Writer, name string) zerolog.Logger {
+	return zerolog.New(output).With().Timestamp().Str("assigner", name).Logger().
 		Sample(&zerolog.BurstSampler{Burst: maxLogRate, Period: time.Second})
 }
 
-// makeParts creates all parts except the status page. The listVersion is that of the endpoint list with which the
-// decision module starts. Seeds are drawn in the order of the parts.
-func (a *assigner) makeParts(listVersion int) error {
-	a.events = eventqueue.New()
-	a.orders = orderqueue.New(orderqueue.Config{Channel: a.config.Settings.Channel, Encoder: a.codec, Log: a.log})
-	if err := a.makeWatcher(listVersion); err != nil {
+// createComponents creates all components except the status page. The argument listVersion is the version of the
+// endpoint list with which the decision module starts. The order of the calls determines which seed each component
+// receives.
+func (a *assigner) createComponents(listVersion int) error {
+	a.eventQueue = eventqueue.New()
+	a.orderQueue = orderqueue.New(orderqueue.Config{Channel: a.config.Settings.Channel, Encoder: a.codec, Log: a.baseLog})
+	if err := a.createDiscoveryWatcher(listVersion); err != nil {
 		return err
 	}
-	a.makeRelayClients()
-	a.server = reportserver.New(reportserver.Config{
+	a.createRelayClients()
+	a.reportServer = reportserver.New(reportserver.Config{
 		Codec:           a.codec,
-		Sink:            a.events.PostReport,
+		Sink:            a.eventQueue.PostReport,
 		DescriptorLimit: a.config.MaxFileDescriptors,
 		ZoneCount:       len(a.config.Settings.Zones),
 		MemoryLimitMB:   a.config.MemoryLimitMB,
-		Log:             a.log,
+		Log:             a.baseLog,
 	})
-	if err := a.makePeerSocket(); err != nil {
+	if err := a.openPeerSocket(); err != nil {
 		return err
 	}
-	a.makeEventLoop()
+	a.createEventLoop()
 	a.reloader = configreload.New(configreload.Config{
 		FilePath:         a.config.FilePath,
-		DiscoveryAddress: a.discoveryAt,
-		RelayAddress:     a.relayAt,
-		Log:              a.log,
+		DiscoveryAddress: a.discoveryAddress,
+		RelayAddress:     a.relayAddress,
+		Log:              a.baseLog,
 	})
 	return nil
 }
 
-// makeWatcher creates the client of the discovery agent.
-func (a *assigner) makeWatcher(listVersion int) (err error) {
-	a.discoveryAt = handover.NewAddress(a.config.DiscoveryAddress)
-	a.watcher, err = discovery.New(discovery.Config{
-		Address:        a.discoveryAt,
+// createDiscoveryWatcher creates the client of the discovery agent.
+func (a *assigner) createDiscoveryWatcher(listVersion int) (err error) {
+	a.discoveryAddress = handover.NewAddress(a.config.DiscoveryAddress)
+	a.discoveryWatcher, err = discovery.New(discovery.Config{
+		Address:        a.discoveryAddress,
 		InitialVersion: listVersion,
 		Codec:          a.codec,
-		Sink:           a.events.PostEvent,
+		Sink:           a.eventQueue.PostEvent,
 		MemoryLimitMB:  a.config.MemoryLimitMB,
-		Seed:           a.random.Int63(),
-		Log:            a.log,
+		Seed:           a.seedSource.Int63(),
+		Log:            a.baseLog,
 	})
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -157,35 +162,35 @@
 	return nil
 }
 
-// makeRelayClients creates the clients of the relay: one sends orders, the other reads events.
-func (a *assigner) makeRelayClients() {
-	a.relayAt = handover.NewAddress(a.config.RelayAddress)
-	a.client = relay.NewOrderClient(relay.OrderClientConfig{
-		Address: a.relayAt,
-		Queue:   a.orders,
-		Seed:    a.random.Int63(),
-		Log:     a.log,
+// createRelayClients creates the two clients of the relay. One client sends orders, the other client reads events.
+func (a *assigner) createRelayClients() {
+	a.relayAddress = handover.NewAddress(a.config.RelayAddress)
+	a.orderClient = relay.NewOrderClient(relay.OrderClientConfig{
+		Address: a.relayAddress,
+		Queue:   a.orderQueue,
+		Seed:    a.seedSource.Int63(),
+		Log:     a.baseLog,
 	})
-	a.reader = relay.NewEventReader(relay.EventReaderConfig{
-		Address: a.relayAt,
+	a.eventReader = relay.NewEventReader(relay.EventReaderConfig{
+		Address: a.relayAddress,
 		Codec:   a.codec,
-		Sink:    a.events.PostEvent,
-		Seed:    a.random.Int63(),
-		Log:     a.log,
+		Sink:    a.eventQueue.PostEvent,
+		Seed:    a.seedSource.Int63(),
+		Log:     a.baseLog,
 	})
 }
 
-// makePeerSocket opens the datagram socket if the configuration uses peers.
-func (a *assigner) makePeerSocket() (err error) {
+// openPeerSocket opens the socket for datagrams between assigners if the configuration enables them.
+func (a *assigner) openPeerSocket() (err error) {
 	if !a.config.PeerMessagesEnabled() {
 		return nil
 	}
-	a.peers, err = peer.Open(peer.Config{
+	a.peerSocket, err = peer.Open(peer.Config{
 		ListenAddress:    a.config.PeerListenAddress,
 		PeerAddresses:    a.config.PeerAddresses,
 		BroadcastAddress: a.config.PeerBroadcastAddress,
-		Sink:             a.events.PostEvent,
-		Log:              a.log,
+		Sink:             a.eventQueue.PostEvent,
+		Log:              a.baseLog,
 	})
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
@@ -193,72 +198,75 @@
 	return nil
 }
 
-// makeEventLoop creates the event loop and connects the other parts to it.
-func (a *assigner) makeEventLoop() {
-	a.loop = eventloop.New(eventloop.Config{
+// createEventLoop creates the event loop and connects it to the other components.
+func (a *assigner) createEventLoop() {
+	a.eventLoop = eventloop.New(eventloop.Config{
 		Seed:     a.config.Seed,
 		Settings: a.config.Settings,
 		Inputs: eventloop.Inputs{
-			Events:           a.events.Events(),
-			Reports:          a.events.Reports(),
-			PreprocessEvents: a.orders.PreprocessEvents,
+			Events:           a.eventQueue.Events(),
+			Reports:          a.eventQueue.Reports(),
+			PreprocessEvents: a.orderQueue.PreprocessEvents,
 		},
 		Outputs: eventloop.Outputs{
-			SubmitOrders:    a.orders.Submit,
-			WatchEndpoints:  a.watcher.SetFailureReporting,
-			FetchEndpoints:  a.watcher.RequestFullList,
+			SubmitOrders:    a.orderQueue.Submit,
+			WatchEndpoints:  a.discoveryWatcher.SetFailureReporting,
+			FetchEndpoints:  a.discoveryWatcher.RequestFullList,
 			SendPeerMessage: a.sendPeerMessage,
 		},
 		StartedAt: a.startedAt,
-		Log:       a.log,
+		Log:       a.baseLog,
 	})
 }
 
-// sendPeerMessage sends a message to another assigner. It drops the message if there is no peer socket.
+// sendPeerMessage sends a message to the assigner with the given number, or to all assigners if the number is -1. It
+// drops the message if the configuration does not enable messages between assigners.
 func (a *assigner) sendPeerMessage(to int, data []byte) {
-	if a.peers != nil {
-		a.peers.Send(to, data)
+	if a.peerSocket != nil {
+		a.peerSocket.Send(to, data)
 	}
 }
 
-// run runs the parts until the context ends and all of them have returned. The order client's context ends with the event
-// loop, so that it can send the last orders. The report server starts after the first batch, because its answer to a ping
-// means that the assigner is ready.
-func (a *assigner) run(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reload <-chan os.Signal) {
-	loopEnded, endLoop := context.WithCancel(context.WithoutCancel(ctx))
-	defer endLoop()
-	ready := make(chan struct{})
-	var parts supervisor
-	parts.add("discovery", a.watcher.Run)
-	parts.add("relay events", a.reader.Run)
-	parts.add("relay calls", func(context.Context) { a.client.Run(loopEnded) })
-	parts.add("reload", func(ctx context.Context) { a.reloader.Run(ctx, reload) })
-	if a.peers != nil {
-		parts.add("peers", a.peers.Run)
+// runComponents runs the components until the context has ended and all components have returned. The context of the
+// order client ends only when the event loop has returned, so that the order client can send the event loop's last
+// orders. The report server starts after the event loop's first batch, because a client takes the answer to its ping
+// as a sign that the assigner is ready.
+func (a *assigner) runComponents(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reloadSignals <-chan os.Signal) {
+	orderClientCtx, stopOrderClient := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopOrderClient()
+	firstBatchHandled := make(chan struct{})
+	var components supervisor
+	components.add("discovery", a.discoveryWatcher.Run)
+	components.add("relay events", a.eventReader.Run)
+	components.add("relay calls", func(context.Context) { a.orderClient.Run(orderClientCtx) })
+	components.add("reload", func(ctx context.Context) { a.reloader.Run(ctx, reloadSignals) })
+	if a.peerSocket != nil {
+		components.add("peers", a.peerSocket.Run)
 	}
 	if a.statusAddress != "" {
-		seed := a.random.Int63()
-		parts.add("status page", func(ctx context.Context) { a.serveStatus(ctx, seed) })
+		seed := a.seedSource.Int63()
+		components.add("status page", func(ctx context.Context) { a.serveStatus(ctx, seed) })
 	}
-	parts.add("event loop", func(ctx context.Context) {
-		defer endLoop()
-		a.loop.Run(ctx, []assign.Event{initial}, func() { close(ready) })
+	components.add("event loop", func(ctx context.Context) {
+		defer stopOrderClient()
+		a.eventLoop.Run(ctx, []assign.Event{initial}, func() { close(firstBatchHandled) })
 	})
-	parts.add("report server", func(ctx context.Context) {
-		<-ready
-		a.server.Serve(ctx, listener)
+	components.add("report server", func(ctx context.Context) {
+		<-firstBatchHandled
+		a.reportServer.Serve(ctx, listener)
 	})
-	parts.run(ctx)
+	components.run(ctx)
 }
 
-// serveStatus runs the status page until the context ends. The other parts do not depend on it.
+// serveStatus serves the status page until the context ends. It logs a failure of the status page and returns, because
+// the other components do not depend on the status page.
 func (a *assigner) serveStatus(ctx context.Context, seed int64) {
-	listener, err := listen(ctx, a.statusAddress, seed, a.log)
+	listener, err := listen(ctx, a.statusAddress, seed, a.baseLog)
 	if err == nil {
-		err = status.Serve(ctx, listener, func() any { return a.counters() })
+		err = status.Serve(ctx, listener, func() any { return a.collectCounters() })
 	}
 	if err != nil && ctx.Err() == nil {
-		log := a.log.With().Str("component", "status").Logger()
+		log := a.baseLog.With().Str("component", "status").Logger()
 		log.Error().Err(err).Msg("status page failed")
 	}
 }
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -22,25 +22,27 @@
 	"madderhollow/internal/relaytest"
 )
 
-const terminate = syscall.SIGTERM
+// terminationSignal is the signal that ends an assigner.
+const terminationSignal = syscall.SIGTERM
 
-// injectFaults makes the next four calls fail, breaks the event stream, and garbles the next two answers of discovery.
-func (p *platform) injectFaults() {
-	var calls, requests atomic.Int32
+// injectFaultSequence makes the next four calls to the relay fail, each in a different way. It also breaks the event
+// stream once and makes the next two answers of discovery invalid JSON.
+func (p *platform) injectFaultSequence() {
+	var callCount, requestCount atomic.Int32
 	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
-	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(calls.Add(1)-1, 4)] })
-	p.relay.CutStreamsInEvent(25) // in the data
+	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(callCount.Add(1)-1, 4)] })
+	p.relay.CutStreamsInEvent(25) // the first 25 bytes of an event end within its data
 	p.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
-		bad := requests.Add(1) < 3
-		if bad {
+		garbled := requestCount.Add(1) < 3
+		if garbled {
 			_, _ = io.WriteString(w, "}")
 		}
-		return bad
+		return garbled
 	})
 }
 
-// reportOverload reports late answers of busy endpoints and a high request rate. It takes as long as the time between two
-// reports.
+// reportOverload reports busy endpoints with a high latency, and proxies with a high request rate. It then sleeps for
+// the interval between two reports.
 func (p *platform) reportOverload(t *testing.T) {
 	t.Helper()
 	for zone, collector := range p.collectors {
@@ -61,8 +63,9 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// limited reports whether any table has a rate limit for a request class.
-func (p *platform) limited() (limited bool) {
+// hasRateLimit reports whether any table limits the rate of a request class. An order with the limit
+// 1000000000 requests/s removes the limit of a class.
+func (p *platform) hasRateLimit() (limited bool) {
 	p.relay.Inspect(func(state *relaytest.State) {
 		for _, limit := range state.Limits {
 			limited = limited || limit != "1000000000"
@@ -71,24 +74,25 @@
 	return limited
 }
 
-// The life of one process: it answers pings, attaches proxies, removes a draining endpoint from the tables also after
-// failures of calls, event stream and discovery, sets rate limits under overload, and ends at SIGTERM.
-func TestAssignerOrdersThroughFaultsAndOverload(t *testing.T) {
-	platform, process := startAttached(t)
-	platform.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
-	platform.mustAttach(t, process, "s-0", "after a drain")
-	platform.injectFaults()
-	platform.agent.PutEndpoints(endpoint("s-4", "y", discoverytest.Draining))
-	platform.mustAttach(t, process, "s-4", "after a drain during faults")
-	limited := eventually.True(2*testTimeout, func() bool {
+// An assigner must send correct orders throughout the life of its process. It attaches tables to new proxies, and
+// removes a draining endpoint from all tables even after calls, the event stream and discovery have failed. It sets
+// rate limits under overload and exits with status 0 at SIGTERM. Each line of its log is JSON.
+func TestAssignerSendsOrdersDuringFaultsAndOverload(t *testing.T) {
+	platform, process := startWithAttachedProxies(t)
+	platform.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
+	platform.mustAttachTables(t, process, "s-0", "after a drain")
+	platform.injectFaultSequence()
+	platform.agent.PutEndpoints(newEndpoint("s-4", "y", discoverytest.Draining))
+	platform.mustAttachTables(t, process, "s-4", "after a drain during faults")
+	rateLimited := eventually.True(2*testTimeout, func() bool {
 		platform.reportOverload(t)
-		return platform.limited()
+		return platform.hasRateLimit()
 	})
-	if !limited {
-		t.Errorf("got no rate limit under overload, want one\n%s", process.text())
+	if !rateLimited {
+		t.Errorf("got no rate limit under overload, want one\n%s", process.killAndReadLog())
 	}
-	if health, err := platform.health(); err != nil || health["proxies"] != 6 || health["batches"] < 5 {
-		t.Errorf("got counters %v (%v), want 6 proxies and at least 5 batches", health, err)
+	if counters, err := platform.statusCounters(); err != nil || counters["proxies"] != 6 || counters["batches"] < 5 {
+		t.Errorf("got counters %v (%v), want 6 proxies and at least 5 batches", counters, err)
 	}
 	process.mustTerminate(t)
 	for lines := bufio.NewScanner(strings.NewReader(process.log.String())); lines.Scan(); {
@@ -98,21 +102,22 @@
 	}
 }
 
-// SIGHUP never ends the process, even if the file is missing or incomplete. Once the file is complete, calls and watches use
-// the new addresses, while the old ones close.
+// SIGHUP must not end the process, even if the configuration file is missing or incomplete. Once the file is complete,
+// the assigner must use the new addresses of the relay and discovery, while the connections to the old addresses
+// close. A move must not make the assigner send its tables to the proxies again.
 func TestReloadMovesAddressesAfterUnusableFiles(t *testing.T) {
-	platform, process := startAttached(t)
+	platform, process := startWithAttachedProxies(t)
 	platform.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			proxy.Messages = nil
 		}
 	})
 	reload := func() { process.signal(t, syscall.SIGHUP) }
-	reload() // of an unchanged file
+	reload() // the configuration file has not changed
 	for i := range 3 {
-		platform.move(t, 200*time.Millisecond)
+		platform.moveRelayAndDiscovery(t, 200*time.Millisecond)
 		if i > 0 {
-			if err := os.Remove(platform.path); err != nil {
+			if err := os.Remove(platform.configPath); err != nil {
 				t.Fatal(err)
 			}
 			reload()
@@ -123,14 +128,15 @@
 			reload()
 		}
 		reload()
-		leaving := endpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Draining)
-		platform.agent.PutEndpoints(leaving)
-		platform.mustAttach(t, process, leaving.Name, fmt.Sprint("after a drain and move ", i))
+		draining := newEndpoint(fmt.Sprint("s-", i), zoneOf(i), discoverytest.Draining)
+		platform.agent.PutEndpoints(draining)
+		platform.mustAttachTables(t, process, draining.Name, fmt.Sprint("after a drain and move ", i))
 	}
 	platform.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
-			if n := len(proxy.Messages); n > 8 { // three drains, and the changes of weights that follow them
-				t.Errorf("proxy %d got %d messages, want at most 8", id, n)
+			// The limit of 8 messages allows for three drains and for the changes of weights that follow them.
+			if n := len(proxy.Messages); n > 8 {
+				t.Errorf("proxy %d: got %d messages, want at most 8", id, n)
 			}
 		}
 	})
@@ -138,35 +144,39 @@
 	process.mustTerminate(t)
 }
 
-// openFiles returns the number of file descriptors of this process. It skips the test on systems without /proc.
-func openFiles(t *testing.T) int {
+// countOpenDescriptors returns the number of open file descriptors of the test process. It skips the test on systems
+// without /proc.
+func countOpenDescriptors(t *testing.T) int {
 	t.Helper()
-	entries, err := os.ReadDir("/proc/self/fd")
+	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("descriptors cannot be counted here")
+		t.Skip("file descriptors cannot be counted: /proc/self/fd is not available")
 	}
-	return len(entries)
+	return len(descriptors)
 }
 
-// An assigner that has ended leaves no goroutine and no descriptor, and its addresses can be bound again at once.
+// An assigner that has shut down must not leave goroutines or file descriptors behind, and its addresses must be free
+// at once. The test runs assigners in its own process, one after the other at the same addresses, and compares the
+// numbers of goroutines and file descriptors after the last assigner with the numbers after the first assigner.
 func TestShutdownReleasesResources(t *testing.T) {
 	platform := newPlatform(t)
-	t.Setenv("EDGE_CONFIG", platform.path)
+	t.Setenv("EDGE_CONFIG", platform.configPath)
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	startAndStop := func() {
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error)
-		go func() { ended <- serve(ctx, cfg, nil, platform.status, io.Discard) }() // ends with ctx, below
+		result := make(chan error)
+		// The goroutine ends after the call of cancel below.
+		go func() { result <- runAssigner(ctx, cfg, nil, platform.statusAddress, io.Discard) }()
 		platform.connectCollectors(t)
 		platform.relay.Connect(1, "x", 20, false)
 		if !eventually.True(testTimeout, func() bool { return platform.relay.AllAttached("") }) {
 			t.Errorf("got no attached proxy within %v, want one", testTimeout)
 		}
 		cancel()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 		for _, collector := range platform.collectors {
@@ -174,44 +184,45 @@
 		}
 	}
 	startAndStop()
-	goroutines, files := 0, 0
-	eventually.True(testTimeout, func() bool { // the fakes close their connections in the background
-		nowGoroutines, nowFiles := runtime.NumGoroutine(), openFiles(t)
-		same := nowGoroutines == goroutines && nowFiles == files
-		goroutines, files = nowGoroutines, nowFiles
-		return same
+	goroutines, descriptors := 0, 0
+	eventually.True(testTimeout, func() bool { // waits because the fakes close their connections in the background
+		currentGoroutines, currentDescriptors := runtime.NumGoroutine(), countOpenDescriptors(t)
+		stable := currentGoroutines == goroutines && currentDescriptors == descriptors
+		goroutines, descriptors = currentGoroutines, currentDescriptors
+		return stable
 	})
 	for range 3 {
 		startAndStop()
 	}
-	if !eventually.True(testTimeout, func() bool { return runtime.NumGoroutine() <= goroutines && openFiles(t) <= files }) {
-		t.Errorf("got %d goroutines and %d descriptors, want at most %d and %d", runtime.NumGoroutine(), openFiles(t), goroutines, files)
+	if !eventually.True(testTimeout, func() bool { return runtime.NumGoroutine() <= goroutines && countOpenDescriptors(t) <= descriptors }) {
+		t.Errorf("got %d goroutines and %d file descriptors, want at most %d and %d", runtime.NumGoroutine(), countOpenDescriptors(t), goroutines, descriptors)
 	}
 }
 
-// An unusable configuration makes the program end with one line of text before it listens.
+// An invalid configuration must make the program exit before it listens, with exit code exitConfiguration and one line
+// of text that states the error.
 func TestUnusableConfigurationIsRefused(t *testing.T) {
 	platform := newPlatform(t)
-	good, err := os.ReadFile(platform.path)
+	valid, err := os.ReadFile(platform.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	replaced := func(text, by string) string { return strings.Replace(string(good), text, by, 1) }
-	for name, text := range map[string]string{
-		"no object":              "{",
-		"no relay":               replaced(`"relay"`, `"x"`),
-		"no settings":            replaced(`"settings"`, `"x"`),
-		"no initial list":        replaced(`"known"`, `"x"`),
-		"seed not hexadecimal":   replaced(`8c1f30d27a5be964`, `seed`),
-		"unknown status":         replaced(`"status":"active"`, `"status":"odd"`),
-		"listen no address":      replaced(`"listen":"127`, `"listen":"nowhere`),
-		"peer_listen no address": replaced(`"peer_listen":"127`, `"peer_listen":"nowhere`),
-		"peers no addresses":     replaced(`"peers":["127`, `"peers":["nowhere`),
+	withReplacement := func(text, replacement string) string { return strings.Replace(string(valid), text, replacement, 1) }
+	for name, content := range map[string]string{
+		"no JSON object":           "{",
+		"no relay":                 withReplacement(`"relay"`, `"x"`),
+		"no settings":              withReplacement(`"settings"`, `"x"`),
+		"no initial endpoint list": withReplacement(`"known"`, `"x"`),
+		"seed not hexadecimal":     withReplacement(`8c1f30d27a5be964`, `seed`),
+		"unknown endpoint status":  withReplacement(`"status":"active"`, `"status":"odd"`),
+		"listen no address":        withReplacement(`"listen":"127`, `"listen":"nowhere`),
+		"peer_listen no address":   withReplacement(`"peer_listen":"127`, `"peer_listen":"nowhere`),
+		"peers no addresses":       withReplacement(`"peers":["127`, `"peers":["nowhere`),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := filepath.Join(t.TempDir(), "bad.json")
-			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			mustRefuse(t, path)
@@ -223,14 +234,15 @@
 	})
 }
 
-// mustRefuse fails the test unless the program ends with one line and exitConfiguration.
-func mustRefuse(t *testing.T, path string) {
+// mustRefuse fails the test unless the program exits with code exitConfiguration and a log of one line. The
+// configuration file is at configPath; an empty configPath starts the program without a configuration file.
+func mustRefuse(t *testing.T, configPath string) {
 	t.Helper()
-	process := start(t, path)
-	_ = process.wait(t) // the exit code is checked below
+	process := startAssigner(t, configPath)
+	_ = process.waitForExit(t) // the error only repeats the exit code, which is checked below
 	log := process.log.String()
 	oneLine := strings.Count(log, "\n") == 1 && strings.HasPrefix(log, "madderhollow: ")
 	if code := process.ProcessState.ExitCode(); code != exitConfiguration || !oneLine {
-		t.Errorf("got exit code %d, want %d, and log\n%s", code, exitConfiguration, log)
+		t.Errorf("got exit code %d, want %d, and one line that begins with \"madderhollow: \"; got log\n%s", code, exitConfiguration, log)
 	}
 }
--- a/cmd/madderhollow/counters.go
+++ b/cmd/madderhollow/counters.go
@@ -6,12 +6,12 @@
 	"github.com/rs/zerolog"
 )
 
-// bytesPerKB converts the size of the heap.
+// bytesPerKB is the number of bytes in a kilobyte. It converts the size of the heap.
 const bytesPerKB = 1 << 10
 
-// counters are the values that the status page and the last log line show. The two use the same names, which
-// docs/on-call.md explains. They count from the start of the process, except for Goroutines, HeapKB, OrdersWaiting and
-// Proxies, which are current values.
+// counters holds the values that the status page and the last log line of the process show. Both show the values under
+// the same names, which docs/on-call.md explains. Goroutines, HeapKB, OrdersWaiting and Proxies are current values.
+// MaxOrderWaitMs is the maximum since the start of the process. All other fields count from the start of the process.
 type counters struct {
 	Batches                       int   `json:"batches"`
 	Calls                         int   `json:"calls"`
@@ -29,30 +29,31 @@
 	UnidentifiedConnectionsClosed int64 `json:"unidentified_connections_closed"`
 }
 
-// counters collects the values from the parts. Several goroutines may call it.
-func (a *assigner) counters() counters {
-	batches, orders, reports := a.loop.Stats(), a.orders.Stats(), a.server.Stats()
+// collectCounters returns the current values of all counters. It is safe for concurrent use.
+func (a *assigner) collectCounters() counters {
+	loopStats, queueStats, serverStats := a.eventLoop.Stats(), a.orderQueue.Stats(), a.reportServer.Stats()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return counters{
-		Batches:                       batches.Batches,
-		Calls:                         orders.TakenCalls,
-		CallsRepeated:                 orders.RepeatedCalls,
-		Events:                        batches.Events,
+		Batches:                       loopStats.Batches,
+		Calls:                         queueStats.TakenCalls,
+		CallsRepeated:                 queueStats.RepeatedCalls,
+		Events:                        loopStats.Events,
 		Goroutines:                    runtime.NumGoroutine(),
 		HeapKB:                        int64(memory.HeapAlloc / bytesPerKB),
-		MalformedLines:                reports.MalformedLines,
-		MaxOrderWaitMs:                orders.MaxOrderWait.Milliseconds(),
-		OrdersCoalesced:               orders.CoalescedOrders,
-		OrdersWaiting:                 orders.PendingOrders,
-		Proxies:                       orders.ConnectedProxies,
-		Reports:                       reports.Reports,
-		ReportsLost:                   a.events.DroppedReports(),
-		UnidentifiedConnectionsClosed: reports.UnidentifiedConnectionsClosed,
+		MalformedLines:                serverStats.MalformedLines,
+		MaxOrderWaitMs:                queueStats.MaxOrderWait.Milliseconds(),
+		OrdersCoalesced:               queueStats.CoalescedOrders,
+		OrdersWaiting:                 queueStats.PendingOrders,
+		Proxies:                       queueStats.ConnectedProxies,
+		Reports:                       serverStats.Reports,
+		ReportsLost:                   a.eventQueue.DroppedReports(),
+		UnidentifiedConnectionsClosed: serverStats.UnidentifiedConnectionsClosed,
 	}
 }
 
-// MarshalZerologObject writes the counters as fields of a log line.
+// MarshalZerologObject adds the counters to a log line as fields. The names of the fields are the names that the JSON
+// encoding of counters uses.
 func (c counters) MarshalZerologObject(event *zerolog.Event) {
 	event.Int("batches", c.Batches).
 		Int("calls", c.Calls).
--- a/cmd/madderhollow/counters_test.go
+++ b/cmd/madderhollow/counters_test.go
@@ -9,24 +9,27 @@
 	"github.com/rs/zerolog"
 )
 
+// The status page and the last log line must show the same counters under the same names. The JSON tags of type
+// counters and the method MarshalZerologObject list the names separately, so that a counter could be missing in one of
+// them.
 func TestCountersEqualInLogAndJSON(t *testing.T) {
 	values := counters{Batches: 1, Calls: 2, CallsRepeated: 3, Events: 4, Goroutines: 5, HeapKB: 6, MalformedLines: 7, MaxOrderWaitMs: 8,
 		OrdersCoalesced: 9, OrdersWaiting: 10, Proxies: 11, Reports: 12, ReportsLost: 13, UnidentifiedConnectionsClosed: 14}
-	page, err := json.Marshal(values)
+	statusPage, err := json.Marshal(values)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var line bytes.Buffer
-	logger := zerolog.New(&line)
+	var logLine bytes.Buffer
+	logger := zerolog.New(&logLine)
 	logger.Log().EmbedObject(values).Send()
 	want, got := map[string]int{}, map[string]int{}
-	if err := json.Unmarshal(page, &want); err != nil {
+	if err := json.Unmarshal(statusPage, &want); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(line.Bytes(), &got); err != nil {
+	if err := json.Unmarshal(logLine.Bytes(), &got); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("got log line %v, want the values of the status page, %v", got, want)
+		t.Errorf("got log line %v, want the values of the status page %v", got, want)
 	}
 }
--- a/cmd/madderhollow/documents_test.go
+++ b/cmd/madderhollow/documents_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// repository is the root of the module.
-const repository = "../.."
+// moduleRoot is the path of the module's root directory.
+const moduleRoot = "../.."
 
-// testNames returns the names of all tests, benchmarks and fuzz targets of the module.
+// testNames returns the set of the names of all tests, benchmarks and fuzz tests of the module.
 func testNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
 	declaration := regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
-	err := filepath.WalkDir(repository, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -32,7 +32,7 @@
 	return names
 }
 
-// readFile returns the content of a file.
+// readFile returns the content of a file. It ends the test if the file cannot be read.
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	content, err := os.ReadFile(path)
@@ -42,14 +42,14 @@
 	return string(content)
 }
 
-// Pages that name tests must follow when these are renamed.
+// A page of the documentation must not name a test that does not exist, for instance after the test has been renamed.
 func TestDocumentsNameExistingTests(t *testing.T) {
 	mention := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
 	existing := testNames(t)
 	for _, page := range []string{"docs/architecture.md", "docs/failures.md", "docs/on-call.md", "README.md", "CONTRIBUTING.md"} {
-		for _, name := range mention.FindAllString(readFile(t, filepath.Join(repository, page)), -1) {
+		for _, name := range mention.FindAllString(readFile(t, filepath.Join(moduleRoot, page)), -1) {
 			if !existing[name] {
-				t.Errorf("%s names %s, which does not exist", page, name)
+				t.Errorf("%s: got the test name %s, want the name of an existing test", page, name)
 			}
 		}
 	}
--- a/cmd/madderhollow/listen.go
+++ b/cmd/madderhollow/listen.go
@@ -12,22 +12,26 @@
 	"madderhollow/internal/conditionlog"
 )
 
-// The previous process may hold an address until its shutdown is complete. A new process has 30 s to become ready.
 const (
-	listenTimeout       = 25 * time.Second
+	// listenTimeout is the time after the first attempt at which listen stops retrying. The previous process of the
+	// assigner may occupy the address until it has shut down, and the new process has 30 s to become ready.
+	listenTimeout = 25 * time.Second
+	// minListenRetryDelay and maxListenRetryDelay are the bounds of the delay between two attempts to bind an address,
+	// before jitter.
 	minListenRetryDelay = 10 * time.Millisecond
 	maxListenRetryDelay = 200 * time.Millisecond
 )
 
-// listen binds a TCP address. It retries while that fails, until listenTimeout has passed or the context ends, and returns
-// the last error then. The seed randomizes the delays between attempts.
+// listen binds a TCP address and returns the listener. It retries failed attempts until listenTimeout has passed or
+// the context has ended, and then returns the error of the last attempt. The seed determines the jitter of the delays
+// between the attempts.
 func listen(ctx context.Context, address string, seed int64, log zerolog.Logger) (net.Listener, error) {
 	condition := conditionlog.New(conditionlog.Config{
 		Log:       log.With().Str("component", "listener").Str("address", address).Logger(),
 		Failing:   "listen failed; retrying",
 		Recovered: "listening",
 	})
-	delays := backoff.New(minListenRetryDelay, maxListenRetryDelay, seed)
+	retryDelays := backoff.New(minListenRetryDelay, maxListenRetryDelay, seed)
 	deadline := time.Now().Add(listenTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
@@ -39,6 +43,6 @@
 			return nil, fmt.Errorf("listener: %w", err)
 		}
 		condition.RecordFailure(err, nil)
-		delays.Wait(ctx)
+		retryDelays.Wait(ctx)
 	}
 }
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -1,9 +1,10 @@
-// Command madderhollow is one assigner. It receives load and traffic reports from collectors, the endpoint list from
-// discovery and proxies' events from the relay, passes them to its decision module (package assign), and sends the relay
-// the resulting orders: routing tables, weights and rate limits.
+// Command madderhollow runs one assigner. The assigner receives load and traffic reports from collectors, the endpoint
+// list from discovery, and events about proxies from the relay. It passes this input to its decision module, package
+// assign, and sends the resulting orders to the relay. The orders set routing tables, weights and rate limits.
 //
-// The environment variable EDGE_CONFIG names its configuration file; docs/configuration.md describes it. SIGHUP reloads the
-// file, SIGTERM or SIGINT ends the process with status 0.
+// The environment variable EDGE_CONFIG holds the path of the configuration file, which docs/configuration.md
+// describes. SIGHUP makes the process read the configuration file again. SIGTERM or SIGINT ends the process with exit
+// status 0.
 package main
 
 import (
@@ -23,19 +24,21 @@
 	"madderhollow/internal/config"
 )
 
-// Exit codes.
+// Exit codes of the process.
 const (
 	exitOK            = 0
-	exitFailure       = 1 // the listener could not be bound, or a part could not be created
+	exitFailure       = 1 // the listener could not be bound, or a component could not be created
 	exitConfiguration = 2 // invalid arguments or configuration; the Go runtime also uses it after a panic
 )
 
 const (
-	// heapFraction is the part of the memory limit that the Go runtime may use. The rest is for socket buffers and for
-	// the time that the garbage collector takes to react.
-	heapFraction = 0.6
-	bytesPerMB   = 1 << 20
-	// shutdownTimeout bounds the time from SIGTERM to the exit. SIGKILL may follow SIGTERM by 0.7 s.
+	// runtimeMemoryFraction is the fraction of the configured memory limit that the Go runtime may use. The rest is
+	// reserved for socket buffers, and for memory that is allocated before the garbage collector reacts.
+	runtimeMemoryFraction = 0.6
+	// bytesPerMB is the number of bytes in a megabyte.
+	bytesPerMB = 1 << 20
+	// shutdownTimeout is the time from SIGTERM or SIGINT to a forced exit. It is shorter than 0.7 s, the earliest time
+	// after SIGTERM at which SIGKILL may follow.
 	shutdownTimeout = 650 * time.Millisecond
 )
 
@@ -43,27 +46,28 @@
 	os.Exit(run(os.Args[1:], os.Getenv, config.DefaultRetryPolicy()))
 }
 
-// run is main with its inputs as parameters. It returns once the program has ended. The retry policy applies to a
-// configuration file that cannot be used yet.
+// run is the main function with its inputs as parameters: the command-line arguments, the lookup of environment
+// variables and the retry policy for a configuration file that is missing or invalid. It returns the exit code once
+// all components have returned.
 func run(args []string, env func(string) string, retry config.RetryPolicy) (exitCode int) {
-	// Signals are handled from here to the exit. Before, they would kill the process; so would a second one after a call of
-	// signal.Stop.
-	reload, terminated := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(terminated, syscall.SIGTERM, os.Interrupt)
+	// Signals are handled from here until the process exits. A signal that arrives earlier kills the process. There is
+	// no call of signal.Stop, because a second signal after signal.Stop would kill the process during its shutdown.
+	reloadSignals, terminationSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	signal.Notify(terminationSignals, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { // ends with the process
-		<-terminated
+	go func() { // runs until the first signal or the exit of the process
+		<-terminationSignals
 		cancel()
 	}()
-	// A part that blocks, for instance on a log that is not read, must not delay the exit. A forced exit has status 0, too,
-	// and logs nothing.
+	// A component that blocks, for instance because nobody reads the log, must not delay the exit. The forced exit has
+	// status 0 as well, and it does not log anything.
 	context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, func() { os.Exit(exitOK) }) })
 
 	flags := flag.NewFlagSet("madderhollow", flag.ContinueOnError)
-	statusAddress := flags.String("status", "", "address of the status page; none if empty")
-	switch err := flags.Parse(args); { // Parse prints its errors
+	statusAddress := flags.String("status", "", "address of the status page, host:port; there is no status page if it is empty")
+	switch err := flags.Parse(args); { // flags.Parse has already printed the error
 	case errors.Is(err, flag.ErrHelp):
 		return exitOK
 	case err != nil:
@@ -77,23 +81,24 @@
 		_, err = net.ResolveTCPAddr("tcp", *statusAddress)
 	}
 	if err != nil {
-		return fail(err, exitConfiguration)
+		return reportError(err, exitConfiguration)
 	}
 	limitRuntime(cfg)
-	if err := serve(ctx, cfg, reload, *statusAddress, os.Stderr); err != nil {
-		return fail(err, exitFailure)
+	if err := runAssigner(ctx, cfg, reloadSignals, *statusAddress, os.Stderr); err != nil {
+		return reportError(err, exitFailure)
 	}
 	return exitOK
 }
 
-// fail prints an error and returns the exit code.
-func fail(err error, exitCode int) int {
+// reportError prints an error to standard error and returns the given exit code.
+func reportError(err error, exitCode int) int {
 	fmt.Fprintln(os.Stderr, "madderhollow:", err)
 	return exitCode
 }
 
-// limitRuntime applies the configured CPU and memory limits to the Go runtime. Cores that are not stated count as one.
+// limitRuntime applies the configured CPU and memory limits to the Go runtime. The number of cores is rounded up. If
+// the configuration does not set it, the limit is one core.
 func limitRuntime(cfg *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.CPUCores))))
-	debug.SetMemoryLimit(int64(heapFraction * float64(cfg.MemoryLimitMB) * bytesPerMB))
+	debug.SetMemoryLimit(int64(runtimeMemoryFraction * float64(cfg.MemoryLimitMB) * bytesPerMB))
 }
--- a/cmd/madderhollow/oncall_test.go
+++ b/cmd/madderhollow/oncall_test.go
@@ -15,60 +15,63 @@
 	"testing"
 )
 
-// onCallPage lists every log message and counter.
+// onCallPage is the path of the page that lists every log message and counter of the program.
 const onCallPage = "../../docs/on-call.md"
 
-// message is a log message in the source.
-type message struct {
+// sourceMessage is a log message in the source code.
+type sourceMessage struct {
 	text       string
-	level      string   // empty if it is not in the same expression
-	components []string // one of which logs it
-	position   token.Position
+	level      string         // log level; empty if the expression that logs the message does not state it
+	components []string       // components of the package, one of which logs the message
+	location   token.Position // place of the message in the source code
 }
 
-// moduleComponent is the component of the messages that package assign and its rule packages order.
-const moduleComponent = "assign"
+// decisionModuleComponent is the component of the messages that the decision module requests in its orders. The
+// decision module consists of package assign and the packages below it; it does not log messages itself.
+const decisionModuleComponent = "assign"
 
-// sourcePackage collects the messages and components of the Go files in one directory.
+// sourcePackage collects the log messages and the log components in the Go files of one directory.
 type sourcePackage struct {
-	files      *token.FileSet
-	module     bool // package assign or a package under it
-	components []string
-	messages   []message
-	errors     []string
+	fileSet        *token.FileSet
+	decisionModule bool     // whether the directory belongs to the decision module
+	components     []string // arguments of Str("component", "...")
+	messages       []sourceMessage
+	errors         []string // places in the source code where a message cannot be read, each with the reason
 }
 
-// collect records what an element of the syntax tree logs.
-func (p *sourcePackage) collect(element ast.Node) bool {
-	switch element := element.(type) {
+// collectNode records the log messages and components in one node of the syntax tree. It returns true, so that
+// ast.Inspect visits the children of the node.
+func (p *sourcePackage) collectNode(node ast.Node) bool {
+	switch node := node.(type) {
 	case *ast.CallExpr:
-		p.collectCall(element)
+		p.collectCall(node)
 	case *ast.CompositeLit:
-		p.collectLiteral(element)
+		p.collectLiteral(node)
 	}
 	return true
 }
 
-// collectCall records the message in Msg("...") or in a call of the module's helper log("...", ...), and the component in
-// Str("component", "...").
+// collectCall records the message in a call Msg("..."), and the component in a call Str("component", "..."). In the
+// decision module it also records the message in a call of the helper log("...", ...). It records an error for a call
+// that logs a formatted message or no message.
 func (p *sourcePackage) collectCall(call *ast.CallExpr) {
 	function, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return
 	}
-	switch name, arguments := function.Sel.Name, len(call.Args); {
-	case name == "Msg" && arguments == 1:
-		p.add(call.Args[0], levelOf(call))
-	case name == "log" && arguments > 0 && p.module:
-		p.add(call.Args[0], "info")
-	case name == "Msgf", name == "Send" && arguments == 0:
-		p.fail(call.Pos(), name+" does not log a constant message")
-	case name == "Str" && arguments == 2 && constant(call.Args[0]) == "component":
-		p.components = append(p.components, constant(call.Args[1]))
+	switch name, argumentCount := function.Sel.Name, len(call.Args); {
+	case name == "Msg" && argumentCount == 1:
+		p.addMessage(call.Args[0], callChainLevel(call))
+	case name == "log" && argumentCount > 0 && p.decisionModule:
+		p.addMessage(call.Args[0], "info")
+	case name == "Msgf", name == "Send" && argumentCount == 0:
+		p.addError(call.Pos(), name+" does not log a constant message")
+	case name == "Str" && argumentCount == 2 && stringLiteral(call.Args[0]) == "component":
+		p.components = append(p.components, stringLiteral(call.Args[1]))
 	}
 }
 
-// collectLiteral records the messages in literals of conditionlog.Config and assign.Log.
+// collectLiteral records the messages in composite literals of the types conditionlog.Config and assign.Log.
 func (p *sourcePackage) collectLiteral(literal *ast.CompositeLit) {
 	typeName := ""
 	switch expression := literal.Type.(type) {
@@ -77,48 +80,50 @@
 	case *ast.Ident:
 		typeName = expression.Name
 	}
-	levels := map[string]string{}
+	levelByField := map[string]string{}
 	switch {
 	case typeName == "conditionlog.Config":
-		levels = map[string]string{"Failing": "warn", "Recovered": "info"}
-	case typeName == "assign.Log" || typeName == "Log" && p.module:
-		levels = map[string]string{"Message": "info"}
+		levelByField = map[string]string{"Failing": "warn", "Recovered": "info"}
+	case typeName == "assign.Log" || typeName == "Log" && p.decisionModule:
+		levelByField = map[string]string{"Message": "info"}
 	}
 	for _, element := range literal.Elts {
 		if pair, ok := element.(*ast.KeyValueExpr); ok {
-			if level, ok := levels[fmt.Sprint(pair.Key)]; ok {
-				p.add(pair.Value, level)
+			if level, ok := levelByField[fmt.Sprint(pair.Key)]; ok {
+				p.addMessage(pair.Value, level)
 			}
 		}
 	}
 }
 
-// add records a message. Messages have to be string literals, except where conditionlog, the event loop and the module's
-// helper pass on a message that was recorded where it was given.
-func (p *sourcePackage) add(expression ast.Expr, level string) {
-	if text := constant(expression); text != "" {
-		p.messages = append(p.messages, message{text: text, level: level, position: p.files.Position(expression.Pos())})
+// addMessage records a message. A message must be a string literal. The exceptions are package conditionlog, the event
+// loop and the decision module's helper log: they forward a message that is recorded at the place where their caller
+// states it. addMessage records an error for any other expression.
+func (p *sourcePackage) addMessage(expression ast.Expr, level string) {
+	if text := stringLiteral(expression); text != "" {
+		p.messages = append(p.messages, sourceMessage{text: text, level: level, location: p.fileSet.Position(expression.Pos())})
 		return
 	}
-	passedOn := false
+	forwarded := false
 	switch expression := expression.(type) {
 	case *ast.SelectorExpr:
-		passedOn = slices.Contains([]string{"Failing", "Recovered", "Message"}, expression.Sel.Name)
+		forwarded = slices.Contains([]string{"Failing", "Recovered", "Message"}, expression.Sel.Name)
 	case *ast.Ident:
-		passedOn = p.module && expression.Name == "message"
+		forwarded = p.decisionModule && expression.Name == "message"
 	}
-	if !passedOn {
-		p.fail(expression.Pos(), "the message is not a string literal")
+	if !forwarded {
+		p.addError(expression.Pos(), "the message is not a string literal")
 	}
 }
 
-// fail records an error in the source.
-func (p *sourcePackage) fail(position token.Pos, text string) {
-	p.errors = append(p.errors, fmt.Sprint(p.files.Position(position), ": ", text))
+// addError records a place in the source code that does not follow the rules for log messages, with the reason.
+func (p *sourcePackage) addError(position token.Pos, text string) {
+	p.errors = append(p.errors, fmt.Sprint(p.fileSet.Position(position), ": ", text))
 }
 
-// constant returns the value of a string literal, or an empty string for any other expression.
-func constant(expression ast.Expr) string {
+// stringLiteral returns the value of an expression that is a string literal. For any other expression it returns an
+// empty string.
+func stringLiteral(expression ast.Expr) string {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok {
 		return ""
@@ -130,8 +135,9 @@
 	return text
 }
 
-// levelOf returns the level of a chain of calls such as log.Warn().Err(err).Msg("..."), if the chain begins with it.
-func levelOf(expression ast.Expr) string {
+// callChainLevel returns the log level of a chain of calls, for instance "warn" for log.Warn().Err(err).Msg("..."). It
+// returns an empty string if the chain does not contain a level.
+func callChainLevel(expression ast.Expr) string {
 	for {
 		call, ok := expression.(*ast.CallExpr)
 		if !ok {
@@ -148,15 +154,15 @@
 	}
 }
 
-// sourceMessages returns the log messages of the program's packages, without their tests.
-func sourceMessages(t *testing.T) (messages []message) {
+// sourceMessages returns the log messages in the source code of the program. Files of tests are excluded.
+func sourceMessages(t *testing.T) (messages []sourceMessage) {
 	t.Helper()
 	for _, root := range []string{".", "../../assign", "../../internal"} {
 		err := filepath.WalkDir(root, func(directory string, entry fs.DirEntry, err error) error {
 			if err != nil || !entry.IsDir() {
 				return err
 			}
-			messages = append(messages, messagesIn(t, directory, strings.HasPrefix(directory, "../../assign"))...)
+			messages = append(messages, packageMessages(t, directory, strings.HasPrefix(directory, "../../assign"))...)
 			return nil
 		})
 		if err != nil {
@@ -166,10 +172,11 @@
 	return messages
 }
 
-// messagesIn returns the log messages of the package in a directory.
-func messagesIn(t *testing.T, directory string, module bool) []message {
+// packageMessages returns the log messages of the package in a directory. The argument decisionModule states whether
+// the package belongs to the decision module.
+func packageMessages(t *testing.T, directory string, decisionModule bool) []sourceMessage {
 	t.Helper()
-	source := &sourcePackage{files: token.NewFileSet(), module: module}
+	source := &sourcePackage{fileSet: token.NewFileSet(), decisionModule: decisionModule}
 	paths, err := filepath.Glob(filepath.Join(directory, "*.go"))
 	if err != nil {
 		t.Fatal(err)
@@ -178,18 +185,18 @@
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		file, err := parser.ParseFile(source.files, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(source.fileSet, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ast.Inspect(file, source.collect)
+		ast.Inspect(file, source.collectNode)
 	}
 	for _, text := range source.errors {
 		t.Error(text)
 	}
 	components := source.components
-	if module {
-		components = []string{moduleComponent}
+	if decisionModule {
+		components = []string{decisionModuleComponent}
 	}
 	for i := range source.messages {
 		source.messages[i].components = components
@@ -197,12 +204,13 @@
 	return source.messages
 }
 
-// tableRows returns the cells of the tables in one section of the on-call page, without the heads.
+// tableRows returns the rows of the table in the section of the on-call page with the given heading. Each row is a
+// list of cells. The header row is excluded.
 func tableRows(t *testing.T, heading string) (rows [][]string) {
 	t.Helper()
 	_, section, found := strings.Cut(readFile(t, onCallPage), "\n## "+heading+"\n")
 	if !found {
-		t.Fatalf("%s has no section %q", onCallPage, heading)
+		t.Fatalf("%s: got no section %q, want one", onCallPage, heading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
 	for _, line := range strings.Split(section, "\n") {
@@ -215,80 +223,83 @@
 		}
 	}
 	if len(rows) == 0 {
-		t.Fatalf("%s has no table in section %q", onCallPage, heading)
+		t.Fatalf("%s: got no table in section %q, want one", onCallPage, heading)
 	}
 	return rows[1:]
 }
 
-// listed is a log message in the table of the on-call page.
-type listed struct{ component, level, text string }
+// listedMessage is a log message that the on-call page lists.
+type listedMessage struct{ component, level, text string }
 
-// is reports whether the table's message is that of the source.
-func (l listed) is(m message) bool {
-	sameLevel := m.level == "" || m.level == l.level
-	return l.text == m.text && sameLevel && slices.Contains(m.components, l.component)
+// matches reports whether the listed message has the text, the level and a possible component of the message in the
+// source code. A message whose level is unknown matches any level.
+func (l listedMessage) matches(m sourceMessage) bool {
+	levelMatches := m.level == "" || m.level == l.level
+	return l.text == m.text && levelMatches && slices.Contains(m.components, l.component)
 }
 
-// listedMessages returns the log messages of the on-call page.
-func listedMessages(t *testing.T) (messages []listed) {
+// listedMessages returns the log messages that the on-call page lists.
+func listedMessages(t *testing.T) (messages []listedMessage) {
 	t.Helper()
-	const columns = 6 // component, level, message, fields, meaning, action
+	const columns = 6 // the columns are component, level, message, fields, meaning and action
 	for _, row := range tableRows(t, "Log messages") {
 		if len(row) != columns {
-			t.Errorf("got %d cells, want %d: %q", len(row), columns, row)
+			t.Errorf("got a row with %d cells, want %d: %q", len(row), columns, row)
 			continue
 		}
-		entry := listed{strings.Trim(row[0], "`"), row[1], strings.Trim(row[2], "`")}
+		entry := listedMessage{strings.Trim(row[0], "`"), row[1], strings.Trim(row[2], "`")}
 		if slices.Contains(messages, entry) {
-			t.Errorf("listed twice: %+v", entry)
+			t.Errorf("got a message that is listed twice, want it listed once: %+v", entry)
 		}
 		messages = append(messages, entry)
 	}
 	return messages
 }
 
-// The page lists exactly the messages of the source, each with its component and level.
+// The on-call page must list exactly the log messages of the source code, each with its component and level. An
+// operator looks up messages on the page.
 func TestOnCallPageListsLogMessages(t *testing.T) {
 	onPage, inSource := listedMessages(t), sourceMessages(t)
 	for _, message := range inSource {
-		if !slices.ContainsFunc(onPage, func(entry listed) bool { return entry.is(message) }) {
-			t.Errorf("%v: want on the page: message %q, level %q, component %q",
-				message.position, message.text, message.level, message.components)
+		if !slices.ContainsFunc(onPage, func(entry listedMessage) bool { return entry.matches(message) }) {
+			t.Errorf("%v: got a message that is not on the page, want it listed: message %q, level %q, one of the components %q",
+				message.location, message.text, message.level, message.components)
 		}
 	}
 	for _, entry := range onPage {
-		if !slices.ContainsFunc(inSource, entry.is) {
-			t.Errorf("got on the page, but not in the source: %+v", entry)
+		if !slices.ContainsFunc(inSource, entry.matches) {
+			t.Errorf("got a listed message that is not in the source code, want only messages of the source code: %+v", entry)
 		}
 	}
 }
 
-// The messages in the table of symptoms are listed, too.
+// The table of symptoms on the on-call page must quote only messages that the page's table of log messages lists.
 func TestOnCallPageSymptomsNameListedMessages(t *testing.T) {
 	var messages []string
 	for _, entry := range listedMessages(t) {
 		messages = append(messages, entry.text)
 	}
-	quoted := regexp.MustCompile("`([^`]* [^`]*)`") // counters and fields have no spaces
+	// Only messages contain spaces; names of counters and fields do not.
+	quotedMessage := regexp.MustCompile("`([^`]* [^`]*)`")
 	for _, row := range tableRows(t, "Symptoms") {
-		for _, match := range quoted.FindAllStringSubmatch(row[0], -1) {
+		for _, match := range quotedMessage.FindAllStringSubmatch(row[0], -1) {
 			if !slices.Contains(messages, match[1]) {
-				t.Errorf("got symptom %q, which is no listed message", match[1])
+				t.Errorf("got symptom %q, want a listed log message", match[1])
 			}
 		}
 	}
 }
 
-// The page lists exactly the counters of the status page.
+// The on-call page must list exactly the counters that the status page shows.
 func TestOnCallPageListsCounters(t *testing.T) {
 	var want []string
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[counters]()) {
 		want = append(want, field.Tag.Get("json"))
 	}
 	var got []string
-	name := regexp.MustCompile("`([a-z_]+)`")
+	quotedName := regexp.MustCompile("`([a-z_]+)`")
 	for _, row := range tableRows(t, "Counters") {
-		for _, match := range name.FindAllStringSubmatch(row[0], -1) {
+		for _, match := range quotedName.FindAllStringSubmatch(row[0], -1) {
 			got = append(got, match[1])
 		}
 	}
--- a/cmd/madderhollow/restart_soak_test.go
+++ b/cmd/madderhollow/restart_soak_test.go
@@ -20,47 +20,53 @@
 	"madderhollow/internal/relaytest"
 )
 
-//nolint:gochecknoglobals // flags of the test binary have to be registered before any test runs
+//nolint:gochecknoglobals // the flags of the test binary must be registered before any test runs
 var (
-	restartSeeds     = flag.Int("restart-seeds", 20, "how many seeds TestRestartSoakAnswersEveryRequest plays")
-	firstRestartSeed = flag.Int64("first-restart-seed", 1, "the first of them")
+	restartSeeds     = flag.Int("restart-seeds", 20, "number of seeds with which TestRestartSoakAnswersEveryRequest runs")
+	firstRestartSeed = flag.Int64("first-restart-seed", 1, "first seed of TestRestartSoakAnswersEveryRequest; the other seeds follow it")
 )
 
 const (
-	// killDelay is the time from SIGTERM to SIGKILL: the earliest by the protocol.
+	// killDelay is the shortest time from SIGTERM to SIGKILL that the platform allows. The process must exit within
+	// it.
 	killDelay = 700 * time.Millisecond
-	// maxReadyTime is the time from a start to the first pong.
+	// maxReadyTime is the maximum time from the start of a process to the last pong to its collectors.
 	maxReadyTime = 10 * time.Second
-	// usualClients and crowdClients are the numbers of clients that ping. A crowd takes most of the descriptors.
-	usualClients = 8
-	crowdClients = 150
-	// resetDelay is long enough for a reset to follow the end of a connection on this machine.
+	// fewClients and manyClients are the two possible numbers of clients that send pings. The connections of
+	// manyClients clients use most of the assigner's file descriptors.
+	fewClients  = 8
+	manyClients = 150
+	// resetDelay is the time to wait for a TCP reset after the end of a connection. It is
+	// long enough if both ends of the connection are on the same machine.
 	resetDelay = 20 * time.Millisecond
 )
 
+// Lines of the report protocol: a client's ping and the assigner's answer.
 const (
 	pingLine = `{"@type":"ping"}` + "\n"
 	pongLine = `{"@type":"pong"}` + "\n"
 )
 
-// restartSoak is an assigner that is restarted and killed while clients use it.
+// restartSoak is an assigner that is restarted and killed while clients use it, and the platform on which it runs.
 type restartSoak struct {
 	*platform
-	random  *rand.Rand
-	process *assignerProcess
+	random  *rand.Rand       // source of all random choices except the faults of calls
+	process *assignerProcess // the current process, set by startAndAwaitReady
 }
 
-// pinger is a client that pings over one connection for as long as it stays open.
+// pinger is a client that sends pings over one connection for as long as the connection stays open.
 type pinger struct {
-	conn  *net.TCPConn
-	pongs int
-	lost  error // a ping was read and not answered
+	conn          *net.TCPConn
+	pongCount     int   // number of answered pings
+	unansweredErr error // describes the ping that the assigner read and did not answer; nil if there is none
 }
 
-// run pings until the connection ends. A ping was read by the assigner if the connection ends after it without a reset: bytes
-// that are unread, or arrive after the close, reset the connection.
-func (p *pinger) run() {
-	defer func() { _ = p.conn.Close() }() // the connection has ended
+// pingUntilClosed sends a ping after each pong until the connection ends. It then determines whether the assigner has
+// read the last ping without answering it. If the connection ends with a TCP reset, the assigner has not read the
+// ping: the kernel resets a connection that is closed with unread bytes, or that receives bytes after it was closed.
+// If the connection ends without a reset, the assigner has read the ping.
+func (p *pinger) pingUntilClosed() {
+	defer func() { _ = p.conn.Close() }() // an error of Close has no effect, because the connection has already ended
 	reader := bufio.NewReader(p.conn)
 	for {
 		if _, err := io.WriteString(p.conn, pingLine); err != nil {
@@ -69,35 +75,36 @@
 		line, err := reader.ReadString('\n')
 		switch {
 		case err == nil && line == pongLine:
-			p.pongs++
+			p.pongCount++
 			continue
 		case err == nil && strings.Contains(line, "refused"), errors.Is(err, syscall.ECONNRESET):
 		case errors.Is(err, io.EOF) && p.wasReset():
 		default:
-			p.lost = fmt.Errorf("ping after %d pongs: got %q, %w", p.pongs, line, err)
+			p.unansweredErr = fmt.Errorf("ping after %d pongs: got answer %q, %w", p.pongCount, line, err)
 		}
 		return
 	}
 }
 
-// wasReset reports whether a reset has followed the end of the connection.
+// wasReset reports whether a TCP reset has arrived within resetDelay after the end of the connection.
 func (p *pinger) wasReset() bool {
 	time.Sleep(resetDelay)
-	raw, err := p.conn.SyscallConn()
+	rawConn, err := p.conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	status := 0
-	_ = raw.Control(func(descriptor uintptr) { // the only error is that the connection is closed
-		status, _ = syscall.GetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_ERROR)
+	socketError := 0
+	_ = rawConn.Control(func(descriptor uintptr) { // Control fails only if the connection is closed
+		socketError, _ = syscall.GetsockoptInt(int(descriptor), syscall.SOL_SOCKET, syscall.SO_ERROR)
 	})
-	return status != 0
+	return socketError != 0
 }
 
-// connectPingers starts clients; wait returns them once all of their connections have ended.
+// connectPingers connects clients that send pings in the background. The returned function waits until the connections
+// of all clients have ended, and returns the clients.
 func (s *restartSoak) connectPingers(t *testing.T, count int) (wait func() []*pinger) {
 	t.Helper()
-	address, err := net.ResolveTCPAddr("tcp", s.listen)
+	address, err := net.ResolveTCPAddr("tcp", s.listenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,9 +118,9 @@
 		client := &pinger{conn: conn}
 		pingers = append(pingers, client)
 		running.Add(1)
-		go func() { // ends with its connection, at the latest when the process is killed
+		go func() { // ends when the client's connection ends, at the latest when the process is killed
 			defer running.Done()
-			client.run()
+			client.pingUntilClosed()
 		}()
 	}
 	return func() []*pinger {
@@ -122,123 +129,134 @@
 	}
 }
 
-// startProcess starts the program and returns once it answers, which has to be in time.
-func (s *restartSoak) startProcess(t *testing.T) {
+// startAndAwaitReady starts a process and waits until the process has answered a ping from each collector. It fails the
+// test if that takes longer than maxReadyTime.
+func (s *restartSoak) startAndAwaitReady(t *testing.T) {
 	t.Helper()
-	began := time.Now()
-	process := newProcess(s.path)
-	process.Env = append(process.Env, "GORACE=atexit_sleep_ms=0") // the race detector's pause would outlast the kill's delay
-	s.process = launch(t, process)
+	startedAt := time.Now()
+	process := newProcess(s.configPath)
+	// The race detector pauses at the exit of the process by default, for longer than killDelay.
+	process.Env = append(process.Env, "GORACE=atexit_sleep_ms=0")
+	s.process = startProcess(t, process)
 	s.connectCollectors(t)
-	if took := time.Since(began); took > maxReadyTime {
-		t.Errorf("got ready after %v, want at most %v", took, maxReadyTime)
+	if readyTime := time.Since(startedAt); readyTime > maxReadyTime {
+		t.Errorf("got the process ready after %v, want it ready within %v", readyTime, maxReadyTime)
 	}
 }
 
-// use sends reports, changes of the list and faulty calls for some steps.
-func (s *restartSoak) use(steps int) {
+// generateLoad sends reports of all collectors in each step, and changes the state of an endpoint in a random
+// twentieth of the steps. A step takes about 2 ms.
+func (s *restartSoak) generateLoad(steps int) {
 	for step := range steps {
 		for _, collector := range s.collectors {
-			_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.random.Intn(10), 200, 0.5) // fails once it is closed
+			// Write errors are ignored, because a collector fails once its connection is closed.
+			_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.random.Intn(10), 200, 0.5)
 			_ = collector.ReportProxy(step%6, "read", 20)
 		}
 		if s.random.Intn(20) == 0 {
 			state := []string{discoverytest.Ready, discoverytest.Draining}[s.random.Intn(2)]
-			s.agent.PutEndpoints(endpoint(fmt.Sprint("s-", 1+step%11), zoneOf(1+step%11), state))
+			s.agent.PutEndpoints(newEndpoint(fmt.Sprint("s-", 1+step%11), zoneOf(1+step%11), state))
 		}
-		time.Sleep(2 * time.Millisecond) // rate of reports
+		time.Sleep(2 * time.Millisecond) // limits the rate of reports
 	}
 }
 
-// end ends the process by one of the series of signals, and returns its name. It has to end by itself before the kill.
-func (s *restartSoak) end(t *testing.T) string {
+// endProcess ends the process with a randomly chosen sequence of signals or with SIGKILL, and returns the name of the
+// choice. It fails the test unless the process exits with status 0 within killDelay after the last signal of the
+// sequence.
+func (s *restartSoak) endProcess(t *testing.T) string {
 	t.Helper()
-	series := []struct {
+	shutdown := []struct {
 		name    string
-		signals []os.Signal
-		pause   time.Duration
+		signals []os.Signal   // signals in the order in which they are sent; nil: SIGKILL
+		pause   time.Duration // pause between two signals
 	}{
-		{"terminated", []os.Signal{terminate}, 0},
-		{"terminated twice", []os.Signal{terminate, terminate}, 30 * time.Millisecond},
-		{"reloaded three times, terminated", []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, terminate}, 300 * time.Millisecond},
-		{"reloaded, terminated", []os.Signal{syscall.SIGHUP, terminate}, time.Millisecond},
+		{"terminated", []os.Signal{terminationSignal}, 0},
+		{"terminated twice", []os.Signal{terminationSignal, terminationSignal}, 30 * time.Millisecond},
+		{"reloaded three times, terminated", []os.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, terminationSignal}, 300 * time.Millisecond},
+		{"reloaded, terminated", []os.Signal{syscall.SIGHUP, terminationSignal}, time.Millisecond},
 		{"killed", nil, 0},
 	}[s.random.Intn(5)]
-	for i, signal := range series.signals {
+	for i, signal := range shutdown.signals {
 		if i > 0 {
-			time.Sleep(series.pause) // the signals of a series come apart
+			time.Sleep(shutdown.pause) // the process receives the signals of a sequence separately
 		}
-		_ = s.process.Process.Signal(signal) // fails if it has ended
+		_ = s.process.Process.Signal(signal) // Signal fails if the process has already exited
 	}
-	if series.signals == nil {
-		_ = s.process.Process.Kill() // fails if it has ended
-		<-s.process.ended
-		return series.name
+	if shutdown.signals == nil {
+		_ = s.process.Process.Kill() // Kill fails if the process has already exited
+		<-s.process.exited
+		return shutdown.name
 	}
 	select {
-	case <-s.process.ended:
-		if s.process.waitErr != nil {
-			t.Errorf("%s: got %v, want exit status 0\n%s", series.name, s.process.waitErr, s.process.text())
+	case <-s.process.exited:
+		if s.process.exitErr != nil {
+			t.Errorf("%s: got %v, want exit status 0\n%s", shutdown.name, s.process.exitErr, s.process.killAndReadLog())
 		}
 	case <-time.After(killDelay):
-		t.Errorf("%s: got the program still running after %v, want its end\n%s", series.name, killDelay, s.process.text())
+		t.Errorf("%s: got the process still running after %v, want it to exit\n%s", shutdown.name, killDelay, s.process.killAndReadLog())
 	}
-	return series.name
+	return shutdown.name
 }
 
-// checkPingers reports each request that was read and not answered. A killed process has answered what it could.
-func checkPingers(t *testing.T, how string, pingers []*pinger) {
+// checkRequestsAnswered fails the test for each ping that the assigner read and did not answer, and if no client
+// received a pong. The argument shutdown is the result of endProcess. Unanswered pings are allowed if the process was
+// killed, because a killed process cannot answer the pings that it has read.
+func checkRequestsAnswered(t *testing.T, shutdown string, pingers []*pinger) {
 	t.Helper()
-	pongs := 0
+	totalPongs := 0
 	for _, client := range pingers {
-		pongs += client.pongs
-		if client.lost != nil && how != "killed" {
-			t.Errorf("%s: lost %v", how, client.lost)
+		totalPongs += client.pongCount
+		if client.unansweredErr != nil && shutdown != "killed" {
+			t.Errorf("%s: got a request without an answer, want an answer to each request: %v", shutdown, client.unansweredErr)
 		}
 	}
-	if pongs == 0 {
-		t.Errorf("%s: got no pong of %d clients", how, len(pingers))
+	if totalPongs == 0 {
+		t.Errorf("%s: got no pong for %d clients, want at least one", shutdown, len(pingers))
 	}
 }
 
-// TestRestartSoakAnswersEveryRequest restarts and kills the assigner while clients keep their connections until the kill,
-// signals come in series and, in some runs, a crowd is connected. Every request that was read is answered, the program is
-// ready and ends in time, and after the last restart its orders take a draining endpoint out of all tables.
+// TestRestartSoakAnswersEveryRequest guards against an assigner that loses requests when it shuts down, shuts down or
+// becomes ready too late, or sends wrong orders after a restart. It shuts down the assigner several times with
+// different sequences of signals, or kills it, while clients keep their connections open. In some runs many clients
+// are connected. The assigner must answer every request that it has read, unless it is killed. After the last restart
+// its orders must remove a draining endpoint from all tables.
 func TestRestartSoakAnswersEveryRequest(t *testing.T) {
 	for i := range *restartSeeds {
 		seed := *firstRestartSeed + int64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			playRestarts(t, seed)
+			runRestarts(t, seed)
 		})
 	}
 }
 
-// playRestarts plays the restarts of a seed.
-func playRestarts(t *testing.T, seed int64) {
+// runRestarts starts an assigner and restarts it three times. The seed determines the random choices, but not the
+// faults of the calls to the relay.
+func runRestarts(t *testing.T, seed int64) {
 	t.Helper()
-	soaked := &restartSoak{platform: newPlatform(t), random: rand.New(rand.NewSource(seed))}
-	soaked.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, rand.Intn(30)-26)) })
-	soaked.startProcess(t)
-	soaked.connectProxies()
+	restarts := &restartSoak{platform: newPlatform(t), random: rand.New(rand.NewSource(seed))}
+	restarts.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, rand.Intn(30)-26)) })
+	restarts.startAndAwaitReady(t)
+	restarts.connectProxies()
 	for range 3 {
-		clients := usualClients
-		if soaked.random.Intn(3) == 0 {
-			clients = crowdClients
+		clientCount := fewClients
+		if restarts.random.Intn(3) == 0 {
+			clientCount = manyClients
 		}
-		wait := soaked.connectPingers(t, clients)
-		soaked.use(50 + soaked.random.Intn(100))
-		how := soaked.end(t)
-		checkPingers(t, how, wait())
-		for proxy := range 6 { // their streams end with the process
-			soaked.relay.Disconnect(proxy)
+		waitForClients := restarts.connectPingers(t, clientCount)
+		restarts.generateLoad(50 + restarts.random.Intn(100))
+		shutdown := restarts.endProcess(t)
+		checkRequestsAnswered(t, shutdown, waitForClients())
+		for proxy := range 6 { // disconnects all proxies, because the event streams end with the process
+			restarts.relay.Disconnect(proxy)
 		}
-		soaked.startProcess(t)
-		soaked.connectProxies()
+		restarts.startAndAwaitReady(t)
+		restarts.connectProxies()
 	}
-	soaked.relay.SetFault(nil)
-	soaked.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
-	if !eventually.True(testTimeout, func() bool { return soaked.relay.AllAttached("s-0") }) {
-		t.Errorf("got proxies without tables, or with the draining endpoint in them, after %v; want none\n%s", testTimeout, soaked.process.text())
+	restarts.relay.SetFault(nil)
+	restarts.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
+	if !eventually.True(testTimeout, func() bool { return restarts.relay.AllAttached("s-0") }) {
+		t.Errorf("got proxies without tables, or with the draining endpoint in their tables, after %v; want no such proxy\n%s", testTimeout, restarts.process.killAndReadLog())
 	}
-	soaked.process.mustTerminate(t)
+	restarts.process.mustTerminate(t)
 }
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -18,162 +18,170 @@
 	"madderhollow/internal/relaytest"
 )
 
-//nolint:gochecknoglobals // a flag of the test binary has to be registered before any test runs
-var soakTime = flag.Duration("soak", 3*time.Second, "how long TestSoakKeepsResourcesBounded lasts")
+//nolint:gochecknoglobals // a flag of the test binary must be registered before any test runs
+var soakTime = flag.Duration("soak", 3*time.Second, "duration of TestSoakKeepsResourcesBounded")
 
-// soak is an assigner whose relay, discovery, collectors and clients fail at random.
+// soak is an assigner and the platform on which it runs. The relay, discovery, the collectors and other clients fail
+// at random.
 type soak struct {
 	*platform
-	process     *assignerProcess
-	mu          sync.Mutex
-	random      *rand.Rand
-	connections [400]net.Conn // never identify themselves; more than the descriptor limit allows
-	replaceNext string        // name of the endpoint to be replaced next
+	process           *assignerProcess
+	mu                sync.Mutex    // guards random
+	random            *rand.Rand    // source of all random choices
+	unidentifiedConns [400]net.Conn // connections that never identify themselves; their number exceeds maxDescriptors
+	nextRemoved       string        // name of the endpoint that the next replacement removes
 }
 
-// chance returns a random number from 0 to n-1. Several goroutines may call it.
-func (s *soak) chance(n int) int {
+// randomInt returns a random number from 0 to n-1. It is safe for concurrent use.
+func (s *soak) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Intn(n)
 }
 
-// injectFaults makes calls and answers of discovery fail at random.
-func (s *soak) injectFaults() {
-	s.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, s.chance(30)-23)) })
+// injectRandomFaults makes six of 30 calls to the relay and one of ten requests to discovery fail, on average.
+func (s *soak) injectRandomFaults() {
+	s.relay.SetFault(func([]string) relaytest.Fault { return relaytest.Fault(max(0, s.randomInt(30)-23)) })
 	s.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
-		bad := s.chance(10) == 0
-		if bad {
+		fails := s.randomInt(10) == 0
+		if fails {
 			w.WriteHeader(http.StatusBadGateway)
 		}
-		return bad
+		return fails
 	})
 }
 
-// report sends reports and a malformed line from each collector. The assigner closes collectors for their malformed lines;
-// they do not reconnect, so write errors are ignored.
-func (s *soak) report(step int) {
+// sendReports sends two reports and a malformed line from each collector. The assigner may close the connection of a
+// collector because of malformed lines. The collectors do not reconnect, so write errors are ignored.
+func (s *soak) sendReports(step int) {
 	for _, collector := range s.collectors {
-		_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.chance(10), 200, 0.5)
+		_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.randomInt(10), 200, 0.5)
 		_ = collector.ReportProxy(step%6, "read", 20)
 		_ = collector.SendTruncatedReport()
 	}
 }
 
-// connectUnidentified replaces one of the connections that never identify themselves.
+// connectUnidentified replaces a random connection of s.unidentified, and sends an incomplete line over the new
+// connection.
 func (s *soak) connectUnidentified(t *testing.T) {
 	t.Helper()
-	i := s.chance(len(s.connections))
-	if s.connections[i] != nil {
-		_ = s.connections[i].Close() // fails if the server has closed it
+	i := s.randomInt(len(s.unidentifiedConns))
+	if s.unidentifiedConns[i] != nil {
+		_ = s.unidentifiedConns[i].Close() // an error of Close has no effect on the test
 	}
 	var err error
-	if s.connections[i], err = net.Dial("tcp", s.listen); err != nil {
+	if s.unidentifiedConns[i], err = net.Dial("tcp", s.listenAddress); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(s.connections[i], strings.Repeat("{", s.chance(5000))) // fails if the server has closed it
+	// The write fails if the assigner has already closed the connection.
+	_, _ = io.WriteString(s.unidentifiedConns[i], strings.Repeat("{", s.randomInt(5000)))
 }
 
-// change makes one random change to the platform, in five of 40 calls.
-func (s *soak) change(t *testing.T, step int) {
+// changePlatform makes one random change to the platform in five of 40 calls, on average. Possible changes are a break
+// of the event streams, a reconnecting proxy, an endpoint in a new state, a replaced endpoint, and a move to new
+// addresses.
+func (s *soak) changePlatform(t *testing.T, step int) {
 	t.Helper()
 	proxy := step % 6
-	switch s.chance(40) {
+	switch s.randomInt(40) {
 	case 0:
-		s.relay.CutStreamsInEvent(9) // in the type
+		s.relay.CutStreamsInEvent(9) // the first 9 bytes of an event end within its type
 	case 1:
 		s.relay.Disconnect(proxy)
-		s.relay.Connect(proxy, zoneOf(proxy), 20, s.chance(2) == 0)
+		s.relay.Connect(proxy, zoneOf(proxy), 20, s.randomInt(2) == 0)
 	case 2:
-		state := []string{discoverytest.Ready, discoverytest.Ready, discoverytest.Draining}[s.chance(3)]
-		s.agent.PutEndpoints(endpoint(fmt.Sprint("s-", step%12), zoneOf(step), state))
+		state := []string{discoverytest.Ready, discoverytest.Ready, discoverytest.Draining}[s.randomInt(3)]
+		s.agent.PutEndpoints(newEndpoint(fmt.Sprint("s-", step%12), zoneOf(step), state))
 	case 3:
-		replacement := endpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Ready)
-		s.agent.PutEndpoints(replacement, endpoint(s.replaceNext, "x", discoverytest.Removed))
-		s.replaceNext = replacement.Name
+		replacement := newEndpoint(fmt.Sprint("n-", step), zoneOf(step), discoverytest.Ready)
+		s.agent.PutEndpoints(replacement, newEndpoint(s.nextRemoved, "x", discoverytest.Removed))
+		s.nextRemoved = replacement.Name
 	case 4:
-		s.move(t, 50*time.Millisecond)
+		s.moveRelayAndDiscovery(t, 50*time.Millisecond)
 		s.process.signal(t, syscall.SIGHUP)
 	}
 }
 
-// resources is what the program uses.
-type resources struct{ goroutines, heapKB, descriptors float64 }
+// resourceUsage holds the number of goroutines, the heap size in KB and the number of open file descriptors of a
+// process.
+type resourceUsage struct{ goroutines, heapKB, descriptors float64 }
 
 // max returns the larger value of each resource.
-func (r resources) max(other resources) resources {
-	return resources{max(r.goroutines, other.goroutines), max(r.heapKB, other.heapKB), max(r.descriptors, other.descriptors)}
+func (r resourceUsage) max(other resourceUsage) resourceUsage {
+	return resourceUsage{max(r.goroutines, other.goroutines), max(r.heapKB, other.heapKB), max(r.descriptors, other.descriptors)}
 }
 
-// resources measures the program. It skips the test on systems without /proc.
-func (s *soak) resources(t *testing.T) resources {
+// measureResources returns the resource usage of the assigner's process. It skips the test on systems without /proc.
+func (s *soak) measureResources(t *testing.T) resourceUsage {
 	t.Helper()
-	health, err := s.health()
+	counters, err := s.statusCounters()
 	if err != nil {
-		t.Fatalf("%v\n%s", err, s.process.text())
+		t.Fatalf("%v\n%s", err, s.process.killAndReadLog())
 	}
-	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.process.Process.Pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", s.process.Process.Pid))
 	if err != nil {
-		t.Skip("descriptors cannot be counted here")
+		t.Skip("file descriptors cannot be counted: /proc is not available")
 	}
-	return resources{health["goroutines"], health["heap_kb"], float64(len(files))}
+	return resourceUsage{counters["goroutines"], counters["heap_kb"], float64(len(descriptors))}
 }
 
-// run changes the platform for a time and returns the highest values in each half of it.
-func (s *soak) run(t *testing.T, duration time.Duration) (first, second resources) {
+// runFor sends reports and changes the platform for the given duration. It measures the resource usage after every 100
+// steps and returns the highest values in each half of the duration.
+func (s *soak) runFor(t *testing.T, duration time.Duration) (firstHalf, secondHalf resourceUsage) {
 	t.Helper()
-	began := time.Now()
-	for step := 0; time.Since(began) < duration; step++ {
-		s.report(step)
+	startedAt := time.Now()
+	for step := 0; time.Since(startedAt) < duration; step++ {
+		s.sendReports(step)
 		s.connectUnidentified(t)
-		s.change(t, step)
-		time.Sleep(2 * time.Millisecond) // rate of changes
+		s.changePlatform(t, step)
+		time.Sleep(2 * time.Millisecond) // limits the rate of changes
 		if step%100 != 99 {
 			continue
 		}
-		if time.Since(began) > duration/2 {
-			second = second.max(s.resources(t))
+		if time.Since(startedAt) > duration/2 {
+			secondHalf = secondHalf.max(s.measureResources(t))
 		} else {
-			first = first.max(s.resources(t))
+			firstHalf = firstHalf.max(s.measureResources(t))
 		}
 	}
-	return first, second
+	return firstHalf, secondHalf
 }
 
-// Faults, connections, replaced endpoints and reloads must not increase the program's use of resources over time, and its
-// tables are correct once they stop.
+// TestSoakKeepsResourcesBounded guards against leaks of goroutines, memory and file descriptors. Faults, connections
+// that never identify themselves, replaced endpoints and reloads must not increase the resource usage of the assigner
+// over time. After the faults have stopped, the tables of the proxies must be correct.
 func TestSoakKeepsResourcesBounded(t *testing.T) {
 	platform := newPlatform(t)
-	soaked := &soak{
+	soakRun := &soak{
 		platform:    platform,
-		process:     start(t, platform.path, "-status", platform.status),
+		process:     startAssigner(t, platform.configPath, "-status", platform.statusAddress),
 		random:      rand.New(rand.NewSource(1)),
-		replaceNext: "s-11",
+		nextRemoved: "s-11",
 	}
 	platform.connectCollectors(t)
 	platform.connectProxies()
-	soaked.injectFaults()
-	first, second := soaked.run(t, *soakTime)
-	t.Logf("highest values in the first half %+v, in the second %+v", first, second)
+	soakRun.injectRandomFaults()
+	firstHalf, secondHalf := soakRun.runFor(t, *soakTime)
+	t.Logf("highest values in the first half %+v, in the second half %+v", firstHalf, secondHalf)
 	for name, highest := range map[string][2]float64{
-		"goroutines":  {first.goroutines, second.goroutines},
-		"KB of heap":  {first.heapKB, second.heapKB},
-		"descriptors": {first.descriptors, second.descriptors},
+		"goroutines":       {firstHalf.goroutines, secondHalf.goroutines},
+		"KB of heap":       {firstHalf.heapKB, secondHalf.heapKB},
+		"file descriptors": {firstHalf.descriptors, secondHalf.descriptors},
 	} {
-		if highest[1] > 1.5*highest[0]+20 || second.descriptors > maxDescriptors {
-			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most %d descriptors", name, highest[1], highest[0], maxDescriptors)
+		if highest[1] > 1.5*highest[0]+20 || secondHalf.descriptors > maxDescriptors {
+			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most %d file descriptors", name, highest[1], highest[0], maxDescriptors)
 		}
 	}
-	for _, conn := range soaked.connections {
+	for _, conn := range soakRun.unidentifiedConns {
 		if conn != nil {
-			_ = conn.Close() // fails if the server has closed it
+			_ = conn.Close() // an error of Close has no effect on the test
 		}
 	}
 	platform.relay.SetFault(nil)
-	platform.agent.PutEndpoints(endpoint("s-0", "x", discoverytest.Draining))
-	for i := range 6 { // fresh proxies may keep their default table, so none of them may be fresh for the check
+	platform.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
+	for i := range 6 { // fresh proxies may keep their default table, so the check needs proxies that are not fresh
 		platform.relay.Disconnect(i)
 		platform.relay.Connect(i, zoneOf(i), 20, false)
 	}
-	platform.mustAttach(t, soaked.process, "s-0", "after a drain and all faults")
+	platform.mustAttachTables(t, soakRun.process, "s-0", "after a drain and all faults")
 }
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -17,117 +17,125 @@
 	"madderhollow/internal/relaytest"
 )
 
-// newPipe creates a configuration file that is a named pipe. Its reader blocks until fillPipe writes, so that a test knows
-// when the program reads it.
-func newPipe(t *testing.T) string {
+// newConfigPipe creates a named pipe that serves as a configuration file, and returns its path. The program blocks
+// while it opens the pipe until a test calls writeConfigPipe, so that the test knows when the program reads the
+// configuration file. The test is skipped on systems without named pipes.
+func newConfigPipe(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
-		t.Skip("named pipes are not available here")
+		t.Skip("named pipes are not available on this system")
 	}
 	return path
 }
 
-// fillPipe waits for a reader of a pipe, writes a text and returns the pipe, which is still open.
-func fillPipe(path string, text []byte) (*os.File, error) {
+// writeConfigPipe waits until a process reads the named pipe at path, and writes a text to the pipe. It returns the
+// pipe, which the caller closes. An error is returned if the pipe cannot be opened or written.
+func writeConfigPipe(path string, text []byte) (*os.File, error) {
 	pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		return nil, fmt.Errorf("open pipe: %w", err)
 	}
-	if _, err := pipe.Write(text); err != nil && !errors.Is(err, syscall.EPIPE) { // the reader may stop early
+	// EPIPE means that the reader has stopped reading early, which is allowed.
+	if _, err := pipe.Write(text); err != nil && !errors.Is(err, syscall.EPIPE) {
 		return nil, errors.Join(err, pipe.Close())
 	}
 	return pipe, nil
 }
 
-// While the previous process still holds the addresses, the new one retries. It serves as soon as its listener is bound, and
-// does not wait for the status page and the peer socket.
+// The previous process may still occupy the addresses when a new process starts. The new process must retry until it
+// has bound its addresses instead of exiting. It must serve collectors and proxies as soon as the listener is bound,
+// and must not wait for the status page and the peer socket.
 func TestStartWhileAddressesInUse(t *testing.T) {
 	platform := newPlatform(t)
-	held := map[string]io.Closer{}
-	for address, network := range map[string]string{platform.listen: "tcp", platform.status: "tcp", platform.peers: "udp"} {
-		socket, err := bind(network, address)
+	occupied := map[string]io.Closer{}
+	for address, network := range map[string]string{platform.listenAddress: "tcp", platform.statusAddress: "tcp", platform.peerAddress: "udp"} {
+		socket, err := bindSocket(network, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held[address] = socket
+		occupied[address] = socket
 	}
-	process := start(t, platform.path, "-status", platform.status)
-	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), platform.listen) }) {
-		t.Fatalf("got no log line about %s within %v, want one\n%s", platform.listen, testTimeout, process.text())
+	process := startAssigner(t, platform.configPath, "-status", platform.statusAddress)
+	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), platform.listenAddress) }) {
+		t.Fatalf("got no log line about the occupied address %s within %v, want one\n%s", platform.listenAddress, testTimeout, process.killAndReadLog())
 	}
-	mustClose(t, held[platform.listen])
+	mustClose(t, occupied[platform.listenAddress])
 	platform.connectCollectors(t)
 	platform.relay.Connect(1, "x", 20, false)
-	platform.mustAttach(t, process, "", "before status page and peer socket are bound")
-	mustClose(t, held[platform.peers])
-	mustClose(t, held[platform.status])
-	up := eventually.True(testTimeout, func() bool {
-		_, err := platform.health()
+	platform.mustAttachTables(t, process, "", "before status page and peer socket are bound")
+	mustClose(t, occupied[platform.peerAddress])
+	mustClose(t, occupied[platform.statusAddress])
+	bothBound := eventually.True(testTimeout, func() bool {
+		_, err := platform.statusCounters()
 		return err == nil && strings.Contains(process.log.String(), "peer socket bound")
 	})
-	if !up {
-		t.Errorf("got status page or peer socket not bound within %v, want both\n%s", testTimeout, process.text())
+	if !bothBound {
+		t.Errorf("got the status page or the peer socket not bound within %v, want both bound\n%s", testTimeout, process.killAndReadLog())
 	}
 	process.mustTerminate(t)
 }
 
-// An incomplete configuration file is read again. Package config tests for how long, on a fake clock; here the program
-// retries for as long as a busy machine may need.
+// The configuration file may be incomplete when the program starts, because another process is still writing it. The
+// program must read the file again until it is complete. The tests of package config check the length of the retries
+// with a fake clock. In this test the retries may take testTimeout, which is long enough for a busy machine.
 func TestStartWhileConfigurationIncomplete(t *testing.T) {
 	platform := newPlatform(t)
-	whole, err := os.ReadFile(platform.path)
+	complete, err := os.ReadFile(platform.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := newPipe(t)
+	path := newConfigPipe(t)
 	process := newProcess(path)
 	process.Env = append(process.Env, retryTimeoutVariable+"="+testTimeout.String())
-	launch(t, process)
-	half, err := fillPipe(path, whole[:len(whole)/2])
+	startProcess(t, process)
+	firstHalf, err := writeConfigPipe(path, complete[:len(complete)/2])
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustClose(t, half)
-	done := make(chan error, 1)
-	var over atomic.Bool
-	// The program may read the rest as a continuation of the first half. That is no valid text either, so it retries, and
-	// the goroutine writes the text again until the test sets over.
-	go func() { // ends with over, below
+	mustClose(t, firstHalf)
+	writerResult := make(chan error, 1)
+	var stopWriter atomic.Bool
+	// The program may read the complete text as a continuation of the first half. The combined text is invalid as
+	// well, so the program reads the pipe again. The goroutine therefore writes the complete text until the test sets
+	// stopWriter.
+	go func() { // ends after the test has set stopWriter and opened the pipe for reading, see below
 		var err error
-		for !over.Load() && err == nil {
+		for !stopWriter.Load() && err == nil {
 			var pipe *os.File
-			if pipe, err = fillPipe(path, whole); err == nil {
+			if pipe, err = writeConfigPipe(path, complete); err == nil {
 				err = pipe.Close()
 			}
 		}
-		done <- err
+		writerResult <- err
 	}()
 	platform.connectCollectors(t)
 	process.mustTerminate(t)
-	over.Store(true)
-	reader, err := os.OpenFile(path, os.O_RDWR|syscall.O_NONBLOCK, 0) // unblocks a writer that waits for a reader
+	stopWriter.Store(true)
+	// Opening the pipe for reading unblocks the goroutine if it waits for a reader.
+	reader, err := os.OpenFile(path, os.O_RDWR|syscall.O_NONBLOCK, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mustClose(t, reader)
-	if err := <-done; err != nil {
+	if err := <-writerResult; err != nil {
 		t.Error(err)
 	}
 }
 
-// Signals that arrive while the configuration is being read are handled, also several of them.
+// Signals may arrive while the program reads its configuration file. One or several signals that include SIGTERM must
+// make the program exit with status 0. A signal without a handler would kill the process instead.
 func TestSignalsBeforeConfigurationIsRead(t *testing.T) {
 	for name, signals := range map[string][]os.Signal{
-		"TERM":         {syscall.SIGTERM},
-		"HUP and TERM": {syscall.SIGHUP, syscall.SIGTERM},
-		"TERM twice":   {syscall.SIGTERM, syscall.SIGTERM},
+		"SIGTERM":            {syscall.SIGTERM},
+		"SIGHUP and SIGTERM": {syscall.SIGHUP, syscall.SIGTERM},
+		"SIGTERM twice":      {syscall.SIGTERM, syscall.SIGTERM},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			path := newPipe(t)
-			process := start(t, path)
-			pipe, err := fillPipe(path, []byte("{")) // the program now reads it
+			path := newConfigPipe(t)
+			process := startAssigner(t, path)
+			pipe, err := writeConfigPipe(path, []byte("{")) // returns once the program reads the configuration file
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -136,90 +144,98 @@
 					t.Error(err)
 				}
 			}
-			process.mustEnd(t)
+			process.mustExitCleanly(t)
 			mustClose(t, pipe)
 		})
 	}
 }
 
-// SIGTERM ends the program with status 0 during any operation that may block.
+// SIGTERM must end the program with status 0 even while an operation blocks, for instance because the relay does not
+// answer.
 func TestTerminateDuringBlockingOperation(t *testing.T) {
 	for name, test := range map[string]struct {
-		// prepare makes the operation block. It is called before the start, and returns a function that reports whether
-		// the operation has begun; nil stands for the end of the start.
-		prepare func(t *testing.T, p *platform) (reached func() bool)
-		reload  bool
+		// prepare makes the operation block. It is called before the start of the program. The returned function
+		// reports whether the operation has begun. If prepare or the returned function is nil, the test instead waits
+		// for a log line which shows that the program has started or failed to bind its address.
+		prepare func(t *testing.T, p *platform) (hasBegun func() bool)
+		reload  bool // whether the operation is the reload of an incomplete configuration file
 	}{
-		"bind of an address in use": {prepare: holdListener},
-		"first list":                {prepare: holdFirstList},
-		"call":                      {prepare: holdCall},
-		"reload":                    {reload: true},
+		"bind of an address in use": {prepare: occupyListenAddress},
+		"first endpoint list":       {prepare: blockFirstListRequest},
+		"call to the relay":         {prepare: blockCalls},
+		"reload of configuration":   {reload: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			platform := newPlatform(t)
-			var reached func() bool
+			var hasBegun func() bool
 			if test.prepare != nil {
-				reached = test.prepare(t, platform)
+				hasBegun = test.prepare(t, platform)
 			}
-			process := start(t, platform.path)
-			if reached == nil {
-				reached = func() bool {
-					return strings.Contains(process.log.String(), "started") || strings.Contains(process.log.String(), platform.listen)
+			process := startAssigner(t, platform.configPath)
+			if hasBegun == nil {
+				hasBegun = func() bool {
+					return strings.Contains(process.log.String(), "started") || strings.Contains(process.log.String(), platform.listenAddress)
 				}
 			}
-			if !eventually.True(testTimeout, reached) {
-				t.Fatalf("got the operation not begun within %v, want it to block\n%s", testTimeout, process.text())
+			if !eventually.True(testTimeout, hasBegun) {
+				t.Fatalf("got the operation not begun within %v, want it begun\n%s", testTimeout, process.killAndReadLog())
 			}
 			if test.reload {
-				beginReload(t, platform, process)
+				startReload(t, platform, process)
 			}
 			process.mustTerminate(t)
 		})
 	}
 }
 
-// holdListener binds the assigner's address.
-func holdListener(t *testing.T, p *platform) (reached func() bool) {
+// occupyListenAddress binds the assigner's address until the end of the test, so that the assigner cannot bind it.
+func occupyListenAddress(t *testing.T, p *platform) (hasBegun func() bool) {
 	t.Helper()
-	listener, err := net.Listen("tcp", p.listen)
+	listener, err := net.Listen("tcp", p.listenAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, listener) })
-	return nil // the log line about the address shows that the operation has begun
+	return nil // the test waits for the log line about the address
 }
 
-// holdFirstList makes discovery not answer.
-func holdFirstList(_ *testing.T, p *platform) (reached func() bool) {
-	requested := make(chan struct{}, 100)
+// blockFirstListRequest makes the discovery agent leave all requests unanswered. The operation has begun once the
+// agent has received a request.
+func blockFirstListRequest(_ *testing.T, p *platform) (hasBegun func() bool) {
+	requests := make(chan struct{}, 100)
 	p.agent.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
-		requested <- struct{}{}
+		requests <- struct{}{}
 		<-r.Context().Done()
 		return true
 	})
-	return func() bool { return len(requested) > 0 }
+	return func() bool { return len(requests) > 0 }
 }
 
-// holdCall makes the relay not answer calls.
-func holdCall(_ *testing.T, p *platform) (reached func() bool) {
-	called := make(chan struct{}, 100)
-	p.relay.SetFault(func([]string) relaytest.Fault { called <- struct{}{}; return relaytest.SilentAfter })
+// blockCalls makes the relay leave all calls unanswered, and connects a proxy so that the assigner makes a call. The
+// operation has begun once the relay has received a call.
+func blockCalls(_ *testing.T, p *platform) (hasBegun func() bool) {
+	calls := make(chan struct{}, 100)
+	p.relay.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return relaytest.SilentAfter })
 	p.relay.Connect(1, "x", 20, false)
-	return func() bool { return len(called) > 0 }
+	return func() bool { return len(calls) > 0 }
 }
 
-// beginReload makes the program read an incomplete configuration, which it then retries.
-func beginReload(t *testing.T, p *platform, process *assignerProcess) {
+// startReload makes the program reload an incomplete configuration file, and waits until the program has logged that
+// the file is not usable. The program then retries.
+func startReload(t *testing.T, p *platform, process *assignerProcess) {
 	t.Helper()
 	p.writeConfig(t, 0.5)
 	process.signal(t, syscall.SIGHUP)
 	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), "configuration file not usable") }) {
-		t.Errorf("got no log line about an unusable file within %v, want one\n%s", testTimeout, process.log)
+		t.Errorf("got no log line about an unusable configuration file within %v, want one\n%s", testTimeout, process.log)
 	}
 }
 
+// SIGTERM must end the program with status 0 even if nobody reads its log. Writing to standard error then blocks once
+// the pipe is full, and must not delay the exit.
 func TestTerminateWhileLogIsNotRead(t *testing.T) {
+	// setPipeSize is the fcntl command F_SETPIPE_SZ of Linux. pageSize is the smallest size of a pipe, in bytes.
 	const setPipeSize, pageSize = 1031, 4096
 	platform := newPlatform(t)
 	reader, writer, err := os.Pipe()
@@ -229,14 +245,15 @@
 	defer mustClose(t, reader)
 	defer mustClose(t, writer)
 	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, writer.Fd(), setPipeSize, pageSize); errno != 0 {
-		t.Skip("pipes cannot be made small here")
+		t.Skip("the size of a pipe cannot be set on this system")
 	}
-	if _, err := writer.Write(make([]byte, pageSize)); err != nil { // fills the pipe
+	// Fills the pipe, so that the next log line of the program blocks.
+	if _, err := writer.Write(make([]byte, pageSize)); err != nil {
 		t.Fatal(err)
 	}
-	process := newProcess(platform.path)
+	process := newProcess(platform.configPath)
 	process.Stderr, process.Stdout = writer, writer
-	launch(t, process)
+	startProcess(t, process)
 	platform.connectCollectors(t)
 	process.mustTerminate(t)
 }
--- a/cmd/madderhollow/supervisor.go
+++ b/cmd/madderhollow/supervisor.go
@@ -6,29 +6,30 @@
 	"sync"
 )
 
-// part is one of the program's long-running functions.
-type part struct {
-	name string                // label of its goroutines in profiles
-	run  func(context.Context) // must return after its context ends, or after another part has returned
+// component is a long-running function of the program.
+type component struct {
+	name string                // value of the profiling label "part" on the component's goroutines
+	run  func(context.Context) // must return after its context has ended; may first wait for another component
 }
 
-// supervisor runs parts, each in a goroutine of its own.
-type supervisor struct{ parts []part }
+// supervisor runs components, each in its own goroutine. It does not restart a component that has returned.
+type supervisor struct{ components []component }
 
-// add registers a part. It must not be called after run.
+// add registers a component. It must not be called after run.
 func (s *supervisor) add(name string, run func(context.Context)) {
-	s.parts = append(s.parts, part{name, run})
+	s.components = append(s.components, component{name, run})
 }
 
-// run starts the parts in the order in which they were added, and returns once all have returned. It sets no time limit:
-// main forces the exit if a part blocks.
+// run starts the components in the order in which they were added, and returns once all components have returned. It
+// has no time limit, because the main package forces the exit of the process if a component blocks after the context
+// has ended.
 func (s *supervisor) run(ctx context.Context) {
 	var running sync.WaitGroup
-	for _, p := range s.parts {
+	for _, registered := range s.components {
 		running.Add(1)
-		go func() { // ends when the part returns
+		go func() { // ends when the component returns
 			defer running.Done()
-			pprof.Do(ctx, pprof.Labels("part", p.name), p.run)
+			pprof.Do(ctx, pprof.Labels("part", registered.name), registered.run)
 		}()
 	}
 	running.Wait()
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -16,21 +16,21 @@
 	"madderhollow/internal/relaytest"
 )
 
-// proxyCount is the number of proxies.
+// proxyCount is the number of proxies that connect to the fake relay.
 const proxyCount = 6
 
-// zones returns the zones of the configuration's settings.
+// zones returns the names of the zones in the settings of examples/config.json.
 func zones() []string { return []string{"x", "y", "z"} }
 
-// platformConfig holds the members of the assigner's configuration file that the fakes use, too.
+// platformConfig holds the fields of the assigner's configuration file that the fakes use as well.
 type platformConfig struct {
-	Listen    string // the assigner's address
-	Discovery string // address of the fake agent
-	Relay     struct{ Address string }
-	Initial   discoverytest.ListResponse `json:"known"`
+	Listen           string                     // address at which the assigner accepts collectors
+	Discovery        string                     // address of the fake discovery agent
+	Relay            struct{ Address string }   // address of the fake relay
+	InitialEndpoints discoverytest.ListResponse `json:"known"` // endpoint list with which the fake discovery agent starts
 }
 
-// readConfig reads a configuration file.
+// readConfig reads and parses the configuration file at path.
 func readConfig(path string) (config platformConfig, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -42,16 +42,17 @@
 	return config, nil
 }
 
-// demo is a platform of fakes.
+// demo is the simulated environment of one assigner: a relay, a discovery agent and collectors, all of them fakes.
 type demo struct {
 	config      platformConfig
 	relay       *relaytest.Relay
 	agent       *discoverytest.Agent
-	collectors  map[string]*collectortest.Collector // by zone; set by awaitAssigner
-	connectedAt time.Time                           // when the assigner answered the last collector's ping
+	collectors  map[string]*collectortest.Collector // collectors by the name of their zone; nil before awaitAssigner
+	connectedAt time.Time                           // time at which the assigner answered the last collector's ping
 }
 
-// newDemo starts the fakes at the addresses of a configuration file.
+// newDemo starts the fake relay and the fake discovery agent at the addresses in the configuration file at configPath.
+// The caller closes the demo.
 func newDemo(configPath string) (*demo, error) {
 	config, err := readConfig(configPath)
 	if err != nil {
@@ -61,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("start relay: %w", err)
 	}
-	agent, err := discoverytest.New(config.Discovery, config.Initial.Version, config.Initial.Endpoints...)
+	agent, err := discoverytest.New(config.Discovery, config.InitialEndpoints.Version, config.InitialEndpoints.Endpoints...)
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("start discovery: %w", err), relay.Close())
 	}
@@ -73,41 +74,44 @@
 	}, nil
 }
 
-// close stops the fakes. The process exits next, so errors have no consequence.
+// close stops the fake relay and the fake discovery agent. It ignores errors, because the process exits after the
+// call.
 func (d *demo) close() {
 	_ = d.relay.Close()
 	_ = d.agent.Close()
 }
 
-// printf prints a line with the time since the collectors connected.
+// printf prints a line that begins with the time since the collectors have connected, in seconds. The arguments are
+// those of fmt.Printf.
 func (d *demo) printf(format string, values ...any) {
 	fmt.Printf("%5.1f s  %s\n", time.Since(d.connectedAt).Seconds(), fmt.Sprintf(format, values...))
 }
 
-// load is the content of the reports of one second.
+// load is the load that the collectors report for one second.
 type load struct {
-	requests int     // of class read at each proxy; class sign has a fifth of them
-	failed   int     // attempts at each endpoint, which gets half as many attempts as requests
-	latency  float64 // milliseconds
-	busy     float64 // busy fraction of each endpoint
+	requestsPerProxy int     // requests of class read at each proxy; class sign has a fifth of this number
+	failedAttempts   int     // failed attempts at each endpoint, out of requestsPerProxy/2 attempts
+	latencyMs        float64 // mean latency of the attempts, ms
+	busyFraction     float64 // busy fraction of each endpoint, from 0 to 1
 }
 
-// normal is a load that needs no rate limit.
-func normal() load { return load{requests: 20, latency: 150, busy: 0.4} }
+// normalLoad returns a load that is low enough for the assigner to set no rate limit below the request rate.
+func normalLoad() load { return load{requestsPerProxy: 20, latencyMs: 150, busyFraction: 0.4} }
 
-// report makes the collectors report a load, and waits one second.
-func (d *demo) report(second load) error {
+// reportForOneSecond makes the collectors report a load for all ready endpoints and all proxies, and sleeps for one
+// second.
+func (d *demo) reportForOneSecond(reported load) error {
 	for zone, collector := range d.collectors {
 		for _, endpoint := range d.agent.List().Endpoints {
 			if endpoint.State != discoverytest.Ready {
 				continue
 			}
-			if err := collector.ReportEndpoint(endpoint.Name, second.requests/2, second.failed, second.latency, second.busy); err != nil {
+			if err := collector.ReportEndpoint(endpoint.Name, reported.requestsPerProxy/2, reported.failedAttempts, reported.latencyMs, reported.busyFraction); err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
 		}
 		for _, proxy := range d.proxiesIn(zone) {
-			err := errors.Join(collector.ReportProxy(proxy, "read", second.requests), collector.ReportProxy(proxy, "sign", second.requests/5))
+			err := errors.Join(collector.ReportProxy(proxy, "read", reported.requestsPerProxy), collector.ReportProxy(proxy, "sign", reported.requestsPerProxy/5))
 			if err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// proxiesIn returns the connected proxies of a zone.
+// proxiesIn returns the numbers of the connected proxies in a zone.
 func (d *demo) proxiesIn(zone string) (proxies []int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
@@ -129,8 +133,9 @@
 	return proxies
 }
 
-// tableOfProxy0 formats the entries of the table of proxy 0.
-func (d *demo) tableOfProxy0() (text string) {
+// formatTableOfProxy0 returns the entries of a table that is attached to proxy 0, as text. Each entry consists of an
+// endpoint and its weight.
+func (d *demo) formatTableOfProxy0() (text string) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, table := range state.Proxies[0].Tables {
 			var entries []string
@@ -143,14 +148,15 @@
 	return text
 }
 
-// limited returns the number of tables that limit a class to fewer requests per second than each proxy receives, and the
-// lowest limit. Each proxy has a table of its own.
-func (d *demo) limited(class string, requests float64) (proxies int, lowest float64) {
-	lowest = requests
+// rateLimitsBelow returns the number of tables that limit a request class to less than requestRate, and the lowest of
+// these limits, both in requests per second. The number of tables is the number of proxies, because each proxy has its
+// own table. The lowest limit is requestRate if no table has a lower limit.
+func (d *demo) rateLimitsBelow(class string, requestRate float64) (proxies int, lowest float64) {
+	lowest = requestRate
 	d.relay.Inspect(func(state *relaytest.State) {
 		for key, text := range state.Limits {
 			limit, err := strconv.ParseFloat(text, 64)
-			if err == nil && strings.HasSuffix(key, ","+class) && limit < requests {
+			if err == nil && strings.HasSuffix(key, ","+class) && limit < requestRate {
 				proxies++
 				lowest = min(lowest, limit)
 			}
@@ -159,8 +165,8 @@
 	return proxies, lowest
 }
 
-// proxiesWith returns the number of proxies that have an endpoint in a table.
-func (d *demo) proxiesWith(endpoint string) (proxies int) {
+// countProxiesWith returns the number of proxies with an attached table that contains the given endpoint.
+func (d *demo) countProxiesWith(endpoint string) (proxies int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
 			for _, table := range proxy.Tables {
