--- a/assign/admission/admission_test.go
+++ b/assign/admission/admission_test.go
@@ -71,20 +71,20 @@
 // admitted at most at the rate limit. Each class is admitted at most at its cap. No requests of a class are admitted
 // while the rate limit restricts a class of higher priority.
 func TestAllocateKeepsRateLimit(t *testing.T) {
-	quickcheck.Seeds(t, 3000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 3000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
-		rateLimit := quickcheck.Magnitude(random, 1e-6, 1e6)
+		rateLimit := quickcheck.LogUniform(random, 1e-6, 1e6)
 		budget := admission.NewBudget(rateLimit)
 		byRatio := random.Intn(2) == 0
 		admittedSum, observedSum, higherLimited := 0.0, 0.0, false
 		for range 1 + random.Intn(6) {
 			demand := admission.ClassDemand{
-				ObservedRate: quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e6),
+				ObservedRate: quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-6, 1e6),
 				SlowStartCap: admission.Unlimited,
 				AdmitByRatio: byRatio,
 			}
 			if random.Intn(2) == 0 {
-				demand.SlowStartCap = quickcheck.Magnitude(random, 1e-6, 1e6)
+				demand.SlowStartCap = quickcheck.LogUniform(random, 1e-6, 1e6)
 			}
 			limit := budget.Allocate(demand)
 			admitted := admittedRate(demand, limit)
--- a/assign/any_input_test.go
+++ b/assign/any_input_test.go
@@ -55,7 +55,7 @@
 
 // randomMagnitude returns a random number between two bounds whose order of magnitude is random.
 func (in *randomInput) randomMagnitude(lowest, highest float64) float64 {
-	return quickcheck.Magnitude(in.random, lowest, highest)
+	return quickcheck.LogUniform(in.random, lowest, highest)
 }
 
 func (in *randomInput) randomZone() string { return zoneByNumber(in.random.Intn(3)) }
@@ -159,7 +159,7 @@
 // every zone has a name, whatever input arrives within the documented bounds. In the runs with an even seed, the
 // first batch only starts the clock, so that all zones are created between two ticks.
 func TestOrdersAreFiniteForRandomInput(t *testing.T) {
-	quickcheck.Seeds(t, 150, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 150, func(seed int64) bool {
 		input, now := newRandomInput(seed), 1000.0
 		assigner := New(seed, input.config)
 		var endpoints []Endpoint
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -228,7 +228,7 @@
 // TestDiffLeadsToWantedTable checks that a held table has the wanted endpoints after all changes are applied, each with
 // a weight within a tenth of the wanted one.
 func TestDiffLeadsToWantedTable(t *testing.T) {
-	quickcheck.Seeds(t, 2000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		held, wanted := drawTable(random), drawTable(random)
 		weights := map[int]float64{}
@@ -257,7 +257,7 @@
 
 func drawTable(random *rand.Rand) (table []subset.Entry[int]) {
 	for _, endpoint := range random.Perm(12)[:random.Intn(11)] {
-		table = append(table, subset.Entry[int]{Endpoint: endpoint, Weight: quickcheck.Magnitude(random, 0.1, 10)})
+		table = append(table, subset.Entry[int]{Endpoint: endpoint, Weight: quickcheck.LogUniform(random, 0.1, 10)})
 	}
 	return table
 }
--- a/assign/locality/locality_test.go
+++ b/assign/locality/locality_test.go
@@ -144,7 +144,7 @@
 // TestSpilloverStaysInBounds checks that the spill-over and its observed fraction remain between 0 and nine tenths,
 // whatever the endpoints report.
 func TestSpilloverStaysInBounds(t *testing.T) {
-	quickcheck.Seeds(t, 500, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		spillover, overloaded := locality.Spillover{}, false
 		for range 100 {
@@ -153,9 +153,9 @@
 			for range random.Intn(6) {
 				summary.Add(locality.Endpoint{
 					Local: true, Ready: random.Intn(4) > 0, Warming: random.Intn(4) == 0, Unverified: random.Intn(4) == 0,
-					ListedWeight: quickcheck.Magnitude(random, 1e-9, 1e9), BusyFraction: drawBusyFraction(random), FailureRatio: quickcheck.Fraction(random),
+					ListedWeight: quickcheck.LogUniform(random, 1e-9, 1e9), BusyFraction: drawBusyFraction(random), FailureRatio: quickcheck.Fraction(random),
 				})
-				remote.Add(drawBusyFraction(random), quickcheck.Fraction(random)*quickcheck.Magnitude(random, 1e-9, 1e9))
+				remote.Add(drawBusyFraction(random), quickcheck.Fraction(random)*quickcheck.LogUniform(random, 1e-9, 1e9))
 			}
 			overloaded = locality.IsOverloaded(summary.MeanBusyFraction(), overloaded)
 			spillover = locality.AdjustSpillover(spillover, locality.ZoneLoad{
@@ -173,5 +173,5 @@
 
 // drawBusyFraction draws a busy fraction, which is sometimes 0 or far above 1.
 func drawBusyFraction(random *rand.Rand) float64 {
-	return quickcheck.Fraction(random) * quickcheck.Magnitude(random, 0.01, 100)
+	return quickcheck.Fraction(random) * quickcheck.LogUniform(random, 0.01, 100)
 }
--- a/assign/ordering/ordering_test.go
+++ b/assign/ordering/ordering_test.go
@@ -187,7 +187,7 @@
 // the message window, a proxy receives at least one message less than its limit, or one message for a limit of one. The
 // lines in flight never exceed nine tenths of the in-flight limit.
 func TestLimitsHoldForAnyMessages(t *testing.T) {
-	quickcheck.Seeds(t, 500, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		maxMessages, window := 1+random.Intn(31), 1+9*random.Float64()
 		maxRecent := max(1, maxMessages-1)
--- a/assign/outlier/outlier_test.go
+++ b/assign/outlier/outlier_test.go
@@ -289,19 +289,19 @@
 // Whatever is reported, the health weight stays between ProbationWeight and 1, the failure ratio between 0 and 1, and
 // all results are finite.
 func TestHealthStaysInBounds(t *testing.T) {
-	quickcheck.Seeds(t, 500, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		health := outlier.NewHealth()
-		threshold := outlier.LateThreshold(quickcheck.Magnitude(random, 1e-3, 1e3))
+		threshold := outlier.LateThreshold(quickcheck.LogUniform(random, 1e-3, 1e3))
 		for tick := range 50 {
-			attempts := int(quickcheck.Magnitude(random, 1, 1e9)) - 1
+			attempts := int(quickcheck.LogUniform(random, 1, 1e9)) - 1
 			failed := int(float64(attempts) * quickcheck.Fraction(random))
-			health.RecordAttempts(attempts, failed, quickcheck.Magnitude(random, 1e-6, 1e6))
+			health.RecordAttempts(attempts, failed, quickcheck.LogUniform(random, 1e-6, 1e6))
 			health = outlier.Assess(health, threshold, float64(tick))
 			if health.Unhealthy() && random.Intn(2) == 0 {
 				health, _ = outlier.DecreaseWeight(health, quickcheck.Fraction(random), float64(tick))
 			}
-			inTimeFraction := outlier.InTimeFraction(quickcheck.Magnitude(random, 1e-6, 1e6)*quickcheck.Fraction(random), threshold)
+			inTimeFraction := outlier.InTimeFraction(quickcheck.LogUniform(random, 1e-6, 1e6)*quickcheck.Fraction(random), threshold)
 			inBounds := health.Weight >= outlier.ProbationWeight && health.Weight <= 1 &&
 				health.FailureRatio >= 0 && health.FailureRatio <= 1 &&
 				inTimeFraction >= outlier.MinInTimeFraction && inTimeFraction <= 1
--- a/assign/overload/overload_test.go
+++ b/assign/overload/overload_test.go
@@ -193,15 +193,15 @@
 // Whatever endpoints report, total rates are finite and at least the minimum total rate, and tables have 2 to 10
 // entries.
 func TestTotalRateAndTableSizeStayInBounds(t *testing.T) {
-	quickcheck.Seeds(t, 2000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		period := overload.NewPeriodStats(now)
 		for range random.Intn(20) {
 			period.Add(drawEndpoint(random))
 		}
 		traffic := overload.Traffic{
-			ObservedRate:         quickcheck.Magnitude(random, 1e-6, 1e9),
-			TotalRate:            quickcheck.Magnitude(random, 0.1, 1e9),
+			ObservedRate:         quickcheck.LogUniform(random, 1e-6, 1e9),
+			TotalRate:            quickcheck.LogUniform(random, 0.1, 1e9),
 			BusyFractionReported: random.Intn(2) == 0,
 		}
 		during, after := period.TotalRateDuringOverload(), period.DecideWithoutOverload(traffic).TotalRate
@@ -220,15 +220,15 @@
 
 // drawEndpoint draws random statistics of one endpoint, including extreme rates and weights.
 func drawEndpoint(random *rand.Rand) overload.EndpointStats {
-	attempts := quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e9)
+	attempts := quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-3, 1e9)
 	failed := attempts * quickcheck.Fraction(random)
 	return overload.EndpointStats{
 		Ready:          random.Intn(4) > 0,
 		Assessed:       random.Intn(2) == 0,
 		Unhealthy:      random.Intn(2) == 0,
 		Attempts:       overload.AttemptStats{Total: attempts, Failed: failed, InTime: (attempts - failed) * (0.8 + 0.2*quickcheck.Fraction(random))},
-		BusyFraction:   quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 10),
-		ListedWeight:   quickcheck.Magnitude(random, 1e-9, 1e9),
+		BusyFraction:   quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-6, 10),
+		ListedWeight:   quickcheck.LogUniform(random, 1e-9, 1e9),
 		LastAnsweredAt: now - 6*quickcheck.Fraction(random),
 	}
 }
--- a/assign/quota/quota_test.go
+++ b/assign/quota/quota_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestJoinKeepsSumOfQuotas(t *testing.T) {
-	quickcheck.Seeds(t, 1000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 1000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		members, joining := random.Intn(1000), 1+random.Intn(1000)
 		result := quota.Join(members, joining)
@@ -78,7 +78,7 @@
 
 // TestRedistributeKeepsSumOfQuotas checks that the new quotas sum to 1 for any observed rates and any total rate.
 func TestRedistributeKeepsSumOfQuotas(t *testing.T) {
-	quickcheck.Seeds(t, 3000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 3000, func(seed int64) bool {
 		split, members := drawSplit(rand.New(rand.NewSource(seed)))
 		sum := 0.0
 		for _, q := range quota.Redistribute(split, members) {
@@ -95,7 +95,7 @@
 // TestRedistributeGivesNoNegativeQuota checks that no quota is negative. A proxy with a negative quota would not count
 // as a member of the split and would have no rate limit.
 func TestRedistributeGivesNoNegativeQuota(t *testing.T) {
-	quickcheck.Seeds(t, 3000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 3000, func(seed int64) bool {
 		split, members := drawSplit(rand.New(rand.NewSource(seed)))
 		for i, q := range quota.Redistribute(split, members) {
 			if !(q >= 0) {
@@ -113,8 +113,8 @@
 	sum, split := 0.0, quota.Split{}
 	for i := range members {
 		members[i] = quota.Member{
-			Quota:        quickcheck.Magnitude(random, 1e-6, 1),
-			ObservedRate: quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e6),
+			Quota:        quickcheck.LogUniform(random, 1e-6, 1),
+			ObservedRate: quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-3, 1e6),
 		}
 		sum += members[i].Quota
 		split.ObservedRate += members[i].ObservedRate
@@ -124,7 +124,7 @@
 	}
 	split.ObservedRate += 1e-6
 	if random.Intn(3) > 0 {
-		split.TotalRate = max(0.1, split.ObservedRate*quickcheck.Magnitude(random, 1e-3, 1.2))
+		split.TotalRate = max(0.1, split.ObservedRate*quickcheck.LogUniform(random, 1e-3, 1.2))
 	}
 	return split, members
 }
--- a/assign/slowstart/slowstart_test.go
+++ b/assign/slowstart/slowstart_test.go
@@ -70,10 +70,10 @@
 
 // TestCapacityFractionNeverDecreases checks that the fraction remains between 0 and 1 and never decreases over time.
 func TestCapacityFractionNeverDecreases(t *testing.T) {
-	quickcheck.Seeds(t, 2000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		config := drawConfig(random)
-		state := slowstart.WarmUpState{StartedAt: quickcheck.Magnitude(random, 1e-3, 1e10), RateLimitsIgnored: random.Intn(4) == 0}
+		state := slowstart.WarmUpState{StartedAt: quickcheck.LogUniform(random, 1e-3, 1e10), RateLimitsIgnored: random.Intn(4) == 0}
 		previous := 0.0
 		for step := range 30 {
 			state.Now = state.StartedAt + config.Duration*float64(step)/25
@@ -91,12 +91,12 @@
 // TestRateCapKeepsItsBound checks that a cap is between 0 and half of the overload multiple times the expected rate
 // plus two standard deviations.
 func TestRateCapKeepsItsBound(t *testing.T) {
-	quickcheck.Seeds(t, 2000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		config := drawConfig(random)
 		demand := slowstart.ClassDemand{
-			ObservedRate:          quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
-			TypicalRate:           quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-6, 1e9),
+			ObservedRate:          quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-6, 1e9),
+			TypicalRate:           quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-6, 1e9),
 			TableCapacityFraction: quickcheck.Fraction(random),
 		}
 		expected := max(demand.ObservedRate, demand.TypicalRate)
@@ -111,11 +111,11 @@
 }
 
 func drawConfig(random *rand.Rand) slowstart.Config {
-	duration := quickcheck.Fraction(random) * quickcheck.Magnitude(random, 1e-3, 1e5)
+	duration := quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-3, 1e5)
 	return slowstart.Config{
 		InitialCapacityFraction: quickcheck.Fraction(random),
 		Duration:                duration,
 		OverloadWindow:          duration * quickcheck.Fraction(random),
-		OverloadMultiple:        quickcheck.Magnitude(random, 1e-3, 1e3),
+		OverloadMultiple:        quickcheck.LogUniform(random, 1e-3, 1e3),
 	}
 }
--- a/assign/subset/property_test.go
+++ b/assign/subset/property_test.go
@@ -40,7 +40,7 @@
 	input.zone.ReportingProxies = reportingProxies
 	input.zone.ExcludeWarming = random.Intn(3) == 0
 	input.deployment = subset.DeploymentState{
-		PeakWeight:        input.zone.PeakWeight + quickcheck.Fraction(random)*quickcheck.Magnitude(random, 1e-3, 1e4),
+		PeakWeight:        input.zone.PeakWeight + quickcheck.Fraction(random)*quickcheck.LogUniform(random, 1e-3, 1e4),
 		ZoneCount:         1 + random.Intn(5),
 		ReportingProxies:  reportingProxies + float64(random.Intn(1000)),
 		ConfiguredProxies: quickcheck.Fraction(random)*3000 - 1,
@@ -56,7 +56,7 @@
 	if random.Intn(3) == 0 {
 		capacityFraction = quickcheck.Fraction(random)
 	}
-	listedWeight := quickcheck.Magnitude(random, 1e-9, 1e9)
+	listedWeight := quickcheck.LogUniform(random, 1e-9, 1e9)
 	return candidate{
 		Endpoint:     name,
 		ListedWeight: listedWeight,
@@ -119,7 +119,7 @@
 // Every table has at least one entry while there is a candidate, and all its weights are finite. It has a warming
 // capacity exactly while entries are warming up.
 func TestTablesKeepInvariants(t *testing.T) {
-	quickcheck.Seeds(t, 5000, func(seed int64) bool {
+	quickcheck.CheckSeeds(t, 5000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
 		input := drawScenario(random)
 		plan := subset.NewPlan(input.zone, input.deployment, slices.Clone(input.candidates))
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -29,9 +29,9 @@
 // stream once and makes the next two answers of discovery invalid JSON.
 func (p *platform) injectFaultSequence() {
 	var callCount, requestCount atomic.Int32
-	faults := []relaytest.Fault{relaytest.ResetBefore, relaytest.GarbledAnswer, relaytest.ResetAfter, relaytest.SilentBefore, relaytest.NoFault}
+	faults := []relaytest.Fault{relaytest.AbortBeforeApplying, relaytest.MalformedResponse, relaytest.AbortAfterApplying, relaytest.HangBeforeApplying, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(callCount.Add(1)-1, 4)] })
-	p.relay.CutStreamsInEvent(25) // the first 25 bytes of an event end within its data
+	p.relay.AbortStreamsMidEvent(25) // the first 25 bytes of an event end within its data
 	p.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		garbled := requestCount.Add(1) < 3
 		if garbled {
@@ -47,7 +47,7 @@
 	t.Helper()
 	for zone, collector := range p.collectors {
 		for i := range 12 {
-			if err := collector.ReportEndpoint(fmt.Sprint("s-", i), 2, 1, 2900, 1); err != nil {
+			if err := collector.ReportEndpointLoad(fmt.Sprint("s-", i), 2, 1, 2900, 1); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -55,7 +55,7 @@
 			if zoneOf(proxy) != zone {
 				continue
 			}
-			if err := collector.ReportProxy(proxy, "read", 100); err != nil {
+			if err := collector.ReportProxyTraffic(proxy, "read", 100); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -67,7 +67,7 @@
 // 1000000000 requests/s removes the limit of a class.
 func (p *platform) hasRateLimit() (limited bool) {
 	p.relay.Inspect(func(state *relaytest.State) {
-		for _, limit := range state.Limits {
+		for _, limit := range state.RateLimits {
 			limited = limited || limit != "1000000000"
 		}
 	})
@@ -109,7 +109,7 @@
 	platform, process := startWithAttachedProxies(t)
 	platform.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
-			proxy.Messages = nil
+			proxy.MessageTimes = nil
 		}
 	})
 	reload := func() { process.signal(t, syscall.SIGHUP) }
@@ -135,7 +135,7 @@
 	platform.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
 			// The limit of 8 messages allows for three drains and for the changes of weights that follow them.
-			if n := len(proxy.Messages); n > 8 {
+			if n := len(proxy.MessageTimes); n > 8 {
 				t.Errorf("proxy %d: got %d messages, want at most 8", id, n)
 			}
 		}
@@ -172,7 +172,7 @@
 		go func() { result <- runAssigner(ctx, cfg, nil, platform.statusAddress, io.Discard) }()
 		platform.connectCollectors(t)
 		platform.relay.Connect(1, "x", 20, false)
-		if !eventually.True(testTimeout, func() bool { return platform.relay.AllAttached("") }) {
+		if !eventually.True(testTimeout, func() bool { return platform.relay.AllProxiesAttached("") }) {
 			t.Errorf("got no attached proxy within %v, want one", testTimeout)
 		}
 		cancel()
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -333,7 +333,7 @@
 // message begins with phase, which describes the point in the test.
 func (p *platform) mustAttachTables(t *testing.T, process *assignerProcess, without, phase string) {
 	t.Helper()
-	if !eventually.True(testTimeout, func() bool { return p.relay.AllAttached(without) }) {
+	if !eventually.True(testTimeout, func() bool { return p.relay.AllProxiesAttached(without) }) {
 		t.Fatalf("%s: got proxies without tables, or with endpoint %q in their tables, after %v; want no such proxy\n%s", phase, without, testTimeout, process.killAndReadLog())
 	}
 }
--- a/cmd/madderhollow/restart_soak_test.go
+++ b/cmd/madderhollow/restart_soak_test.go
@@ -150,8 +150,8 @@
 	for step := range steps {
 		for _, collector := range s.collectors {
 			// Write errors are ignored, because a collector fails once its connection is closed.
-			_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.random.Intn(10), 200, 0.5)
-			_ = collector.ReportProxy(step%6, "read", 20)
+			_ = collector.ReportEndpointLoad(fmt.Sprint("s-", step%12), 20, s.random.Intn(10), 200, 0.5)
+			_ = collector.ReportProxyTraffic(step%6, "read", 20)
 		}
 		if s.random.Intn(20) == 0 {
 			state := []string{discoverytest.Ready, discoverytest.Draining}[s.random.Intn(2)]
@@ -255,7 +255,7 @@
 	}
 	restarts.relay.SetFault(nil)
 	restarts.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
-	if !eventually.True(testTimeout, func() bool { return restarts.relay.AllAttached("s-0") }) {
+	if !eventually.True(testTimeout, func() bool { return restarts.relay.AllProxiesAttached("s-0") }) {
 		t.Errorf("got proxies without tables, or with the draining endpoint in their tables, after %v; want no such proxy\n%s", testTimeout, restarts.process.killAndReadLog())
 	}
 	restarts.process.mustTerminate(t)
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -55,8 +55,8 @@
 // collector because of malformed lines. The collectors do not reconnect, so write errors are ignored.
 func (s *soak) sendReports(step int) {
 	for _, collector := range s.collectors {
-		_ = collector.ReportEndpoint(fmt.Sprint("s-", step%12), 20, s.randomInt(10), 200, 0.5)
-		_ = collector.ReportProxy(step%6, "read", 20)
+		_ = collector.ReportEndpointLoad(fmt.Sprint("s-", step%12), 20, s.randomInt(10), 200, 0.5)
+		_ = collector.ReportProxyTraffic(step%6, "read", 20)
 		_ = collector.SendTruncatedReport()
 	}
 }
@@ -85,7 +85,7 @@
 	proxy := step % 6
 	switch s.randomInt(40) {
 	case 0:
-		s.relay.CutStreamsInEvent(9) // the first 9 bytes of an event end within its type
+		s.relay.AbortStreamsMidEvent(9) // the first 9 bytes of an event end within its type
 	case 1:
 		s.relay.Disconnect(proxy)
 		s.relay.Connect(proxy, zoneOf(proxy), 20, s.randomInt(2) == 0)
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -216,7 +216,7 @@
 // operation has begun once the relay has received a call.
 func blockCalls(_ *testing.T, p *platform) (hasBegun func() bool) {
 	calls := make(chan struct{}, 100)
-	p.relay.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return relaytest.SilentAfter })
+	p.relay.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return relaytest.HangAfterApplying })
 	p.relay.Connect(1, "x", 20, false)
 	return func() bool { return len(calls) > 0 }
 }
--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Create variants of a deployment for the operators' bench.
+"""Create variants of a test deployment for the operators' bench.
 
-usage: lay.py SITE [FOLDER]
+usage: lay.py SITE [DIRECTORY]
 
-SITE is a site file (TOML) of the operators' kit. Each variant is that file with some lines changed. Scores on the variants
-show whether the program works on deployments for which it was not tuned. The variants, and copies of the files that the
-bench expects in the same folder, are written to FOLDER; the default is deploy/sites/laid, which git ignores.
+SITE is a site file of the operators' kit: a TOML file that describes a deployment. A variant is a copy of the site file
+in which some lines are changed. Scores on the variants show whether the program works on deployments for which it was
+not tuned. The variants are written to DIRECTORY, together with copies of the other files that the bench expects next to
+a site file. The default directory is deploy/sites/laid, which git ignores.
 """
 
 import pathlib
@@ -13,14 +14,16 @@
 import shutil
 import sys
 
-# Changes to a site file, by place. A place is `section.key`, or `section[i]` for the whole i-th section of a list of
-# sections. The value is the new text of the key, None to remove the line or section, or the keys of a new section that
-# is appended to its list.
+# Changes to a site file, by location. A location is `section.key` for one key of a section, or `key` for a key before
+# the first section. In a list of sections, `section[i]` is the section with index i, and `section[i].key` is one of its
+# keys. The value of a change is the new text of the key, None to remove the key or section, or the keys of a new
+# section that is appended to its list.
 Section = dict[str, str]
 Changes = dict[str, str | Section | None]
 
 VARIANTS: dict[str, Changes] = {
-    # One zone, one request class that is not idempotent, rate limits as ratios, no limit on messages.
+    # One zone, one request class that is not idempotent, rate limits given as ratios, and no limit on the number of
+    # messages.
     "harbour": {
         "name": '"harbour"',
         "net.zones": '["quay"]',
@@ -47,7 +50,8 @@
         "prices.waste": "0.01",
         "rules.fall_multiple": "2",
     },
-    # Four zones, five request classes (one name is a prefix of another), few messages, other deadlines and costs.
+    # Four zones, five request classes (the name of one is a prefix of the name of another), a low limit on the number
+    # of messages, and other deadlines and costs.
     "foundry": {
         "name": '"foundry"',
         "net.zones": '["z1", "z2", "z3", "z4"]',
@@ -107,105 +111,112 @@
     },
 }
 
-# Files that the bench expects in the folder of a site.
-COMPANIONS = ("real.json", "wire.json", "unlock.txt")
+# Files that the bench expects in the directory of a site file.
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
-# Permissions of the copies. The files of the kit may be read-only.
-FILE_MODE = 0o644
+# Permissions of the copied files. They are set explicitly, because the files of the kit may be read-only.
+COPY_FILE_MODE = 0o644
 
 
 class UnusedChange(Exception):
-    """A change names a line or section that is not in the site file."""
+    """Raised if the location of a change is not found in the site file."""
 
 
-class Variant:
-    """A variant that is being written: its lines so far and the changes whose place has not been reached."""
+class VariantBuilder:
+    """Builds a variant from the lines of a site file, which are added one by one."""
 
     def __init__(self, changes: Changes) -> None:
-        self.pending = dict(changes)
-        self.lines: list[str] = []
-        self.section = ""  # current section, `name[i]` in a list of sections
-        self.removed = False  # the current section is removed
-        self.counts: dict[str, int] = {}  # sections so far, by the name of their list
-
-    def add(self, line: str) -> None:
-        """Process the next line of the site file."""
-        if head := re.fullmatch(r"\[\[(.+)\]\]", line):
-            self._begin_listed_section(head[1])
-        elif head := re.fullmatch(r"\[(.+)\]", line):
+        self.pending_changes = dict(changes)  # changes whose location has not been reached
+        self.variant_lines: list[str] = []  # lines of the variant so far
+        self.section = ""  # location of the current section; empty before the first section
+        self.section_removed = False  # whether the current section is left out of the variant
+        self.section_counts: dict[str, int] = {}  # number of sections so far in each list of sections, by its name
+
+    def add_line(self, line: str) -> None:
+        """Add the next line of the site file. Change the line or leave it out if a change applies to it."""
+        if header := re.fullmatch(r"\[\[(.+)\]\]", line):
+            self._begin_listed_section(header[1])
+        elif header := re.fullmatch(r"\[(.+)\]", line):
             self._add_new_sections()
-            self.section, self.removed = head[1], False
-        elif pair := re.match(r"(\w+) = ", line):
-            changed = self._changed(pair[1], line)
-            if changed is None:
+            self.section, self.section_removed = header[1], False
+        elif key_match := re.match(r"(\w+) = ", line):
+            changed_line = self._apply_change(key_match[1], line)
+            if changed_line is None:
                 return
-            line = changed
-        if not self.removed:
-            self.lines.append(line)
+            line = changed_line
+        if not self.section_removed:
+            self.variant_lines.append(line)
 
     def text(self) -> str:
-        """Return the variant. Raise UnusedChange if the place of a change was not found."""
-        if self.pending:
-            raise UnusedChange(", ".join(self.pending))
-        return "\n".join(self.lines) + "\n"
+        """Return the text of the variant. Raise UnusedChange if the location of a change was not found."""
+        if self.pending_changes:
+            raise UnusedChange(", ".join(self.pending_changes))
+        return "\n".join(self.variant_lines) + "\n"
 
     def _begin_listed_section(self, name: str) -> None:
+        """Begin the next section of the list of sections with this name."""
         self._add_new_sections()
-        index = self.counts.get(name, 0)
-        self.counts[name] = index + 1
+        index = self.section_counts.get(name, 0)
+        self.section_counts[name] = index + 1
         self.section = f"{name}[{index}]"
-        self.removed = self.pending.pop(self.section, "") is None
+        self.section_removed = self.pending_changes.pop(self.section, "") is None
 
     def _add_new_sections(self) -> None:
-        """Append the new sections of the list of sections that ends here."""
-        for place, keys in list(self.pending.items()):
-            match = re.fullmatch(r"(\w+)\[(\d+)\]", place)
-            if not match or not isinstance(keys, dict):
+        """Append the new sections of the list of sections that the current section belongs to.
+
+        A new section is appended if its index is the number of sections that the list has so far.
+        """
+        for location, change in list(self.pending_changes.items()):
+            location_match = re.fullmatch(r"(\w+)\[(\d+)\]", location)
+            if not location_match or not isinstance(change, dict):
                 continue
-            name, index = match[1], int(match[2])
-            if self.counts.get(name, 0) == index and self.section.startswith(name + "["):
-                self.lines.append(f"\n[[{name}]]")
-                self.lines.extend(f"{key} = {value}" for key, value in keys.items())
-                self.counts[name] = index + 1
-                del self.pending[place]
-
-    def _changed(self, key: str, line: str) -> str | None:
-        """Return the line for a key, or None if it is removed."""
-        place = f"{self.section}.{key}" if self.section else key
-        if place not in self.pending:
+            name, index = location_match[1], int(location_match[2])
+            if self.section_counts.get(name, 0) == index and self.section.startswith(name + "["):
+                self.variant_lines.append(f"\n[[{name}]]")
+                self.variant_lines.extend(f"{key} = {value}" for key, value in change.items())
+                self.section_counts[name] = index + 1
+                del self.pending_changes[location]
+
+    def _apply_change(self, key: str, line: str) -> str | None:
+        """Return the line of the variant for a key of the current section, or None if a change removes the key."""
+        location = f"{self.section}.{key}" if self.section else key
+        if location not in self.pending_changes:
             return line
-        value = self.pending.pop(place)
-        return None if value is None else f"{key} = {value}"
+        new_value = self.pending_changes.pop(location)
+        return None if new_value is None else f"{key} = {new_value}"
+
 
+def make_variant(site_text: str, changes: Changes) -> str:
+    """Return the text of a site file with the changes applied.
 
-def make_variant(site: str, changes: Changes) -> str:
-    """Return the text of a site file with changes. Raise UnusedChange if the place of a change is not found."""
-    variant = Variant(changes)
-    for line in site.splitlines():
-        variant.add(line)
-    return variant.text()
+    Raise UnusedChange if the location of a change is not found.
+    """
+    builder = VariantBuilder(changes)
+    for line in site_text.splitlines():
+        builder.add_line(line)
+    return builder.text()
 
 
-def write_variants(site: pathlib.Path, folder: pathlib.Path) -> None:
-    """Write all variants of a site, and copies of its companion files, to a folder."""
-    folder.mkdir(parents=True, exist_ok=True)
-    text = site.read_text()
+def write_variants(site_file: pathlib.Path, directory: pathlib.Path) -> None:
+    """Write all variants of a site file, and copies of its companion files, to a directory."""
+    directory.mkdir(parents=True, exist_ok=True)
+    site_text = site_file.read_text()
     for name, changes in VARIANTS.items():
-        (folder / f"{name}.toml").write_text(make_variant(text, changes))
-    for name in COMPANIONS:
-        shutil.copyfile(site.parent / name, folder / name)
-        (folder / name).chmod(FILE_MODE)
+        (directory / f"{name}.toml").write_text(make_variant(site_text, changes))
+    for name in COMPANION_FILES:
+        shutil.copyfile(site_file.parent / name, directory / name)
+        (directory / name).chmod(COPY_FILE_MODE)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the program and return its exit code."""
+    """Run the program with the arguments after its name, and return the exit code."""
     if not 1 <= len(arguments) <= 2:
         print(__doc__, file=sys.stderr)
         return 2
-    default = pathlib.Path(__file__).parent / "laid"
-    folder = pathlib.Path(arguments[1]) if len(arguments) == 2 else default
+    default_directory = pathlib.Path(__file__).parent / "laid"
+    directory = pathlib.Path(arguments[1]) if len(arguments) == 2 else default_directory
     try:
-        write_variants(pathlib.Path(arguments[0]), folder)
+        write_variants(pathlib.Path(arguments[0]), directory)
     except (OSError, UnusedChange) as error:
         print(f"lay.py: {error}", file=sys.stderr)
         return 1
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -106,12 +106,12 @@
 			if endpoint.State != discoverytest.Ready {
 				continue
 			}
-			if err := collector.ReportEndpoint(endpoint.Name, reported.requestsPerProxy/2, reported.failedAttempts, reported.latencyMs, reported.busyFraction); err != nil {
+			if err := collector.ReportEndpointLoad(endpoint.Name, reported.requestsPerProxy/2, reported.failedAttempts, reported.latencyMs, reported.busyFraction); err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
 		}
 		for _, proxy := range d.proxiesIn(zone) {
-			err := errors.Join(collector.ReportProxy(proxy, "read", reported.requestsPerProxy), collector.ReportProxy(proxy, "sign", reported.requestsPerProxy/5))
+			err := errors.Join(collector.ReportProxyTraffic(proxy, "read", reported.requestsPerProxy), collector.ReportProxyTraffic(proxy, "sign", reported.requestsPerProxy/5))
 			if err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
@@ -137,7 +137,7 @@
 // endpoint and its weight.
 func (d *demo) formatTableOfProxy0() (text string) {
 	d.relay.Inspect(func(state *relaytest.State) {
-		for _, table := range state.Proxies[0].Tables {
+		for _, table := range state.Proxies[0].TableByClass {
 			var entries []string
 			for _, endpoint := range slices.Sorted(maps.Keys(state.Tables[table])) {
 				entries = append(entries, fmt.Sprintf("%s %.2f", endpoint, state.Tables[table][endpoint]))
@@ -154,7 +154,7 @@
 func (d *demo) rateLimitsBelow(class string, requestRate float64) (proxies int, lowest float64) {
 	lowest = requestRate
 	d.relay.Inspect(func(state *relaytest.State) {
-		for key, text := range state.Limits {
+		for key, text := range state.RateLimits {
 			limit, err := strconv.ParseFloat(text, 64)
 			if err == nil && strings.HasSuffix(key, ","+class) && limit < requestRate {
 				proxies++
@@ -169,7 +169,7 @@
 func (d *demo) countProxiesWith(endpoint string) (proxies int) {
 	d.relay.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
-			for _, table := range proxy.Tables {
+			for _, table := range proxy.TableByClass {
 				if state.Tables[table][endpoint] > 0 {
 					proxies++
 					break
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -46,7 +46,7 @@
 		d.relay.Connect(id, zone, float64(normalLoad().requestsPerProxy), false)
 	}
 	d.printf("Six proxies connect. They hold tables of a previous assigner, which this one does not know.")
-	if !eventually.True(orderTimeout, func() bool { return d.relay.AllAttached("") }) {
+	if !eventually.True(orderTimeout, func() bool { return d.relay.AllProxiesAttached("") }) {
 		return errNotAttached
 	}
 	d.printf("Each proxy has a table of its own, which prefers endpoints of its zone. Proxy 0, zone x: %s", d.formatTableOfProxy0())
--- a/internal/collectortest/collectortest.go
+++ b/internal/collectortest/collectortest.go
@@ -1,4 +1,5 @@
-// Package collectortest provides a fake collector, which sends the reports of a zone to an assigner, for tests and the demo.
+// Package collectortest provides a fake collector for tests and the demo. A collector sends the load reports of a
+// zone to an assigner.
 package collectortest
 
 import (
@@ -12,41 +13,42 @@
 	"madderhollow/internal/eventually"
 )
 
-// Errors of an assigner that does not answer as expected.
+// Errors for an assigner that does not respond as expected.
 var (
-	ErrNoPong       = errors.New("answer is not a pong")
-	ErrNotListening = errors.New("no assigner listens")
+	ErrNotPong      = errors.New("response is not a pong")
+	ErrNotListening = errors.New("no assigner is listening")
 )
 
-// pingTimeout bounds the time of a pong to a collector of DialAll.
+// pingTimeout is the time within which the assigner must answer the ping that DialAll sends on each connection.
 const pingTimeout = 10 * time.Second
 
-// reportInterval is the time that each report covers, in milliseconds.
-const reportInterval = 1000
+// reportIntervalMillis is the length of the period that each report covers, in milliseconds.
+const reportIntervalMillis = 1000
 
-// Collector is one connection to an assigner. Only one goroutine at a time may use it.
+// Collector is a fake collector with one connection to an assigner. It is not safe for concurrent use.
 type Collector struct {
 	zone   string
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// Dial connects to an assigner and identifies itself as the collector of a zone. It has no timeout of its own. The caller
-// closes the collector.
+// Dial connects to an assigner and sends the message that identifies the collector of a zone. It sets no timeout.
+// The caller must close the collector.
 func Dial(address, zone string) (*Collector, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("collector: %w", err)
+		return nil, fmt.Errorf("fake collector: %w", err)
 	}
 	c := &Collector{zone, conn, bufio.NewReader(conn)}
-	if err := c.sendMessage(identification{Type: collectorType, Zone: zone}); err != nil {
+	if err := c.sendMessage(collectorIdentification{Type: collectorType, Zone: zone}); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
 	return c, nil
 }
 
-// DialAll returns a collector for each zone, by zone, once the assigner has answered a ping of each. Each connection is retried
-// until the timeout has passed. The caller closes the collectors, also those that are returned with an error.
+// DialAll connects a collector for each zone and returns the collectors by zone. It returns once the assigner has
+// answered a ping from each of them. For each zone it retries the connection until the timeout has passed. The
+// caller must close the collectors, including the collectors that DialAll returns together with an error.
 func DialAll(address string, timeout time.Duration, zones ...string) (map[string]*Collector, error) {
 	collectors := map[string]*Collector{}
 	for _, zone := range zones {
@@ -68,85 +70,86 @@
 	return collectors, nil
 }
 
-// Close closes the connection.
+// Close closes the connection to the assigner.
 func (c *Collector) Close() error {
 	if err := c.conn.Close(); err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
 	return nil
 }
 
-// Send writes a line.
-func (c *Collector) Send(line string) error { return c.Write(line + "\n") }
+// SendLine sends a line: the given text followed by a newline.
+func (c *Collector) SendLine(line string) error { return c.Write(line + "\n") }
 
-// Write writes a text without a line end, for instance an incomplete line.
+// Write sends a text as it is. Without a newline at its end, the text is an incomplete line.
 func (c *Collector) Write(text string) error {
 	if _, err := c.conn.Write([]byte(text)); err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
 	return nil
 }
 
-// ReportEndpoint reports the attempts of one second at an endpoint, those that failed, the mean latency in milliseconds, and
-// the endpoint's busy fraction.
-func (c *Collector) ReportEndpoint(endpoint string, attempts, failed int, latency, busy float64) error {
+// ReportEndpointLoad sends a load report on the attempts at an endpoint during one second: the number of attempts,
+// the number of failed attempts, the mean latency in milliseconds, and the busy fraction of the endpoint.
+func (c *Collector) ReportEndpointLoad(endpoint string, attempts, failed int, meanLatencyMillis, busyFraction float64) error {
 	report := endpointLoadReport{
-		Type:        endpointLoadReportType,
-		Zone:        c.zone,
-		Endpoint:    endpoint,
-		Attempts:    attempts,
-		Failed:      failed,
-		MeanLatency: latency,
-		Interval:    reportInterval,
+		Type:              endpointLoadReportType,
+		Zone:              c.zone,
+		Endpoint:          endpoint,
+		Attempts:          attempts,
+		Failed:            failed,
+		MeanLatencyMillis: meanLatencyMillis,
+		IntervalMillis:    reportIntervalMillis,
 	}
-	report.Load.BusyFraction = busy
+	report.Load.BusyFraction = busyFraction
 	return c.sendMessage(report)
 }
 
-// ReportProxy reports the requests of a class that reached a proxy in one second.
-func (c *Collector) ReportProxy(proxy int, class string, requests int) error {
+// ReportProxyTraffic reports the number of requests of a request class that reached a proxy during one second.
+func (c *Collector) ReportProxyTraffic(proxy int, requestClass string, requests int) error {
 	return c.sendMessage(proxyTrafficReport{
-		Type:         proxyTrafficReportType,
-		Proxy:        proxy,
-		RequestClass: class,
-		Requests:     requests,
-		Interval:     reportInterval,
+		Type:           proxyTrafficReportType,
+		Proxy:          proxy,
+		RequestClass:   requestClass,
+		Requests:       requests,
+		IntervalMillis: reportIntervalMillis,
 	})
 }
 
-// SendTruncatedReport sends the beginning of a report as a line, which is malformed.
+// SendTruncatedReport sends a malformed line: the first half of a load report.
 func (c *Collector) SendTruncatedReport() error {
 	text, err := json.Marshal(endpointLoadReport{Type: endpointLoadReportType, Zone: c.zone})
 	if err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
-	return c.Send(string(text[:len(text)/2]))
+	return c.SendLine(string(text[:len(text)/2]))
 }
 
-// sendMessage sends a message as a line.
-func (c *Collector) sendMessage(content any) error {
-	text, err := json.Marshal(content)
+// sendMessage encodes a message as JSON and sends it as a line.
+func (c *Collector) sendMessage(message any) error {
+	text, err := json.Marshal(message)
 	if err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
-	return c.Send(string(text))
+	return c.SendLine(string(text))
 }
 
-// Ping sends a ping and waits for the pong until the timeout has passed.
+// Ping sends a ping and waits for the pong. It returns an error if no message arrives within the timeout, and an error
+// that wraps ErrNotPong if the message is not a pong.
 func (c *Collector) Ping(timeout time.Duration) error {
 	if err := c.conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
-	if err := c.sendMessage(message{Type: pingType}); err != nil {
+	if err := c.sendMessage(pingMessage{Type: pingType}); err != nil {
 		return err
 	}
 	line, err := c.reader.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("collector: %w", err)
+		return fmt.Errorf("fake collector: %w", err)
 	}
-	var answer message
-	if json.Unmarshal(line, &answer) != nil || answer.Type != pongType {
-		return fmt.Errorf("%w: %q", ErrNoPong, line)
+	var reply pingMessage
+	if json.Unmarshal(line, &reply) != nil || reply.Type != pongType {
+		return fmt.Errorf("%w: %q", ErrNotPong, line)
 	}
 	return nil
 }
--- a/internal/collectortest/example_test.go
+++ b/internal/collectortest/example_test.go
@@ -9,9 +9,9 @@
 	"madderhollow/internal/collectortest"
 )
 
-// A collector identifies itself and reports the requests of a class at a proxy.
+// Connects a collector, which identifies itself, and reports the requests of a request class at a proxy.
 func Example() {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // stands for an assigner
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // takes the place of an assigner
 	if err != nil {
 		log.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 		return
 	}
 	defer func() { _ = collector.Close() }()
-	if err := collector.ReportProxy(1, "read", 20); err != nil {
+	if err := collector.ReportProxyTraffic(1, "read", 20); err != nil {
 		log.Print(err)
 		return
 	}
--- a/internal/collectortest/names.go
+++ b/internal/collectortest/names.go
@@ -1,8 +1,9 @@
 package collectortest
 
-// This file maps the names of the protocol at an assigner's address to the terms of this program.
+// This file defines the messages of the protocol that an assigner speaks at its listening address, with their names
+// on the wire.
 
-// Types of messages.
+// Values of the type field of a message.
 const (
 	pingType               = "ping"
 	pongType               = "pong"
@@ -11,37 +12,37 @@
 	proxyTrafficReportType = "usage"
 )
 
-// message is a ping or a pong.
-type message struct {
+// pingMessage is a ping or the pong that answers it.
+type pingMessage struct {
 	Type string `json:"@type"`
 }
 
-// identification identifies the collector of a zone.
-type identification struct {
+// collectorIdentification is the first message on a connection. It identifies the sender as the collector of a zone.
+type collectorIdentification struct {
 	Type string `json:"@type"`
 	Zone string `json:"locality"`
 }
 
-// endpointLoadReport reports the attempts at an endpoint.
+// endpointLoadReport reports the attempts at an endpoint and the endpoint's load during an interval.
 type endpointLoadReport struct {
-	Type        string  `json:"@type"`
-	Zone        string  `json:"locality"`
-	Endpoint    string  `json:"endpoint"`
-	Attempts    int     `json:"total"`
-	Failed      int     `json:"errors"`
-	MeanLatency float64 `json:"rtt"`      // ms
-	Interval    int     `json:"interval"` // ms
-	Load        struct {
+	Type              string  `json:"@type"`
+	Zone              string  `json:"locality"`
+	Endpoint          string  `json:"endpoint"`
+	Attempts          int     `json:"total"`
+	Failed            int     `json:"errors"`
+	MeanLatencyMillis float64 `json:"rtt"`
+	IntervalMillis    int     `json:"interval"`
+	Load              struct {
 		BusyFraction float64 `json:"util"`
 	} `json:"metrics"`
 }
 
-// proxyTrafficReport reports the requests of a class at a proxy.
+// proxyTrafficReport reports the requests of a request class that reached a proxy during an interval.
 type proxyTrafficReport struct {
-	Type         string `json:"@type"`
-	Proxy        int    `json:"node"`
-	RequestClass string `json:"route"`
-	Requests     int    `json:"total"`
-	Failed       int    `json:"errors"`
-	Interval     int    `json:"interval"` // ms
+	Type           string `json:"@type"`
+	Proxy          int    `json:"node"`
+	RequestClass   string `json:"route"`
+	Requests       int    `json:"total"`
+	Failed         int    `json:"errors"`
+	IntervalMillis int    `json:"interval"`
 }
--- a/internal/eventloop/timers_test.go
+++ b/internal/eventloop/timers_test.go
@@ -23,7 +23,7 @@
 			return x.id - y.id
 		})
 	}
-	quickcheck.Seeds(t, 100, property)
+	quickcheck.CheckSeeds(t, 100, property)
 }
 
 func TestTimerQueueRejectsTimerWhenFull(t *testing.T) {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden compares the output of a test with a recorded file in its testdata directory. With the environment variable
-// GOLDEN_UPDATE set, it records the file again.
+// Package golden compares the output of a test with a golden file, which holds the expected output, in the testdata
+// directory of the test's package. If the environment variable GOLDEN_UPDATE is set, it writes the output to the
+// golden file first.
 package golden
 
 import (
@@ -9,19 +10,19 @@
 	"testing"
 )
 
-// updateVariable is the environment variable that makes Compare write files.
-const updateVariable = "GOLDEN_UPDATE"
+// updateEnvVar is the environment variable that makes Compare write the golden files, if its value is not empty.
+const updateEnvVar = "GOLDEN_UPDATE"
 
-// filePermissions are the permissions of recorded files.
-const filePermissions = 0o644
+// goldenFileMode holds the permission bits with which golden files are created.
+const goldenFileMode = 0o644
 
-// Compare reports a test error for each line in which got differs from the file, and stops the test if the number of lines
-// differs.
+// Compare compares got with the golden file of this name, line by line. It reports a test error for each line that
+// differs. If the numbers of lines differ, it stops the test instead.
 func Compare(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
-	if os.Getenv(updateVariable) != "" {
-		if err := os.WriteFile(path, got, filePermissions); err != nil {
+	if os.Getenv(updateEnvVar) != "" {
+		if err := os.WriteFile(path, got, goldenFileMode); err != nil {
 			tb.Fatal(err)
 		}
 	}
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -92,7 +92,7 @@
 	if conn.ServerClosed() || conn.HasUnreadBytes() {
 		t.Errorf("open connection: got server closed %t, unread %t; want false, false", conn.ServerClosed(), conn.HasUnreadBytes())
 	}
-	if !eventually.True(timeout, func() bool { return server.CloseIdle() > 0 }) {
+	if !eventually.True(timeout, func() bool { return server.CloseIdleConnections() > 0 }) {
 		t.Fatal("got no idle connection, want one")
 	}
 	if !eventually.True(timeout, conn.ServerClosed) {
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -114,7 +114,7 @@
 		}
 		return true
 	}
-	quickcheck.Seeds(t, 300, property)
+	quickcheck.CheckSeeds(t, 300, property)
 }
 
 // If an attachment was not applied or may not have been applied, the proxy may still use its previous table. Orders for
--- a/internal/quickcheck/quickcheck.go
+++ b/internal/quickcheck/quickcheck.go
@@ -1,4 +1,5 @@
-// Package quickcheck tests properties of seeded scenarios with testing/quick. Every run uses the same seeds.
+// Package quickcheck tests properties of random scenarios with testing/quick. A scenario is generated from a seed,
+// and every run of a test uses the same seeds.
 package quickcheck
 
 import (
@@ -7,11 +8,12 @@
 	"testing/quick"
 )
 
-// sourceSeed is the seed of the source from which the seeds of the scenarios are drawn.
+// sourceSeed is the seed of the random source that generates the seeds of the scenarios.
 const sourceSeed = 1
 
-// Seeds fails the test, and prints the seed, unless a property holds for count seeds.
-func Seeds(t *testing.T, count int, property func(seed int64) bool) {
+// CheckSeeds calls a property with count seeds. At the first seed for which the property is false, it stops and
+// reports a test error that contains the seed.
+func CheckSeeds(t *testing.T, count int, property func(seed int64) bool) {
 	t.Helper()
 	config := &quick.Config{MaxCount: count, Rand: rand.New(rand.NewSource(sourceSeed))}
 	if err := quick.Check(property, config); err != nil {
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -22,7 +22,7 @@
 func TestEventReaderResyncsAfterBreak(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeat(20 * time.Millisecond)
+	setup.SetHeartbeatInterval(20 * time.Millisecond)
 	setup.connectProxies(3)
 	setup.queue.Submit([]assign.Order{
 		assign.SetWeight{Table: 5, Endpoint: "t", Weight: 1},
@@ -35,9 +35,9 @@
 	}
 	setup.Inspect(func(state *relaytest.State) {
 		delete(state.Proxies, 2) // proxy 2 disconnects without an event
-		state.Proxies[1].Tables = map[string]int{}
+		state.Proxies[1].TableByClass = map[string]int{}
 	})
-	setup.CutStreams("")
+	setup.AbortStreams("")
 	want = []assign.Event{
 		assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, DefaultTablesOnly: true},
 		assign.ProxyConnected{Proxy: 1, Zone: "a", TypicalRate: 2},
@@ -53,10 +53,10 @@
 func TestEventReaderSkipsUndecodableEventOfSnapshot(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeat(20 * time.Millisecond)
+	setup.SetHeartbeatInterval(20 * time.Millisecond)
 	setup.connectProxies(2)
 	setup.Inspect(func(state *relaytest.State) { state.Proxies[1].Zone = "nowhere" })
-	setup.CutStreams(malformedEvent)
+	setup.AbortStreams(malformedEvent)
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, DefaultTablesOnly: true}
 	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
@@ -75,7 +75,7 @@
 func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeat(time.Hour)
+	setup.SetHeartbeatInterval(time.Hour)
 	setup.connectProxies(1)
 	want := []assign.Event{assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, DefaultTablesOnly: true}}
 	if got := setup.takeEvents(1); !reflect.DeepEqual(got, want) {
@@ -127,7 +127,7 @@
 		random := rand.New(rand.NewSource(seed))
 		setup := newHarness(t, seed, zerolog.Nop())
 		defer setup.stop(t)
-		setup.SetHeartbeat(30 * time.Millisecond)
+		setup.SetHeartbeatInterval(30 * time.Millisecond)
 		setup.connectProxies(stableProxies)
 		connected, orders := map[int]bool{}, 0
 		for range 4 {
@@ -160,7 +160,7 @@
 		}
 		return same
 	}
-	quickcheck.Seeds(t, 8, property)
+	quickcheck.CheckSeeds(t, 8, property)
 }
 
 // tableSize returns the number of entries in table 1.
@@ -185,7 +185,7 @@
 		}
 		calls <- struct{}{}
 		<-release
-		return relaytest.ResetAfter
+		return relaytest.AbortAfterApplying
 	})
 	setup.queue.Submit([]assign.Order{
 		assign.AttachTable{Proxy: 3, Table: 1},
@@ -210,7 +210,7 @@
 		t.Error("got no entry for the next order, want one")
 	}
 	setup.Inspect(func(state *relaytest.State) {
-		for _, call := range state.Calls[1:] {
+		for _, call := range state.ProcessedCalls[1:] {
 			for _, order := range call {
 				if strings.HasPrefix(order, attachPrefix+"3") {
 					t.Errorf("got call %v, want no attachment for a connection that has ended", call)
@@ -225,17 +225,17 @@
 func TestEventReaderResyncsWhenOldStreamBreaksDuringHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeat(time.Hour) // keeps the new stream waiting for a heartbeat of the old stream
+	setup.SetHeartbeatInterval(time.Hour) // keeps the new stream waiting for a heartbeat of the old stream
 	setup.connectProxies(3)
 	setup.Inspect(func(state *relaytest.State) { delete(state.Proxies, 1) })
 	if err := setup.Move("", time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	setup.address.Set(setup.Address())
-	if !eventually.True(testTimeout, func() bool { return setup.Readers() == 2 }) {
-		t.Fatalf("got %d streams, want 2", setup.Readers())
+	if !eventually.True(testTimeout, func() bool { return setup.OpenStreamCount() == 2 }) {
+		t.Fatalf("got %d streams, want 2", setup.OpenStreamCount())
 	}
-	setup.CutOldestStream()
+	setup.AbortOldestStream()
 	setup.Disconnect(2)
 	got, want := map[int]int{}, map[int]int{0: 1, 1: -1, 2: -1}
 	same := eventually.True(testTimeout, func() bool {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -150,7 +150,7 @@
 
 // callCount returns the number of calls that the relay has applied.
 func (h *harness) callCount() (n int) {
-	h.Inspect(func(state *relaytest.State) { n = len(state.Calls) })
+	h.Inspect(func(state *relaytest.State) { n = len(state.ProcessedCalls) })
 	return n
 }
 
@@ -158,8 +158,8 @@
 func (h *harness) exceedsMessageLimit() (exceeded bool) {
 	h.Inspect(func(state *relaytest.State) {
 		for _, proxy := range state.Proxies {
-			for i := messageLimit; i < len(proxy.Messages); i++ {
-				exceeded = exceeded || proxy.Messages[i].Sub(proxy.Messages[i-messageLimit]) < messageWindow
+			for i := messageLimit; i < len(proxy.MessageTimes); i++ {
+				exceeded = exceeded || proxy.MessageTimes[i].Sub(proxy.MessageTimes[i-messageLimit]) < messageWindow
 			}
 		}
 	})
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -65,7 +65,7 @@
 func TestEventReaderLogsFailingHandoverOnce(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
-	setup.SetHeartbeat(20 * time.Millisecond)
+	setup.SetHeartbeatInterval(20 * time.Millisecond)
 	setup.Connect(0, "a", 1, true)
 	setup.takeEvents(1)
 	setup.address.Set(closedAddress)
@@ -117,25 +117,25 @@
 	}{
 		{
 			name:     "ambiguous",
-			fault:    relaytest.ResetBefore,
+			fault:    relaytest.AbortBeforeApplying,
 			failures: 4,
 			want:     []string{"call outcome unknown; repeating unless acknowledged", "calls answered again"},
 		},
 		{
 			name:     "busy",
-			fault:    relaytest.BusyAnswer,
+			fault:    relaytest.BusyResponse,
 			failures: 5,
 			want:     []string{"relay busy; call delayed", "relay no longer busy"},
 		},
 		{
 			name:     "syntax error",
-			fault:    relaytest.SyntaxAnswer,
+			fault:    relaytest.SyntaxErrorResponse,
 			failures: maxSyntaxErrors - 1,
 			want:     []string{"relay cannot parse call; retrying", "relay parses calls again"},
 		},
 		{
 			name:     "syntax error, dropped",
-			fault:    relaytest.SyntaxAnswer,
+			fault:    relaytest.SyntaxErrorResponse,
 			failures: maxSyntaxErrors,
 			want:     []string{"relay cannot parse call; retrying", "call dropped; relay cannot parse it"},
 		},
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -56,7 +56,7 @@
 	isEmpty := func(_ int, table map[string]float64) bool { return len(table) == 0 }
 	maps.DeleteFunc(state.Tables, isEmpty)
 	maps.DeleteFunc(e.tables, isEmpty)
-	return reflect.DeepEqual(state.Tables, e.tables) && maps.Equal(state.Limits, e.limits)
+	return reflect.DeepEqual(state.Tables, e.tables) && maps.Equal(state.RateLimits, e.limits)
 }
 
 // randomFaults returns a function that chooses a random fault for four calls in ten, and a function that stops the
@@ -70,8 +70,8 @@
 		if random.Float64() >= faultProbability {
 			return relaytest.NoFault
 		}
-		return []relaytest.Fault{relaytest.ResetBefore, relaytest.ResetAfter, relaytest.GarbledAnswer, relaytest.BusyAnswer,
-			relaytest.SilentAfter, relaytest.SilentBefore, relaytest.HalfApplied}[random.Intn(7)]
+		return []relaytest.Fault{relaytest.AbortBeforeApplying, relaytest.AbortAfterApplying, relaytest.MalformedResponse, relaytest.BusyResponse,
+			relaytest.HangAfterApplying, relaytest.HangBeforeApplying, relaytest.HalfApplied}[random.Intn(7)]
 	}
 	return fault, func() {
 		mu.Lock()
@@ -120,7 +120,7 @@
 		}
 		return same && !setup.exceedsMessageLimit()
 	}
-	quickcheck.Seeds(t, 20, property)
+	quickcheck.CheckSeeds(t, 20, property)
 }
 
 // The relay may learn of an endpoint or a proxy a moment later than the assigner, so an order that is rejected once is
@@ -138,7 +138,7 @@
 		calls++
 		switch calls {
 		case 1:
-			return relaytest.ResetBefore // makes the next call contain all orders
+			return relaytest.AbortBeforeApplying // makes the next call contain all orders
 		case 2:
 			return relaytest.HalfApplied
 		}
@@ -158,9 +158,9 @@
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 	setup.Inspect(func(state *relaytest.State) {
-		if len(state.Tables[1]) != 4 || len(state.Proxies[3].Tables) != 2 {
+		if len(state.Tables[1]) != 4 || len(state.Proxies[3].TableByClass) != 2 {
 			t.Errorf("got entries %v, attached %v; want 4 entries, tables attached for 2 classes",
-				state.Tables[1], state.Proxies[3].Tables)
+				state.Tables[1], state.Proxies[3].TableByClass)
 		}
 	})
 }
@@ -179,7 +179,7 @@
 		case <-recovered:
 			return relaytest.NoFault
 		default:
-			return relaytest.ResetBefore
+			return relaytest.AbortBeforeApplying
 		}
 	})
 	for i := range batches {
@@ -205,7 +205,7 @@
 		}
 	}
 	setup.Inspect(func(state *relaytest.State) {
-		if n := len(state.Proxies[3].Messages); n > 2 || state.Tables[1]["t"] != batches {
+		if n := len(state.Proxies[3].MessageTimes); n > 2 || state.Tables[1]["t"] != batches {
 			t.Errorf("got %d messages, weight %v; want at most 2, weight %d", n, state.Tables[1]["t"], batches)
 		}
 	})
@@ -221,7 +221,7 @@
 		if !eventually.True(testTimeout, func() bool { return setup.callCount() == i+1 }) {
 			t.Fatalf("got %d calls, want %d", setup.callCount(), i+1)
 		}
-		if !eventually.True(testTimeout, func() bool { return setup.CloseIdle() > 0 }) {
+		if !eventually.True(testTimeout, func() bool { return setup.CloseIdleConnections() > 0 }) {
 			t.Fatal("got no idle connection, want one")
 		}
 	}
@@ -252,21 +252,21 @@
 	}
 	want := [][]string{encodeOrders(t, entryBatch("a", 1)), encodeOrders(t, entryBatch("b", 2))}
 	setup.Inspect(func(state *relaytest.State) {
-		if !reflect.DeepEqual(state.Calls, want) {
-			t.Errorf("got calls %v, want %v", state.Calls, want)
+		if !reflect.DeepEqual(state.ProcessedCalls, want) {
+			t.Errorf("got calls %v, want %v", state.ProcessedCalls, want)
 		}
 	})
 }
 
 func TestShutdownEndsInTimeDespiteFault(t *testing.T) {
 	for name, fault := range map[string]relaytest.Fault{
-		"no answer, not applied": relaytest.SilentBefore,
-		"no answer, applied":     relaytest.SilentAfter,
-		"reset, not applied":     relaytest.ResetBefore,
-		"reset, applied":         relaytest.ResetAfter,
-		"garbled answer":         relaytest.GarbledAnswer,
-		"busy":                   relaytest.BusyAnswer,
-		"syntax error":           relaytest.SyntaxAnswer,
+		"no answer, not applied": relaytest.HangBeforeApplying,
+		"no answer, applied":     relaytest.HangAfterApplying,
+		"reset, not applied":     relaytest.AbortBeforeApplying,
+		"reset, applied":         relaytest.AbortAfterApplying,
+		"garbled answer":         relaytest.MalformedResponse,
+		"busy":                   relaytest.BusyResponse,
+		"syntax error":           relaytest.SyntaxErrorResponse,
 		"half accepted":          relaytest.HalfApplied,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relaytest/example_test.go
+++ b/internal/relaytest/example_test.go
@@ -9,7 +9,8 @@
 	"madderhollow/internal/relaytest"
 )
 
-// A call sets the weight of an endpoint in table 7 and attaches the table to proxy 1 for all request classes.
+// Sends one call whose orders set the weight of an endpoint in table 7 and attach table 7 to proxy 1 for all request
+// classes.
 func Example() {
 	relay, err := relaytest.New("", "read", "write")
 	if err != nil {
@@ -28,7 +29,7 @@
 
 	relay.Inspect(func(state *relaytest.State) {
 		fmt.Println("weights:", state.Tables[7])
-		fmt.Println("tables of proxy 1:", state.Proxies[1].Tables)
+		fmt.Println("tables of proxy 1:", state.Proxies[1].TableByClass)
 	})
 	// Output:
 	// weights: map[server-1:0.5]
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -10,46 +10,49 @@
 	"time"
 )
 
-// errRejected is returned for an order that the relay does not apply.
-var errRejected = errors.New("order rejected")
+// errOrderRejected is returned for an order that is malformed or names a proxy that is not connected.
+var errOrderRejected = errors.New("order rejected")
 
-// call is a call while it is being applied.
-type call struct {
-	state      *State
-	classes    []string
-	reached    map[int]bool // proxies that get a message
-	sequence   string       // to be acknowledged; empty: no acknowledgment was requested
-	allProxies bool         // all proxies acknowledge, not only those reached
+// callExecution is the state of a call while its orders are being applied.
+type callExecution struct {
+	relayState     *State
+	requestClasses []string
+	reachedProxies map[int]bool // set of the proxies that receive a message because of the call
+	sequenceNumber string       // sequence number to acknowledge; empty if no acknowledgment was requested
+	allAcknowledge bool         // true if all connected proxies have to acknowledge, not only the reached proxies
 }
 
-// applyCall applies the orders of a call up to the first that is rejected, and returns the number of applied orders. The
-// proxies that the call reaches acknowledge it at once.
+// applyCall applies the orders of a call up to the first rejected order, and returns the number of applied orders.
+// It records the time of the call as a message time of each proxy that the call reaches. If an order requested
+// acknowledgments, each of these proxies acknowledges the call at once. If the order requested them from all proxies,
+// the call reaches every connected proxy.
 func (r *Relay) applyCall(orders []string) (applied int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.Calls = append(r.state.Calls, orders)
-	call := &call{state: &r.state, classes: r.classes, reached: map[int]bool{}}
+	r.state.ProcessedCalls = append(r.state.ProcessedCalls, orders)
+	execution := &callExecution{relayState: &r.state, requestClasses: r.requestClasses, reachedProxies: map[int]bool{}}
 	for _, order := range orders {
-		if call.applyOrder(strings.Split(order, argumentSeparator)) != nil {
+		if execution.applyOrder(strings.Split(order, argumentSeparator)) != nil {
 			break
 		}
 		applied++
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.state.Proxies)) {
-		if !call.reached[id] && !call.allProxies {
+		if !execution.reachedProxies[id] && !execution.allAcknowledge {
 			continue
 		}
 		p := r.state.Proxies[id]
-		p.Messages = append(p.Messages, time.Now())
-		if call.sequence != "" {
-			r.events.send(acknowledgedEvent(id, call.sequence))
+		p.MessageTimes = append(p.MessageTimes, time.Now())
+		if execution.sequenceNumber != "" {
+			r.events.send(acknowledgedEvent(id, execution.sequenceNumber))
 		}
 	}
 	return applied
 }
 
-// fieldCount returns the number of fields of an order, including its name; 0 for an unknown order.
-func fieldCount(name string) int {
+// orderFieldCount returns the number of fields that an order with this name has. The name counts as a field. For an
+// unknown name it returns 0.
+func orderFieldCount(name string) int {
 	switch name {
 	case setWeightOrder, attachTableOrder:
 		return 4
@@ -63,33 +66,33 @@
 	return 0
 }
 
-// applyOrder applies one order, given by its fields.
-func (c *call) applyOrder(fields []string) error {
+// applyOrder applies one order. The first field is the order's name, the others are its arguments.
+func (c *callExecution) applyOrder(fields []string) error {
 	name := fields[0]
-	if len(fields) != fieldCount(name) {
-		return errRejected
+	if len(fields) != orderFieldCount(name) {
+		return errOrderRejected
 	}
 	switch name {
 	case setWeightOrder:
-		return c.setWeight(number(fields[1]), fields[2], fields[3])
+		return c.setWeight(parseIntOrZero(fields[1]), fields[2], fields[3])
 	case clearTableOrder:
-		c.clearTable(number(fields[1]))
+		c.clearTable(parseIntOrZero(fields[1]))
 	case attachTableOrder:
-		return c.attach(number(fields[1]), number(fields[2]), fields[3])
+		return c.attach(parseIntOrZero(fields[1]), parseIntOrZero(fields[2]), fields[3])
 	case setRateLimitOrder:
-		c.state.Limits[fields[1]+argumentSeparator+fields[2]] = fields[3]
-		c.reachProxiesWith(number(fields[1]))
+		c.relayState.RateLimits[fields[1]+argumentSeparator+fields[2]] = fields[3]
+		c.markProxiesReached(parseIntOrZero(fields[1]))
 	case ejectEndpointOrder, restoreEndpointOrder:
-		c.state.Ejected[fields[1]] = name == ejectEndpointOrder
+		c.relayState.Ejected[fields[1]] = name == ejectEndpointOrder
 	case acknowledgmentRequestOrder:
-		c.sequence = fields[1]
-		c.allProxies = fields[2] == fromAllProxies
+		c.sequenceNumber = fields[1]
+		c.allAcknowledge = fields[2] == allProxiesAcknowledge
 	}
 	return nil
 }
 
-// number parses an integer. It returns 0 for any other text.
-func number(field string) int {
+// parseIntOrZero parses a decimal integer. It returns 0 for a text that is not an integer.
+func parseIntOrZero(field string) int {
 	n, err := strconv.Atoi(field)
 	if err != nil {
 		return 0
@@ -97,58 +100,60 @@
 	return n
 }
 
-// setWeight sets the weight of a table entry. Weight 0 removes the entry.
-func (c *call) setWeight(table int, endpoint, text string) error {
+// setWeight sets the weight of an endpoint's entry in a table. Weight 0 removes the entry. A weight that is negative
+// or not a number is rejected.
+func (c *callExecution) setWeight(table int, endpoint, text string) error {
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || weight < 0 {
-		return errRejected
+		return errOrderRejected
 	}
-	if c.state.Tables[table] == nil {
-		c.state.Tables[table] = map[string]float64{}
+	if c.relayState.Tables[table] == nil {
+		c.relayState.Tables[table] = map[string]float64{}
 	}
-	c.state.Tables[table][endpoint] = weight
+	c.relayState.Tables[table][endpoint] = weight
 	if weight == 0 {
-		delete(c.state.Tables[table], endpoint)
+		delete(c.relayState.Tables[table], endpoint)
 	}
-	c.reachProxiesWith(table)
+	c.markProxiesReached(table)
 	return nil
 }
 
-// clearTable removes a table's entries and rate limits.
-func (c *call) clearTable(table int) {
-	delete(c.state.Tables, table)
+// clearTable removes the entries and the rate limits of a table.
+func (c *callExecution) clearTable(table int) {
+	delete(c.relayState.Tables, table)
 	prefix := strconv.Itoa(table) + argumentSeparator
-	maps.DeleteFunc(c.state.Limits, func(key, _ string) bool { return strings.HasPrefix(key, prefix) })
-	c.reachProxiesWith(table)
+	maps.DeleteFunc(c.relayState.RateLimits, func(key, _ string) bool { return strings.HasPrefix(key, prefix) })
+	c.markProxiesReached(table)
 }
 
-// attach makes a proxy use a table for request classes. It rejects a proxy that is not connected.
-func (c *call) attach(id, table int, classes string) error {
-	p := c.state.Proxies[id]
+// attach makes a proxy use a table for the listed request classes, or for all of them. The order is rejected if the
+// proxy is not connected.
+func (c *callExecution) attach(proxyID, table int, classList string) error {
+	p := c.relayState.Proxies[proxyID]
 	if p == nil {
-		return errRejected
+		return errOrderRejected
 	}
-	names := strings.Split(classes, requestClassSeparator)
-	if classes == allClasses {
-		names = c.classes
+	requestClasses := strings.Split(classList, requestClassSeparator)
+	if classList == allRequestClasses {
+		requestClasses = c.requestClasses
 	}
-	for _, class := range names {
-		p.Tables[class] = table
+	for _, class := range requestClasses {
+		p.TableByClass[class] = table
 	}
-	c.reached[id] = true
+	c.reachedProxies[proxyID] = true
 	return nil
 }
 
-// reachProxiesWith marks the proxies with an attached table as reached.
-func (c *call) reachProxiesWith(table int) {
-	for id, p := range c.state.Proxies {
-		for _, used := range p.Tables {
-			c.reached[id] = c.reached[id] || used == table
+// markProxiesReached adds each proxy that uses the table to the proxies that the call reaches.
+func (c *callExecution) markProxiesReached(table int) {
+	for id, p := range c.relayState.Proxies {
+		for _, attached := range p.TableByClass {
+			c.reachedProxies[id] = c.reachedProxies[id] || attached == table
 		}
 	}
 }
 
-// acknowledgedEvent returns the event of a proxy that has applied a call.
-func acknowledgedEvent(proxy int, sequence string) string {
-	return fmt.Sprintf(acknowledgedFormat, proxy, sequence)
+// acknowledgedEvent formats the event by which a proxy acknowledges the sequence number of a call.
+func acknowledgedEvent(proxy int, sequenceNumber string) string {
+	return fmt.Sprintf(acknowledgedEventFormat, proxy, sequenceNumber)
 }
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -1,6 +1,6 @@
-// Package relaytest provides a fake relay with its proxies for tests and the demo, as net/http/httptest does for HTTP. It
-// applies the orders of calls to its State, sends proxies' events and acknowledgments on event streams, and injects faults.
-// Its proxies serve no requests.
+// Package relaytest provides a fake relay and fake proxies for tests and the demo, as net/http/httptest provides
+// servers for tests of HTTP clients. The relay applies the orders of each call to its State, sends the events and
+// acknowledgments of the proxies on event streams, and injects faults into calls. The proxies serve no requests.
 package relaytest
 
 import (
@@ -13,81 +13,85 @@
 	"madderhollow/internal/testserver"
 )
 
-// Fault is a failure of one call.
+// Fault is a failure that the relay injects into a call.
 type Fault int
 
-// The faults of a call.
+// Faults that the relay can inject into a call.
 const (
-	NoFault       Fault = iota
-	ResetBefore         // no order is applied, the connection is reset
-	ResetAfter          // all orders are applied, then the connection is reset
-	SilentBefore        // no order is applied, no answer is sent
-	SilentAfter         // all orders are applied, no answer is sent
-	GarbledAnswer       // all orders are applied, the answer is malformed
-	HalfApplied         // the first half of the orders is applied, the next one is rejected
-	BusyAnswer          // no order is applied, the answer is the error BUSY
-	SyntaxAnswer        // no order is applied, the answer is the error SYNTAX
+	NoFault             Fault = iota
+	AbortBeforeApplying       // no order is applied, and the connection is closed without a response
+	AbortAfterApplying        // all orders are applied, and then the connection is closed without a response
+	HangBeforeApplying        // no order is applied, and no response is sent until the client disconnects
+	HangAfterApplying         // all orders are applied, and no response is sent until the client disconnects
+	MalformedResponse         // all orders are applied, and the response is malformed
+	HalfApplied               // the first half of the orders is applied, and the response reports its size
+	BusyResponse              // no order is applied, and the response is the error BUSY
+	SyntaxErrorResponse       // no order is applied, and the response is the error SYNTAX
 )
 
-// appliesOrders reports whether the orders, or half of them, are applied.
+// appliesOrders reports whether all or half of the call's orders are applied despite the fault.
 func (f Fault) appliesOrders() bool {
 	switch f {
-	case NoFault, ResetAfter, SilentAfter, GarbledAnswer, HalfApplied:
+	case NoFault, AbortAfterApplying, HangAfterApplying, MalformedResponse, HalfApplied:
 		return true
 	}
 	return false
 }
 
-// Proxy is a connected proxy.
+// Proxy is a fake proxy that is connected to the relay.
 type Proxy struct {
-	Zone     string
-	Rate     float64        // requests per second at its connection
-	Tables   map[string]int // attached table by request class
-	Messages []time.Time    // when calls reached it, since it connected
-	Fresh    bool           // it held no assigned table when it connected
+	Zone         string
+	RequestRate  float64        // request rate that the event of its connection reports, in requests per second
+	TableByClass map[string]int // number of the attached table for each request class
+	MessageTimes []time.Time    // times at which calls sent messages to the proxy since it connected, the oldest first
+	Fresh        bool           // true if the proxy held no assigned table when it connected
 }
 
-// State is the result of all calls.
+// State is the state of the proxies and tables that results from all applied calls.
 type State struct {
-	Proxies map[int]*Proxy             // connected, by number
-	Tables  map[int]map[string]float64 // weights by table and endpoint
-	Limits  map[string]string          // rate limits by "table,class", as written in the order
-	Ejected map[string]bool            // by endpoint
-	Calls   [][]string                 // orders of the calls that were applied, the oldest first
+	Proxies    map[int]*Proxy             // connected proxies by their number
+	Tables     map[int]map[string]float64 // weight of each entry, by the table's number and the endpoint's name
+	RateLimits map[string]string          // rate limits by "table,class", in the text form of the order that set them
+	Ejected    map[string]bool            // true for each ejected endpoint, by its name
+
+	// ProcessedCalls holds the orders of each call that the relay started to apply, the oldest call first. It includes
+	// a call's rejected order and the orders after it. For a call with the fault HalfApplied, it holds only the first
+	// half of the orders.
+	ProcessedCalls [][]string
 }
 
-// Relay is a fake relay. Several goroutines may call its methods.
+// Relay is a fake relay. Its methods are safe for concurrent use, except Close and Move.
 type Relay struct {
 	*testserver.Server
 
-	mu      sync.Mutex
-	state   State
-	classes []string
-	fault   func(orders []string) Fault
-	events  broadcaster
-	stopped chan struct{}
+	mu             sync.Mutex // guards state, faultFunc and events
+	state          State
+	requestClasses []string
+	faultFunc      func(orders []string) Fault // chooses the fault of a call; nil if no call has a fault
+	events         broadcaster
+	stopped        chan struct{} // closed by Close, which ends the calls that hang because of a fault
 }
 
-// New starts a relay at an address; an empty address stands for a free port on the loopback address. The classes are the
-// request classes of its proxies. The caller closes the relay.
+// New starts a relay that listens at an address. For an empty address it listens at a free port of the loopback
+// address. The classes are the request classes of its proxies. The caller must close the relay.
 func New(address string, classes ...string) (*Relay, error) {
 	relay := &Relay{
-		classes: classes,
-		events:  newBroadcaster(),
-		stopped: make(chan struct{}),
+		requestClasses: classes,
+		events:         newBroadcaster(),
+		stopped:        make(chan struct{}),
 		state: State{
-			Proxies: map[int]*Proxy{},
-			Tables:  map[int]map[string]float64{},
-			Limits:  map[string]string{},
-			Ejected: map[string]bool{},
+			Proxies:    map[int]*Proxy{},
+			Tables:     map[int]map[string]float64{},
+			RateLimits: map[string]string{},
+			Ejected:    map[string]bool{},
 		},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+callPath+"{$}", relay.serveCall)
-	mux.HandleFunc("GET "+streamPath, relay.serveStream)
+	mux.HandleFunc("POST "+callPath+"{$}", relay.handleCall)
+	mux.HandleFunc("GET "+streamPath, relay.handleStream)
 	server, err := testserver.New(address, mux)
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("fake relay: %w", err)
 	}
 	relay.Server = server
 	return relay, nil
@@ -97,38 +101,41 @@
 func (r *Relay) Close() error {
 	close(r.stopped)
 	if err := r.Server.Close(); err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("fake relay: %w", err)
 	}
 	return nil
 }
 
-// SetFault makes f choose the fault of each call before any of its orders is applied. With nil no call fails.
-func (r *Relay) SetFault(f func(orders []string) Fault) {
+// SetFault makes the relay call chooseFault with the orders of each call, before it applies any of them, and inject
+// the returned fault into the call. If chooseFault is nil, the relay injects no faults.
+func (r *Relay) SetFault(chooseFault func(orders []string) Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = f
+	r.faultFunc = chooseFault
 }
 
-// Inspect calls f with the state, which f may read and change until it returns. No call is applied meanwhile, and f must
-// not call methods of the relay.
+// Inspect calls f with the state of the relay. The function f may read and change the state until it returns. The
+// relay applies no orders while f runs. The function f must not call methods of the relay, because they would wait
+// forever for the mutex that Inspect holds.
 func (r *Relay) Inspect(f func(state *State)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.state)
 }
 
-// AllAttached reports whether a proxy is connected, and every connected proxy has a table with entries for each request class,
-// in which the endpoint without has no weight. An empty name excludes no endpoint.
-func (r *Relay) AllAttached(without string) bool {
+// AllProxiesAttached reports whether at least one proxy is connected, and every connected proxy has an attached
+// table for each request class. Each of these tables must have entries, and none may have an entry for
+// excludedEndpoint. If excludedEndpoint is empty, the tables may have an entry for any endpoint.
+func (r *Relay) AllProxiesAttached(excludedEndpoint string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, proxy := range r.state.Proxies {
-		if len(proxy.Tables) != len(r.classes) {
+		if len(proxy.TableByClass) != len(r.requestClasses) {
 			return false
 		}
-		for _, table := range proxy.Tables {
+		for _, table := range proxy.TableByClass {
 			entries := r.state.Tables[table]
-			if len(entries) == 0 || entries[without] > 0 {
+			if len(entries) == 0 || entries[excludedEndpoint] > 0 {
 				return false
 			}
 		}
@@ -136,27 +143,29 @@
 	return len(r.state.Proxies) > 0
 }
 
-// Connect connects a proxy and sends the event. A fresh proxy holds no assigned table yet.
-func (r *Relay) Connect(id int, zone string, rate float64, fresh bool) {
+// Connect connects a proxy and sends the event of its connection on all streams. The rate is in requests per second.
+// A fresh proxy holds no assigned table yet.
+func (r *Relay) Connect(proxyID int, zone string, requestRate float64, fresh bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &Proxy{Zone: zone, Rate: rate, Tables: map[string]int{}, Fresh: fresh}
-	r.state.Proxies[id] = p
-	r.events.send(connectedEvent(id, p))
+	p := &Proxy{Zone: zone, RequestRate: requestRate, TableByClass: map[string]int{}, Fresh: fresh}
+	r.state.Proxies[proxyID] = p
+	r.events.send(connectedEvent(proxyID, p))
 }
 
-// Disconnect disconnects a proxy and sends the event.
-func (r *Relay) Disconnect(id int) {
+// Disconnect disconnects a proxy and sends the event of its disconnection on all streams.
+func (r *Relay) Disconnect(proxyID int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.state.Proxies, id)
-	r.events.send(disconnectedEvent(id))
+	delete(r.state.Proxies, proxyID)
+	r.events.send(disconnectedEvent(proxyID))
 }
 
-// serveCall applies the orders of a call and answers with the number of applied orders.
-func (r *Relay) serveCall(response http.ResponseWriter, request *http.Request) {
+// handleCall applies the orders of a call, unless a fault prevents it, and sends the response. A call with another
+// action or without orders gets the error SYNTAX.
+func (r *Relay) handleCall(response http.ResponseWriter, request *http.Request) {
 	if request.PostFormValue(actionField) != commitAction || request.PostFormValue(ordersField) == "" {
-		answerError(response, syntaxCode)
+		writeError(response, syntaxCode)
 		return
 	}
 	orders := strings.Split(request.PostFormValue(ordersField), orderSeparator)
@@ -168,50 +177,50 @@
 	if fault.appliesOrders() {
 		applied = r.applyCall(orders)
 	}
-	r.answerCall(response, request, fault, applied)
+	r.respond(response, request, fault, applied)
 }
 
-// answerCall answers a call with the number of applied orders, or fails as its fault says.
-func (r *Relay) answerCall(response http.ResponseWriter, request *http.Request, fault Fault, applied int) {
+// respond sends the response to a call: the number of applied orders, or the failure that the fault selects.
+func (r *Relay) respond(response http.ResponseWriter, request *http.Request, fault Fault, applied int) {
 	switch fault {
-	case ResetBefore, ResetAfter:
-		panic(http.ErrAbortHandler) // resets the connection
-	case SilentBefore, SilentAfter:
+	case AbortBeforeApplying, AbortAfterApplying:
+		panic(http.ErrAbortHandler) // closes the connection without a response
+	case HangBeforeApplying, HangAfterApplying:
 		select {
 		case <-request.Context().Done():
 		case <-r.stopped:
 		}
 		panic(http.ErrAbortHandler)
-	case GarbledAnswer:
-		answer(response, truncatedAnswerText)
-	case BusyAnswer:
-		answerError(response, busyCode)
-	case SyntaxAnswer:
-		answerError(response, syntaxCode)
+	case MalformedResponse:
+		writeText(response, truncatedResponse)
+	case BusyResponse:
+		writeError(response, busyCode)
+	case SyntaxErrorResponse:
+		writeError(response, syntaxCode)
 	default:
 		response.Header().Set("Content-Type", "text/xml")
-		answer(response, fmt.Sprintf(appliedFormat, applied))
+		writeText(response, fmt.Sprintf(appliedResponseFormat, applied))
 	}
 }
 
-// chooseFault returns the fault of a call with these orders.
+// chooseFault returns the fault to inject into a call with these orders.
 func (r *Relay) chooseFault(orders []string) Fault {
 	r.mu.Lock()
-	fault := r.fault
+	faultFunc := r.faultFunc
 	r.mu.Unlock()
-	if fault == nil {
+	if faultFunc == nil {
 		return NoFault
 	}
-	return fault(orders)
+	return faultFunc(orders)
 }
 
-// answer writes a part of a response. A write error means that the client has disconnected.
-func answer(w http.ResponseWriter, text string) {
+// writeText writes a part of a response. It ignores write errors, which mean that the client has disconnected.
+func writeText(w http.ResponseWriter, text string) {
 	_, _ = fmt.Fprint(w, text)
 }
 
-// answerError answers with an error code of the protocol.
-func answerError(w http.ResponseWriter, code string) {
+// writeError sends a response with an error code of the relay's protocol and the HTTP status 400.
+func writeError(w http.ResponseWriter, code string) {
 	w.WriteHeader(http.StatusBadRequest)
-	answer(w, fmt.Sprintf(errorFormat, code))
+	writeText(w, fmt.Sprintf(errorResponseFormat, code))
 }
--- a/internal/relaytest/stream.go
+++ b/internal/relaytest/stream.go
@@ -9,144 +9,151 @@
 )
 
 const (
-	// defaultHeartbeat is the time between two heartbeats of a stream.
-	defaultHeartbeat = time.Second
-	// maxBuffered is the number of events that wait for a reader. A slower reader's stream is broken.
-	maxBuffered = 1000
+	// defaultHeartbeatInterval is the time between two heartbeats on a stream if SetHeartbeatInterval was not called.
+	defaultHeartbeatInterval = time.Second
+	// maxBufferedEvents is the number of events that a stream buffers until its client reads them. A stream whose
+	// buffer overflows is aborted.
+	maxBufferedEvents = 1000
 )
 
-// broadcaster sends events to the readers of all streams. The relay's lock guards it.
+// broadcaster sends events on all open streams. The mutex of the relay guards it.
 type broadcaster struct {
-	readers  []chan string // in the order in which their streams were opened; closed when the stream is to break
-	interval time.Duration // between heartbeats
+	streams           []chan string // event buffers of the open streams, the oldest stream first
+	heartbeatInterval time.Duration // time between two heartbeats on streams that are opened from now on
 }
 
-func newBroadcaster() broadcaster { return broadcaster{interval: defaultHeartbeat} }
+func newBroadcaster() broadcaster { return broadcaster{heartbeatInterval: defaultHeartbeatInterval} }
 
-// add returns a channel for the events of a new stream.
-func (b *broadcaster) add() chan string {
-	reader := make(chan string, maxBuffered)
-	b.readers = append(b.readers, reader)
-	return reader
+// addStream adds a stream and returns the channel of its events.
+func (b *broadcaster) addStream() chan string {
+	stream := make(chan string, maxBufferedEvents)
+	b.streams = append(b.streams, stream)
+	return stream
 }
 
-// send sends an event to all readers. It does not block.
+// send buffers an event for all open streams. It does not block: it aborts a stream whose buffer is full.
 func (b *broadcaster) send(event string) {
-	for _, reader := range slices.Clone(b.readers) {
+	for _, stream := range slices.Clone(b.streams) {
 		select {
-		case reader <- event:
+		case stream <- event:
 		default:
-			b.cut(reader)
+			b.abortStream(stream)
 		}
 	}
 }
 
-// cut breaks a reader's stream if it is open.
-func (b *broadcaster) cut(reader chan string) {
-	i := slices.Index(b.readers, reader)
+// abortStream removes a stream and closes its channel, so that the stream is aborted once its buffered events have been
+// sent. It does nothing if the stream was removed before.
+func (b *broadcaster) abortStream(stream chan string) {
+	i := slices.Index(b.streams, stream)
 	if i < 0 {
 		return
 	}
-	close(reader)
-	b.readers = slices.Delete(b.readers, i, i+1)
+	close(stream)
+	b.streams = slices.Delete(b.streams, i, i+1)
 }
 
-// SetHeartbeat sets the time between two heartbeats for streams that are opened later. The default is one second.
-func (r *Relay) SetHeartbeat(interval time.Duration) {
+// SetHeartbeatInterval sets the time between two heartbeats on streams that are opened after the call. The default
+// is one second.
+func (r *Relay) SetHeartbeatInterval(heartbeatInterval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events.interval = interval
+	r.events.heartbeatInterval = heartbeatInterval
 }
 
-// SendHeartbeat sends a heartbeat on all streams.
+// SendHeartbeat sends a heartbeat on all open streams immediately.
 func (r *Relay) SendHeartbeat() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.events.send(heartbeat)
 }
 
-// Readers returns the number of open streams.
-func (r *Relay) Readers() int {
+// OpenStreamCount returns the number of open streams.
+func (r *Relay) OpenStreamCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.events.readers)
+	return len(r.events.streams)
 }
 
-// CutStreams breaks all streams after sending a text, which may be empty or an incomplete event.
-func (r *Relay) CutStreams(last string) {
+// AbortStreams sends a final text on all open streams and then aborts them. The text may be empty or an incomplete
+// event.
+func (r *Relay) AbortStreams(finalText string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events.send(last)
-	for _, reader := range slices.Clone(r.events.readers) {
-		r.events.cut(reader)
+	r.events.send(finalText)
+	for _, stream := range slices.Clone(r.events.streams) {
+		r.events.abortStream(stream)
 	}
 }
 
-// CutStreamsInEvent breaks all streams after sending the first bytes of an event.
-func (r *Relay) CutStreamsInEvent(bytes int) {
-	r.CutStreams(connectedFormat[:bytes])
+// AbortStreamsMidEvent sends the given number of bytes from the beginning of an event on all open streams and then
+// aborts them.
+func (r *Relay) AbortStreamsMidEvent(byteCount int) {
+	r.AbortStreams(connectedEventFormat[:byteCount])
 }
 
-// CutOldestStream breaks the stream that was opened first, if any.
-func (r *Relay) CutOldestStream() {
+// AbortOldestStream aborts the open stream that was opened first. It does nothing if no stream is open.
+func (r *Relay) AbortOldestStream() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.events.readers) > 0 {
-		r.events.cut(r.events.readers[0])
+	if len(r.events.streams) > 0 {
+		r.events.abortStream(r.events.streams[0])
 	}
 }
 
-// connectedEvent returns the event of a proxy that has connected.
-func connectedEvent(id int, p *Proxy) string {
+// connectedEvent formats the event which reports that a proxy has connected. The proxy is reported as fresh if it
+// connected fresh and no table has been attached to it since.
+func connectedEvent(proxyID int, proxy *Proxy) string {
 	fresh := 0
-	if p.Fresh && len(p.Tables) == 0 {
+	if proxy.Fresh && len(proxy.TableByClass) == 0 {
 		fresh = 1
 	}
-	return fmt.Sprintf(connectedFormat, id, p.Zone, p.Rate, fresh)
+	return fmt.Sprintf(connectedEventFormat, proxyID, proxy.Zone, proxy.RequestRate, fresh)
 }
 
-// disconnectedEvent returns the event of a proxy that has disconnected.
-func disconnectedEvent(id int) string {
-	return fmt.Sprintf(disconnectedFormat, id)
+// disconnectedEvent formats the event which reports that a proxy has disconnected.
+func disconnectedEvent(proxyID int) string {
+	return fmt.Sprintf(disconnectedEventFormat, proxyID)
 }
 
-// openStream registers a new stream and returns the channel of its events, the snapshot that precedes them, and the time
-// between heartbeats.
-func (r *Relay) openStream() (reader chan string, snapshot string, interval time.Duration) {
+// openStream registers a new stream. It returns the channel of the stream's events, the text to send before them,
+// and the time between two heartbeats. The text is a snapshot: it has a connected event for each connected proxy.
+func (r *Relay) openStream() (stream chan string, snapshot string, heartbeatInterval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(r.state.Proxies)) {
 		snapshot += connectedEvent(id, r.state.Proxies[id])
 	}
-	return r.events.add(), snapshot, r.events.interval
+	return r.events.addStream(), snapshot, r.events.heartbeatInterval
 }
 
-// closeStream removes a stream.
-func (r *Relay) closeStream(reader chan string) {
+// closeStream removes a stream if it is still registered.
+func (r *Relay) closeStream(stream chan string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events.cut(reader)
+	r.events.abortStream(stream)
 }
 
-// serveStream serves one event stream until its client disconnects or the stream is cut.
-func (r *Relay) serveStream(w http.ResponseWriter, request *http.Request) {
+// handleStream serves one event stream until the client disconnects or the stream is aborted. It sends the snapshot
+// first, and then events and heartbeats.
+func (r *Relay) handleStream(w http.ResponseWriter, request *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	controller := http.NewResponseController(w)
-	reader, text, interval := r.openStream()
-	defer r.closeStream(reader)
-	heartbeats := time.NewTicker(interval)
+	stream, text, heartbeatInterval := r.openStream()
+	defer r.closeStream(stream)
+	heartbeats := time.NewTicker(heartbeatInterval)
 	defer heartbeats.Stop()
 	for {
-		answer(w, text)
+		writeText(w, text)
 		if controller.Flush() != nil { // the client has disconnected
 			return
 		}
 		var open bool
 		select {
-		case text, open = <-reader:
+		case text, open = <-stream:
 			if !open {
-				panic(http.ErrAbortHandler) // closes the connection without an end of the response
+				panic(http.ErrAbortHandler) // closes the connection without completing the response
 			}
 		case <-heartbeats.C:
 			text = heartbeat
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -141,7 +141,7 @@
 // mustSendReport sends a proxy traffic report of proxy 1 with the given number of requests.
 func mustSendReport(t *testing.T, collector *collectortest.Collector, requests int) {
 	t.Helper()
-	if err := collector.ReportProxy(1, "read", requests); err != nil {
+	if err := collector.ReportProxyTraffic(1, "read", requests); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -149,7 +149,7 @@
 // mustSendLine sends one line over the connection of a collector.
 func mustSendLine(t *testing.T, collector *collectortest.Collector, line string) {
 	t.Helper()
-	if err := collector.Send(line); err != nil {
+	if err := collector.SendLine(line); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -66,7 +66,7 @@
 		}
 		return true
 	}
-	quickcheck.Seeds(t, 20, property)
+	quickcheck.CheckSeeds(t, 20, property)
 }
 
 // All incomplete lines share the memory budget. A line that exceeds the budget must be skipped, and the next line of
--- a/internal/servertest/servertest.go
+++ b/internal/servertest/servertest.go
@@ -1,4 +1,4 @@
-// Package servertest starts HTTP servers that end with a test.
+// Package servertest starts HTTP servers that are closed at the end of a test.
 package servertest
 
 import (
@@ -8,8 +8,8 @@
 	"madderhollow/internal/testserver"
 )
 
-// Start returns a server with this handler at a free port of the loopback address. It is closed at the end of the test,
-// which does not wait for calls of the handler.
+// Start starts a server with a handler at a free port of the loopback address. The server is closed at the end of
+// the test. The test does not wait for calls of the handler that are still running then.
 func Start(t *testing.T, handler http.HandlerFunc) *testserver.Server {
 	t.Helper()
 	server, err := testserver.New("", handler)
--- a/internal/settings/random_settings_test.go
+++ b/internal/settings/random_settings_test.go
@@ -143,5 +143,5 @@
 		}
 		return true
 	}
-	quickcheck.Seeds(t, 1000, property)
+	quickcheck.CheckSeeds(t, 1000, property)
 }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -14,18 +14,18 @@
 	"time"
 )
 
-// testTimeout bounds any wait. It is long enough for a busy machine.
+// testTimeout is the maximum time of each wait in the tests. It is long enough for a busy machine.
 const testTimeout = 10 * time.Second
 
-// page is a status page that a test runs.
-type page struct {
-	url    string
-	cancel context.CancelFunc
-	result chan error // of Serve
+// testPage is a status page that a test serves.
+type testPage struct {
+	url         string
+	cancel      context.CancelFunc
+	serveResult chan error // receives the error that Serve returns
 }
 
-// serve serves a page with counters until the test ends.
-func serve(t *testing.T, counters func() any) *page {
+// startPage serves a status page with the given counters until the test ends or calls cancel.
+func startPage(t *testing.T, counters func() any) *testPage {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,16 +33,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	served := &page{url: "http://" + listener.Addr().String(), cancel: cancel, result: make(chan error, 1)}
-	go func() { served.result <- Serve(ctx, listener, counters) }() // ends with ctx, which the cleanup cancels
-	return served
+	page := &testPage{url: "http://" + listener.Addr().String(), cancel: cancel, serveResult: make(chan error, 1)}
+	go func() { page.serveResult <- Serve(ctx, listener, counters) }() // ends when the cleanup cancels ctx
+	return page
 }
 
-// awaitResult returns what Serve returned.
-func (p *page) awaitResult(t *testing.T) error {
+// awaitResult waits until Serve returns, and returns its error.
+func (p *testPage) awaitResult(t *testing.T) error {
 	t.Helper()
 	select {
-	case err := <-p.result:
+	case err := <-p.serveResult:
 		return err
 	case <-time.After(testTimeout):
 		t.Fatalf("got Serve still running after %v, want it to return", testTimeout)
@@ -50,8 +50,8 @@
 	}
 }
 
-// get returns the answer to a request, and closes its body with the test.
-func get(t *testing.T, method, url string) *http.Response {
+// sendRequest sends a request and returns the response. The body of the response is closed at the end of the test.
+func sendRequest(t *testing.T, method, url string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, url, http.NoBody)
 	if err != nil {
@@ -62,15 +62,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = response.Body.Close() }) // no error matters once the test has ended
+	t.Cleanup(func() { _ = response.Body.Close() }) // an error does not matter after the test has ended
 	return response
 }
 
 func TestHealthShowsCurrentCountersAsJSON(t *testing.T) {
 	var calls atomic.Int64
-	served := serve(t, func() any { return map[string]int64{"calls": calls.Add(1)} })
-	for want := range int64(2) {
-		response := get(t, http.MethodGet, served.url+"/healthz")
+	page := startPage(t, func() any { return map[string]int64{"calls": calls.Add(1)} })
+	for earlierCalls := range int64(2) {
+		response := sendRequest(t, http.MethodGet, page.url+"/healthz")
 		if got := response.Header.Get("Content-Type"); got != "application/json" {
 			t.Errorf("got content type %q, want application/json", got)
 		}
@@ -78,18 +78,18 @@
 		if err := json.NewDecoder(response.Body).Decode(&counters); err != nil {
 			t.Fatal(err)
 		}
-		if counters["calls"] != want+1 {
-			t.Errorf("got counters %v, want calls %d", counters, want+1)
+		if counters["calls"] != earlierCalls+1 {
+			t.Errorf("got counters %v, want calls %d", counters, earlierCalls+1)
 		}
 	}
 }
 
 func TestServeAnswersOnlyItsPages(t *testing.T) {
-	served := serve(t, func() any { return nil })
+	page := startPage(t, func() any { return nil })
 	for _, test := range []struct {
 		method, path string
 		wantStatus   int
-		wantText     string // part of the body
+		wantText     string // text that the body contains
 	}{
 		{http.MethodGet, "/healthz", http.StatusOK, "null"},
 		{http.MethodGet, "/debug/pprof/", http.StatusOK, "goroutine"},
@@ -98,7 +98,7 @@
 		{http.MethodPost, "/healthz", http.StatusMethodNotAllowed, ""},
 	} {
 		t.Run(test.method+" "+test.path, func(t *testing.T) {
-			response := get(t, test.method, served.url+test.path)
+			response := sendRequest(t, test.method, page.url+test.path)
 			body, err := io.ReadAll(response.Body)
 			if err != nil {
 				t.Fatal(err)
@@ -111,16 +111,16 @@
 }
 
 func TestServeClosesListenerAndConnectionsWhenContextEnds(t *testing.T) {
-	served := serve(t, func() any { return nil })
-	address := strings.TrimPrefix(served.url, "http://")
+	page := startPage(t, func() any { return nil })
+	address := strings.TrimPrefix(page.url, "http://")
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the server has closed it
-	get(t, http.MethodGet, served.url+"/healthz")
-	served.cancel()
-	if err := served.awaitResult(t); err != nil {
+	defer func() { _ = conn.Close() }() // an error does not matter, because the server has closed the connection
+	sendRequest(t, http.MethodGet, page.url+"/healthz")
+	page.cancel()
+	if err := page.awaitResult(t); err != nil {
 		t.Errorf("got error %v, want none", err)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
@@ -129,13 +129,13 @@
 	if n, err := conn.Read(make([]byte, 1)); err == nil || isTimeout(err) {
 		t.Errorf("open connection: got %d bytes and error %v, want it closed", n, err)
 	}
-	if another, err := net.Dial("tcp", address); err == nil {
+	if secondConn, err := net.Dial("tcp", address); err == nil {
 		t.Errorf("got a connection to %s, want it refused", address)
-		_ = another.Close() // of no use
+		_ = secondConn.Close() // an error does not matter, because the test has failed already
 	}
 }
 
-// isTimeout reports whether a read failed because of its deadline.
+// isTimeout reports whether a read failed because its deadline passed.
 func isTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/testconfig/settings.go
+++ b/internal/testconfig/settings.go
@@ -1,7 +1,8 @@
 package testconfig
 
-// Settings returns the settings object of a small deployment with three zones, six proxies and two request classes. Names and
-// units are those of the settings; package settings maps them to the terms of this program.
+// Settings returns the settings object of a small deployment with three zones, six proxies and two request classes.
+// Its keys and units are those of the settings in a configuration file. Package settings maps the keys to the terms
+// of this program.
 func Settings() map[string]any {
 	return map[string]any{
 		"az": "x", "zones": []string{"x", "y", "z"}, "balancers": 1, "rank": 0, "kinds": []string{"m"},
--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -1,5 +1,5 @@
-// Package testserver provides an HTTP server that can move to another address, for the fakes of the services that an
-// assigner uses.
+// Package testserver provides an HTTP server that can move to another address. The fakes of the services that an
+// assigner uses are built on it.
 package testserver
 
 import (
@@ -12,59 +12,62 @@
 	"time"
 )
 
-// freePort makes the kernel choose a port.
-const freePort = "127.0.0.1:0"
+// freeLoopbackPort is the address to listen at for a free port of the loopback address, which the kernel chooses.
+const freeLoopbackPort = "127.0.0.1:0"
 
-// readHeaderTimeout bounds the time for reading the header of a request.
+// readHeaderTimeout is the maximum time for reading the header of a request.
 const readHeaderTimeout = 10 * time.Second
 
-// Server serves a handler at one address at a time. Several goroutines may call its methods.
+// Server serves an HTTP handler at one address at a time. Its methods are safe for concurrent use, except that calls
+// of Move must not overlap.
 type Server struct {
-	handler  http.Handler
-	mu       sync.Mutex
-	servers  []*http.Server    // one for each address so far, the current one last
-	served   chan struct{}     // closed when Serve of the current server has returned
-	listener net.Listener      // of the current address
-	idle     map[net.Conn]bool // connections without a pending request
+	handler   http.Handler
+	mu        sync.Mutex        // guards the fields that follow
+	servers   []*http.Server    // HTTP servers of all addresses so far, the server of the current address last
+	serveDone chan struct{}     // closed when the Serve method of the current HTTP server has returned
+	listener  net.Listener      // listener at the current address
+	idleConns map[net.Conn]bool // set of the connections without a pending request
 }
 
-// New starts a server at an address; an empty address stands for a free port on the loopback address. The caller closes the
-// server.
+// New starts a server that listens at an address. For an empty address it listens at a free port of the loopback
+// address. The caller must close the server.
 func New(address string, handler http.Handler) (*Server, error) {
-	s := &Server{handler: handler, idle: map[net.Conn]bool{}}
-	return s, s.open(address)
+	s := &Server{handler: handler, idleConns: map[net.Conn]bool{}}
+	return s, s.listenAndServe(address)
 }
 
-// open starts serving at an address.
-func (s *Server) open(address string) error {
+// listenAndServe listens at an address and starts an HTTP server there. It returns as soon as the server accepts
+// connections.
+func (s *Server) listenAndServe(address string) error {
 	if address == "" {
-		address = freePort
+		address = freeLoopbackPort
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
-	server := &http.Server{Handler: s.handler, ConnState: s.connState, ReadHeaderTimeout: readHeaderTimeout}
+	server := &http.Server{Handler: s.handler, ConnState: s.trackIdleConns, ReadHeaderTimeout: readHeaderTimeout}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	served := make(chan struct{})
+	serveDone := make(chan struct{})
 	s.servers = append(s.servers, server)
-	s.served = served
+	s.serveDone = serveDone
 	s.listener = listener
 	go func() {
-		_ = server.Serve(listener) // returns an error when Move or Close closes the listener
-		close(served)
+		_ = server.Serve(listener) // the error only reports that Move or Close has closed the listener
+		close(serveDone)
 	}()
 	return nil
 }
 
-// connState keeps idle up to date. The HTTP servers call it when a connection changes its state.
-func (s *Server) connState(conn net.Conn, state http.ConnState) {
+// trackIdleConns keeps the set of idle connections up to date. The HTTP servers call it when a connection changes
+// its state.
+func (s *Server) trackIdleConns(conn net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.idle, conn)
+	delete(s.idleConns, conn)
 	if state == http.StateIdle {
-		s.idle[conn] = true
+		s.idleConns[conn] = true
 	}
 }
 
@@ -75,37 +78,40 @@
 	return s.listener.Addr().String()
 }
 
-// Move makes the server listen at another address; an empty address stands for a free port. The old address accepts no
-// connections any more, and its open connections are closed after a delay. It must not be called by two goroutines at once.
-func (s *Server) Move(to string, closeAfter time.Duration) error {
+// Move makes the server listen at another address. For an empty address it listens at a free port of the loopback
+// address. The server stops accepting connections at the old address at once, and closes the open connections there
+// after a delay. Move must not be called by two goroutines at the same time.
+func (s *Server) Move(newAddress string, closeDelay time.Duration) error {
 	s.mu.Lock()
-	listener, server, served := s.listener, s.servers[len(s.servers)-1], s.served
+	listener, server, serveDone := s.listener, s.servers[len(s.servers)-1], s.serveDone
 	s.mu.Unlock()
 	if err := listener.Close(); err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
-	// Until Serve has returned, Close of the server would close the listener again and return an error.
-	<-served
-	time.AfterFunc(closeAfter, func() { _ = server.Close() }) // its only error is that of the closed listener
-	return s.open(to)
+	// The HTTP server forgets its listener when Serve returns. If its Close method ran earlier, it would close the
+	// listener for the second time and return an error.
+	<-serveDone
+	// The error of Close is ignored. It can only report that the listener is closed twice, which cannot happen here.
+	time.AfterFunc(closeDelay, func() { _ = server.Close() })
+	return s.listenAndServe(newAddress)
 }
 
-// CloseIdle closes the connections without a pending request, as a server does after an idle timeout, and returns their
-// number.
-func (s *Server) CloseIdle() int {
+// CloseIdleConnections closes the connections without a pending request, as a server does after an idle timeout. It
+// returns the number of closed connections.
+func (s *Server) CloseIdleConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn := range s.idle {
-		_ = conn.Close() // fails if the client has closed it at the same time
+	for conn := range s.idleConns {
+		_ = conn.Close() // fails if the connection has been closed in the meantime
 	}
-	n := len(s.idle)
-	clear(s.idle)
-	return n
+	closedCount := len(s.idleConns)
+	clear(s.idleConns)
+	return closedCount
 }
 
-// Close stops the server and closes all its connections.
+// Close stops the server and closes all its connections, including the connections at old addresses.
 func (s *Server) Close() error {
-	// The lock must not be held while the servers close, because they call connState.
+	// The mutex must not be held while the HTTP servers close, because they call trackIdleConns, which locks it.
 	s.mu.Lock()
 	servers := slices.Clone(s.servers)
 	s.mu.Unlock()
--- a/internal/testserver/testserver_test.go
+++ b/internal/testserver/testserver_test.go
@@ -8,7 +8,9 @@
 	"madderhollow/internal/testserver"
 )
 
-// The server that Move left behind may not have noticed yet that its listener is closed.
+// Guards against an error of Close right after Move: if the HTTP server of the old address is closed before it
+// notices that Move closed its listener, it closes the listener for the second time. The test repeats, because this
+// is a race.
 func TestCloseReportsNoErrorRightAfterMove(t *testing.T) {
 	for i := range 500 {
 		server, err := testserver.New("", http.NotFoundHandler())
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -53,7 +53,7 @@
 		}
 		return true
 	}
-	quickcheck.Seeds(t, 300, property)
+	quickcheck.CheckSeeds(t, 300, property)
 }
 
 func TestStreamRejectsOversizedEvents(t *testing.T) {
