--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -36,9 +36,9 @@
 
 	// Records. Each record is created on first use and changed only by its own handlers.
 	endpointsByName map[string]*endpoint
-	endpointList    []*endpoint // in the order in which the endpoints were first listed
+	endpointList    []*endpoint // sorted by the time at which each endpoint was first listed
 	proxies         []*proxy    // sorted by proxy number
-	zones           []*zone     // in the order in which the zones were first named
+	zones           []*zone     // sorted by the time at which each zone was first named
 	scheduler       *orderScheduler
 
 	// Requests per second that all proxies together may admit; 0 if no total rate is set. Written by updateTotalRate.
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -37,21 +37,21 @@
 
 func TestContentsAtConnect(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		fresh    bool
-		supplies []assignment.ZoneSupply
-		want     assignment.TableContents
+		name              string
+		defaultTablesOnly bool
+		supplies          []assignment.ZoneSupply
+		want              assignment.TableContents
 	}{
 		{"four ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true}},
 		{"three ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 3}}, assignment.TableContents{}},
 		{"two ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 2}}, assignment.TableContents{Unknown: true}},
-		{"closed in the zone, none ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 0, Closed: true}}, assignment.TableContents{}},
-		{"not fresh", false, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true, Unknown: true}},
-		{"one of two tables closed in the zone", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}, {ReadyEndpoints: 0, Closed: true}}, assignment.TableContents{}},
+		{"disallowed in the zone, none ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 0, Disallowed: true}}, assignment.TableContents{}},
+		{"not only default tables", false, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true, Unknown: true}},
+		{"one of two tables disallowed in the zone", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}, {ReadyEndpoints: 0, Disallowed: true}}, assignment.TableContents{}},
 		{"one of two tables with two ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 2}, {ReadyEndpoints: 4}}, assignment.TableContents{Unknown: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := assignment.ContentsAtConnect(test.fresh, test.supplies); got != test.want {
+			if got := assignment.ContentsAtConnect(test.defaultTablesOnly, test.supplies); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 		})
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -45,7 +45,7 @@
 // ZoneSupply describes the endpoints that a zone has for the request classes that share a table.
 type ZoneSupply struct {
 	ReadyEndpoints int  // number of ready endpoints of the zone that the classes may use
-	Closed         bool // whether the classes may use no endpoint of the zone at all
+	Disallowed     bool // whether the classes may use no endpoint of the zone at all
 }
 
 // TableContents is what the assigner knows about the tables that a proxy holds when it connects.
@@ -55,14 +55,14 @@
 }
 
 // ContentsAtConnect returns what a proxy's tables may hold when the proxy connects. It takes the zone's supply for each
-// of the tables. A fresh proxy holds only its default tables. A proxy that is not fresh holds tables of another
-// assigner, whose contents are unknown. The default table of classes that are closed in the zone holds endpoints of
-// other zones. In a zone with few ready endpoints, which is failing or recovering, the contents of default tables are
-// unknown.
-func ContentsAtConnect(fresh bool, supplies []ZoneSupply) TableContents {
-	contents := TableContents{OnlyLocal: true, Unknown: !fresh}
+// of the tables. DefaultTablesOnly is set for a proxy that holds only its default tables. Any other proxy holds tables
+// of another assigner, whose contents are unknown. The default table of classes that must not use the zone's endpoints
+// holds endpoints of other zones. In a zone with few ready endpoints, which is failing or recovering, the contents of
+// default tables are unknown.
+func ContentsAtConnect(defaultTablesOnly bool, supplies []ZoneSupply) TableContents {
+	contents := TableContents{OnlyLocal: true, Unknown: !defaultTablesOnly}
 	for _, supply := range supplies {
-		tooFewReady := supply.ReadyEndpoints < minReadyForKnownContents && !supply.Closed
+		tooFewReady := supply.ReadyEndpoints < minReadyForKnownContents && !supply.Disallowed
 		contents.OnlyLocal = contents.OnlyLocal && supply.ReadyEndpoints >= minReadyForLocalTables
 		contents.Unknown = contents.Unknown || tooFewReady
 	}
--- a/assign/config.go
+++ b/assign/config.go
@@ -25,7 +25,7 @@
 	DiscoveryOnRequest                      // endpoint updates arrive only after WatchEndpoints or FetchEndpoints
 )
 
-// RetrySafety tells whether a request may be retried after an attempt that the endpoint may have executed.
+// RetrySafety states whether a request may be retried after an attempt that the endpoint may have executed.
 type RetrySafety int
 
 // The kinds of retry safety. The zero value is the strictest.
--- a/assign/doc.go
+++ b/assign/doc.go
@@ -8,9 +8,10 @@
 // Assigner must not be used by two goroutines at once.
 //
 // The algorithm is described on the design page as "Surplus-shifting rate shares". During normal operation, proxies use
-// their default tables with the listed weights and have no rate limit. During an overload of most endpoints, the module
-// sets one total rate and splits it among the proxies by stored quotas. Quota that a proxy does not use moves to the
-// proxies that use all of theirs. Six mechanisms extend this algorithm; docs/design.md gives the reasons for them.
+// their default tables with the listed weights and have no rate limit. During an overload of most endpoints, the
+// decision module sets one total rate and splits it among the proxies by stored quotas. Quota that a proxy does not use
+// moves to the proxies that use all of theirs. Six mechanisms extend this algorithm; docs/design.md gives the reasons
+// for them.
 //
 // The decisions are made in rule packages, which do not import this package. The functions of the rule packages are
 // pure, except those of subset.Plan and admission.Budget, whose state changes with each call:
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -111,7 +111,7 @@
 }
 
 // newEndpoint returns a new record for an entry of the endpoint list. The status of the record is Removed until its
-// listing is applied. The parameter firstUpdate tells whether the Assigner had no endpoints before the update.
+// listing is applied. FirstUpdate is true if the Assigner had no endpoints before the update.
 func (a *Assigner) newEndpoint(entry Endpoint, firstUpdate bool) *endpoint {
 	return &endpoint{
 		name:           entry.Name,
@@ -126,8 +126,8 @@
 // listedWeight returns the weight of an entry of the endpoint list. An entry without a weight above 0 weighs 1.
 func listedWeight(entry Endpoint) float64 { return cmp.Or(math.Max(entry.Weight, 0), 1) }
 
-// deleteExpiredEndpoints deletes the records of endpoints that were removed long ago (see membership.RecordExpired). Default
-// tables may still hold such an endpoint, so every default table has to be replaced after the first deletion.
+// deleteExpiredEndpoints deletes the records of endpoints that were removed long ago (see membership.RecordExpired).
+// Default tables may still hold such an endpoint, so every default table has to be replaced after the first deletion.
 func (a *Assigner) deleteExpiredEndpoints() {
 	a.endpointList = slices.DeleteFunc(a.endpointList, func(e *endpoint) bool {
 		expired := membership.RecordExpired(e.status.State, a.now, e.lastAnsweredAt, e.lastListedAt)
--- a/assign/events.go
+++ b/assign/events.go
@@ -2,7 +2,7 @@
 
 import "madderhollow/assign/membership"
 
-// EndpointState tells whether an endpoint takes requests.
+// EndpointState is the state of a listed endpoint, which decides whether the endpoint takes requests.
 type EndpointState = membership.State
 
 // The states of a listed endpoint.
@@ -100,8 +100,8 @@
 	Weight   float64 // weight of the entry
 }
 
-// HealthCheckResult is the result of a HealthCheck order. No rule uses this event, because the module never orders
-// health checks.
+// HealthCheckResult is the result of a HealthCheck order. No rule uses this event, because the decision module never
+// orders health checks.
 type HealthCheckResult struct {
 	Endpoint string    // name of the endpoint
 	Code     string    // status code of the check
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -144,15 +144,15 @@
 // has only its default tables.
 func (m *model) connect(p *modelProxy) {
 	p.connected, p.connectedAt, p.messageTimes = true, m.now, nil
-	fresh := p.tables == nil || m.random.Intn(3) == 0
-	if fresh {
+	defaultTablesOnly := p.tables == nil || m.random.Intn(3) == 0
+	if defaultTablesOnly {
 		p.tables, p.entries, p.defaultTables = map[int]int{}, map[int]map[string]float64{}, nil
 		for class := range modelClassCount {
 			p.tables[class] = defaultTableNumber
 			p.defaultTables = append(p.defaultTables, m.newDefaultTable(class, p.zone))
 		}
 	}
-	m.handle(ProxyConnected{Proxy: p.id, Zone: p.zone, TypicalRate: 10, DefaultTablesOnly: fresh})
+	m.handle(ProxyConnected{Proxy: p.id, Zone: p.zone, TypicalRate: 10, DefaultTablesOnly: defaultTablesOnly})
 }
 
 // newDefaultTable returns up to modelDefaultTableSize random ready endpoints that a class may use in a zone. The
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -126,17 +126,17 @@
 // matters for a limit of one message: that message does not remain unused, but is reserved for an urgent one.
 const minUrgentMessages = 1
 
-// MessageAllowed reports whether another message may be sent to a proxy. The argument maxMessages is the message limit
+// MessageAllowed reports whether another message may be sent to a proxy. The argument messageLimit is the message limit
 // within the message window; 0 means that there is none. If the limit is above one, one message of it remains unused,
 // to allow for messages that the assigner does not know of.
-func MessageAllowed(history MessageHistory, urgent bool, maxMessages int) bool {
-	unlimited := maxMessages == 0
-	if urgent && (unlimited || history.RecentMessages < max(minUrgentMessages, maxMessages-1)) {
+func MessageAllowed(history MessageHistory, urgent bool, messageLimit int) bool {
+	unlimited := messageLimit == 0
+	if urgent && (unlimited || history.RecentMessages < max(minUrgentMessages, messageLimit-1)) {
 		return true
 	}
 	tooSoon := history.RecentMessages > 0 && history.Now-history.LastMessageAt < minMessageInterval
 	return !tooSoon &&
-		(unlimited || history.RecentMessages < maxMessages*ordinaryLimitNumerator/ordinaryLimitDenominator)
+		(unlimited || history.RecentMessages < messageLimit*ordinaryLimitNumerator/ordinaryLimitDenominator)
 }
 
 // CountRecent returns the number of times that are at or after now minus the window. All arguments are in seconds, and
--- a/assign/orders.go
+++ b/assign/orders.go
@@ -39,8 +39,8 @@
 	Retries        int     // number of retries for each request
 }
 
-// EjectEndpoint removes an endpoint from all tables of connected proxies, or restores its entries. The module never
-// emits this order, but both wire protocols carry it.
+// EjectEndpoint removes an endpoint from all tables of connected proxies, or restores its entries. The decision module
+// never emits this order, but both wire protocols carry it.
 type EjectEndpoint struct {
 	Endpoint string // name of the endpoint
 	Ejected  bool   // true removes the endpoint, false restores it
@@ -80,12 +80,12 @@
 	return text.String()
 }
 
-// HealthCheck asks the host for a health check of the named endpoint. The module never emits this order, but the
-// protocol of the simulator carries it.
+// HealthCheck asks the host for a health check of the named endpoint. The decision module never emits this order, but
+// the protocol of the simulator carries it.
 type HealthCheck struct{ Endpoint string }
 
-// SendPeerMessage sends a message to another assigner or to all other assigners. The module never emits this order, but
-// both wire protocols carry it.
+// SendPeerMessage sends a message to another assigner or to all other assigners. The decision module never emits this
+// order, but both wire protocols carry it.
 type SendPeerMessage struct {
 	To   int    // number of the receiving assigner; -1 stands for all other assigners
 	Data []byte // content of the message
@@ -94,8 +94,8 @@
 // WatchEndpoints subscribes to endpoint updates if Enabled is set, and ends the subscription otherwise.
 type WatchEndpoints struct{ Enabled bool }
 
-// FetchEndpoints asks once for the complete endpoint list. The module never emits this order, but both wire protocols
-// carry it.
+// FetchEndpoints asks once for the complete endpoint list. The decision module never emits this order, but both wire
+// protocols carry it.
 type FetchEndpoints struct{}
 
 func (SetWeight) isOrder()             {}
--- a/assign/outlier/latency.go
+++ b/assign/outlier/latency.go
@@ -21,12 +21,12 @@
 type LatencyObjectiveMean struct {
 	weightedSum          float64 // sum of each class's objective, in seconds, times its rate fraction
 	fractionSum          float64 // sum of the rate fractions of the classes that state an objective
-	someWithoutObjective bool    // at least one class states no objective; otherwise fractionSum is 1
+	someWithoutObjective bool    // whether at least one class states no objective; otherwise fractionSum is 1
 }
 
-// Add adds a request class to the mean. The objective is in seconds, or 0 if the class states none. The
-// trafficFraction is the class's fraction of the request rate of all classes and must be above 0. A class without an
-// objective is left out of the mean, because it does not tell when the answers of the other classes are late.
+// Add adds a request class to the mean. The objective is in seconds, or 0 if the class states none. The trafficFraction
+// is the class's fraction of the request rate of all classes and must be above 0. A class without an objective is left
+// out of the mean, because it sets no bound on the latency of the other classes.
 func (m *LatencyObjectiveMean) Add(objective, trafficFraction float64) {
 	if objective == 0 {
 		m.someWithoutObjective = true
--- a/assign/overload_test.go
+++ b/assign/overload_test.go
@@ -7,9 +7,9 @@
 	"madderhollow/assign/subset"
 )
 
-// TestTotalRateStaysUnsetForIdleOrFewEndpoints checks that failed or late answers are not taken for an overload while
-// the endpoints as a whole are idle. It also checks that the answers of a few endpoints set no total rate for all:
-// such a total would shrink together with the reported attempts, down to nothing.
+// TestTotalRateStaysUnsetForIdleOrFewEndpoints checks that failed or late answers do not count as an overload while the
+// endpoints as a whole are idle. It also checks that the answers of a few endpoints set no total rate for all: such a
+// total would shrink together with the reported attempts, down to nothing.
 func TestTotalRateStaysUnsetForIdleOrFewEndpoints(t *testing.T) {
 	for _, test := range []struct {
 		endpoints, attempts, failed int
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -53,7 +53,7 @@
 	zone              string
 	connectedAt       float64                  // time at which the proxy connected last, in seconds
 	typicalRate       float64                  // requests per second that the proxy receives on a typical day
-	contentsAtConnect assignment.TableContents // what is known of the tables that the proxy held when it connected
+	contentsAtConnect assignment.TableContents // knowledge about the tables that the proxy held when it connected
 
 	connected         bool // whether the stream of the proxy is open; written by connect and disconnect
 	hasAssignedTables bool // whether the proxy uses assigned tables; set by recordSentOrder, cleared by connect
@@ -150,8 +150,8 @@
 	p.heldLimits = slices.Repeat([]assignment.ClassLimit{unlimited}, len(assigner.classes))
 	assigner.getOrCreateZone(p.zone) // the zone has no record yet if no endpoint was listed in the zone
 	p.contentsAtConnect = assignment.ContentsAtConnect(event.DefaultTablesOnly, p.tableSupplies(assigner))
-	// Until the rates are reported, the typical rate stands for them. How it divides among the classes is unknown, so
-	// that each class gets an equal part.
+	// The typical rate is used until the rates of the classes are reported. Its division among the classes is unknown,
+	// so each class gets an equal part.
 	for i, rate := range p.classRates {
 		p.classRates[i] = cmp.Or(rate, p.typicalRate/float64(len(p.classRates)))
 	}
@@ -164,7 +164,7 @@
 func (p *proxy) tableSupplies(assigner *Assigner) []assignment.ZoneSupply {
 	supplies := make([]assignment.ZoneSupply, len(assigner.tableGroups))
 	for i, group := range assigner.tableGroups {
-		supplies[i].Closed = group.zonePolicy.DisallowsZone(p.zone)
+		supplies[i].Disallowed = group.zonePolicy.DisallowsZone(p.zone)
 		for _, e := range assigner.endpointList {
 			if e.ready() && e.zone == p.zone && group.zonePolicy.Allows(e.zone, p.zone) {
 				supplies[i].ReadyEndpoints++
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -15,8 +15,8 @@
 type orderScheduler struct {
 	// Set by newOrderScheduler and not changed afterwards.
 	messageOverhead float64 // lines that a message occupies in addition to its orders
-	queueLimit      float64 // maximum number of lines in flight; see ordering.Channel.InFlightLimit
-	maxMessages     int     // maximum number of messages to one proxy within the message window; 0: no limit
+	inFlightLimit   float64 // maximum number of lines in flight; see ordering.Channel.InFlightLimit
+	messageLimit    int     // maximum number of messages to one proxy within the message window; 0: no limit
 
 	// Sequence number of the last batch that requested acknowledgments. Written by sendPending.
 	lastSequence int
@@ -36,8 +36,8 @@
 	}
 	return &orderScheduler{
 		messageOverhead: config.Channel.MessageOverhead,
-		queueLimit:      channel.InFlightLimit(),
-		maxMessages:     int(config.Channel.MessageLimit),
+		inFlightLimit:   channel.InFlightLimit(),
+		messageLimit:    int(config.Channel.MessageLimit),
 	}
 }
 
@@ -82,13 +82,13 @@
 	inFlight := linesInFlight(assigner.proxies)
 	sequence := (s.lastSequence + 1) % sequenceModulus
 	sent := false
-	crowded := ordering.IsCongested(urgentLines(messages), inFlight, s.queueLimit)
+	crowded := ordering.IsCongested(urgentLines(messages), inFlight, s.inFlightLimit)
 	for _, message := range messages {
 		if crowded && message.attributes.Urgent {
 			message.keepEssentialOrders(s.messageOverhead)
 		}
-		fits := ordering.Fits(message.attributes, inFlight, s.queueLimit)
-		if !fits || !ordering.MessageAllowed(message.proxy.messageHistory(assigner), message.attributes.Urgent, s.maxMessages) {
+		fits := ordering.Fits(message.attributes, inFlight, s.inFlightLimit)
+		if !fits || !ordering.MessageAllowed(message.proxy.messageHistory(assigner), message.attributes.Urgent, s.messageLimit) {
 			s.pendingProxies = append(s.pendingProxies, message.proxy)
 			continue
 		}
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -95,7 +95,7 @@
 type supply struct {
 	totalWeight  float64 // weight of all usable candidates
 	localWeight  float64 // weight of the zone's own candidates that tables may hold
-	localWarming bool    // at least one of the zone's own candidates that tables may hold is warming up
+	localWarming bool    // whether one or more of the zone's own candidates that tables may hold are warming up
 }
 
 // selectCandidates sets the candidates that tables may hold, and returns their supply. Warming endpoints are subject
@@ -128,11 +128,11 @@
 	return available
 }
 
-// demand returns the weight that the zone's proxies need. It starts from the usual weight of the zone, reduced by
-// the fraction of weight that is lost in the zones whose endpoints the request classes may use. While the zone's own
-// candidates include warming endpoints, it is not reduced, because the warm endpoints have to carry the load beside
-// the warming ones, however unhealthy they are. In an overloaded zone, the demand is at least the weight that the
-// zone's traffic needs.
+// demand returns the weight that the zone's proxies need. It starts from the usual weight of the zone, reduced by the
+// fraction of weight that is lost in the zones whose endpoints the request classes may use. While the zone's own
+// candidates include warming endpoints, it is not reduced, because the warm endpoints, however unhealthy, have to carry
+// the load that the warming endpoints cannot take yet. In an overloaded zone, the demand is at least the weight that
+// the zone's traffic needs.
 //
 // The calculation for an overloaded zone assumes that proxies which do not report to this assigner send as much load
 // as those which do, and that all zones have equally many proxies.
--- a/assign/subset/subset_test.go
+++ b/assign/subset/subset_test.go
@@ -355,7 +355,7 @@
 func TestBuildFillsTableWithoutRemoteCandidates(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		warming bool // one of the endpoints is warming up; all five have half of the zone's usual weight
+		warming bool // whether one of the endpoints is warming up; all five have half of the zone's usual weight
 		change  func(zone *subset.ZoneState)
 	}{
 		{"spill-over", false, func(zone *subset.ZoneState) { zone.Overloaded, zone.SpilloverFraction = true, 0.9 }},
--- a/assign/subset/table.go
+++ b/assign/subset/table.go
@@ -25,7 +25,7 @@
 // Table is the routing table that a proxy should hold.
 type Table[E comparable] struct {
 	Entries []Entry[E]
-	Warming bool // at least one endpoint of the table is warming up
+	Warming bool // whether one or more endpoints of the table are warming up
 	// WarmingCapacity is the fraction of its usual weight that the table can serve while endpoints of it are warming
 	// up, above 0 and at most 1. It is valid only if Warming is set.
 	WarmingCapacity float64
@@ -88,7 +88,7 @@
 	table.weight = local.weight + remote.weight
 	table.warmingWeight = local.warmingWeight + remote.warmingWeight
 
-	plan.AddLoad(table.entries, rate) // with the weights before the cap on warming endpoints
+	plan.AddLoad(table.entries, rate) // before the cap on warming endpoints changes the weights
 	if table.warmingWeight == 0 {
 		return Table[E]{Entries: table.entries}
 	}
@@ -184,7 +184,7 @@
 	maxFraction := math.Min(maxWarmingFraction, table.warmingWeight/usualWeight)
 	warmWeight := table.weight - table.warmingWeight
 	if warmWeight >= negligibleFraction*table.weight && table.warmingWeight > maxFraction*table.weight {
-		// With this factor, factor*warmingWeight is maxFraction of warmWeight + factor*warmingWeight.
+		// The factor makes factor*warmingWeight equal to maxFraction of warmWeight + factor*warmingWeight.
 		factor := maxFraction / (1 - maxFraction) * warmWeight / table.warmingWeight
 		plan.scaleWarmingWeights(table, factor)
 	}
@@ -193,7 +193,7 @@
 		// endpoints serve requests then, and the proxies of all zones may use the same few warming endpoints.
 		return math.Min(plan.remainingCapacityFraction, maxFraction)
 	}
-	servableWeight := table.healthyWeight / (1 - maxFraction) // with healthyWeight as the weight of the warm entries
+	servableWeight := table.healthyWeight / (1 - maxFraction) // healthyWeight is the weight of the warm entries here
 	return math.Min(1, servableWeight/usualWeight)
 }
 
--- a/assign/tables.go
+++ b/assign/tables.go
@@ -21,7 +21,7 @@
 	urgentSince     float64 // time in seconds at which the guarantee's time limit began; read only if urgent is set
 }
 
-// add appends an order. The parameter essential tells whether the order is also an essential order.
+// add appends an order. If essential is set, the order is also added to the essential orders.
 func (o *tableOrders) add(order Order, essential bool) {
 	o.orders = append(o.orders, order)
 	if essential {
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -124,8 +124,8 @@
 	return period, failures.Value()
 }
 
-// updateTotalRate evaluates the last period and sets the mean failure ratio, the table size and the total rate. The
-// result tells whether there is an overload.
+// updateTotalRate evaluates the last period and sets the mean failure ratio, the table size and the total rate. It
+// reports whether there is an overload.
 func (a *Assigner) updateTotalRate(observedRate float64) (overloaded bool) {
 	period, meanFailureRatio := a.summarizePeriod()
 	a.meanFailureRatio = meanFailureRatio
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -80,8 +80,8 @@
 	z.excludeWarming = subset.ExcludeWarming(summary.MostWarmAttemptsFail(), assigner.tableSize.Entries)
 }
 
-// defaultTableNeed returns whether a default table of a proxy in the zone has to be replaced, and how urgently. The
-// parameter local tells whether the table holds only endpoints of the zone.
+// defaultTableNeed returns whether a default table of a proxy in the zone has to be replaced, and how urgently. Local
+// is true if the table holds only endpoints of the zone.
 func (z *zone) defaultTableNeed(local bool) assignment.ReplacementNeed {
 	if local {
 		return z.defaultNeedOwnZone
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -124,12 +124,12 @@
 	}
 	a.createRelayClients()
 	a.reportServer = reportserver.New(reportserver.Config{
-		Codec:           a.codec,
-		Sink:            a.eventQueue.PostReport,
-		DescriptorLimit: a.config.MaxFileDescriptors,
-		ZoneCount:       len(a.config.Settings.Zones),
-		MemoryLimitMB:   a.config.MemoryLimitMB,
-		Log:             a.baseLog,
+		Codec:               a.codec,
+		Sink:                a.eventQueue.PostReport,
+		FileDescriptorLimit: a.config.FileDescriptorLimit,
+		ZoneCount:           len(a.config.Settings.Zones),
+		MemoryLimitMB:       a.config.MemoryLimitMB,
+		Log:                 a.baseLog,
 	})
 	if err := a.openPeerSocket(); err != nil {
 		return err
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -26,7 +26,7 @@
 const terminationSignal = syscall.SIGTERM
 
 // injectFaultSequence makes the next four calls to the relay fail, each in a different way. It also breaks the event
-// stream once and makes the next two answers of discovery invalid JSON.
+// stream once and makes the next two responses of discovery invalid JSON.
 func (p *platform) injectFaultSequence() {
 	var callCount, requestCount atomic.Int32
 	faults := []relaytest.Fault{relaytest.AbortBeforeApplying, relaytest.MalformedResponse, relaytest.AbortAfterApplying, relaytest.HangBeforeApplying, relaytest.NoFault}
--- a/cmd/madderhollow/documents_test.go
+++ b/cmd/madderhollow/documents_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// moduleRoot is the path of the module's root directory.
+// moduleRoot is the path of the root directory of the Go module.
 const moduleRoot = "../.."
 
-// testNames returns the set of the names of all tests, benchmarks and fuzz tests of the module.
+// testNames returns the set of the names of all tests, benchmarks and fuzz tests of the Go module.
 func testNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -27,8 +27,8 @@
 const testTimeout = 10 * time.Second
 
 const (
-	agentVersion   = 5   // version of the endpoint list with which the discovery agent starts
-	maxDescriptors = 256 // limit on the open file descriptors of the assigner's process
+	agentVersion        = 5   // version of the endpoint list with which the discovery agent starts
+	fileDescriptorLimit = 256 // limit on the open file descriptors of the assigner's process
 )
 
 // Environment variables that a test sets for a process that it starts from its own binary.
@@ -258,7 +258,7 @@
 		"discovery":   p.agent.Address(),
 		"relay":       map[string]any{"address": p.relay.Address()},
 		"seed":        "8c1f30d27a5be964",
-		"limits":      map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": maxDescriptors},
+		"limits":      map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": fileDescriptorLimit},
 		"known":       initial,
 		"peer_listen": p.peerAddress,
 		"peers":       []string{p.peerAddress},
@@ -293,13 +293,13 @@
 }
 
 // moveRelayAndDiscovery moves the relay and the discovery agent to new addresses, and writes the new addresses to the
-// configuration file. The open connections to the old addresses are closed after the delay closeAfter.
-func (p *platform) moveRelayAndDiscovery(t *testing.T, closeAfter time.Duration) {
+// configuration file. The open connections to the old addresses are closed after closeDelay.
+func (p *platform) moveRelayAndDiscovery(t *testing.T, closeDelay time.Duration) {
 	t.Helper()
-	if err := p.relay.Move("", closeAfter); err != nil {
+	if err := p.relay.Move("", closeDelay); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.agent.Move("", closeAfter); err != nil {
+	if err := p.agent.Move("", closeDelay); err != nil {
 		t.Fatal(err)
 	}
 	p.configFields["relay"] = map[string]any{"address": p.relay.Address()}
@@ -320,8 +320,8 @@
 	}
 }
 
-// connectProxies connects six proxies to the relay. The proxies are not fresh: they hold tables that the assigner does
-// not know, so that the assigner has to attach new tables to them.
+// connectProxies connects six proxies to the relay. The proxies hold tables of another assigner, which this assigner
+// does not know, so that the assigner has to attach new tables to them.
 func (p *platform) connectProxies() {
 	for i := range 6 {
 		p.relay.Connect(i, zoneOf(i), 20, false)
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -35,7 +35,7 @@
 	// runtimeMemoryFraction is the fraction of the configured memory limit that the Go runtime may use. The rest is
 	// reserved for socket buffers, and for memory that is allocated before the garbage collector reacts.
 	runtimeMemoryFraction = 0.6
-	// bytesPerMB is the number of bytes in a megabyte.
+	// bytesPerMB is the number of bytes in a mebibyte (MiB).
 	bytesPerMB = 1 << 20
 	// shutdownTimeout is the time from SIGTERM or SIGINT to a forced exit. It is shorter than 0.7 s, the earliest time
 	// after SIGTERM at which SIGKILL may follow.
@@ -61,8 +61,8 @@
 		<-terminationSignals
 		cancel()
 	}()
-	// A component that blocks, for instance because nobody reads the log, must not delay the exit. The forced exit has
-	// status 0 as well, and it does not log anything.
+	// A component that blocks, for instance because no process reads its log, must not delay the exit. The forced exit
+	// has status 0 as well, and it does not log anything.
 	context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, func() { os.Exit(exitOK) }) })
 
 	flags := flag.NewFlagSet("madderhollow", flag.ContinueOnError)
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -28,7 +28,7 @@
 	process           *assignerProcess
 	mu                sync.Mutex    // guards random
 	random            *rand.Rand    // source of all random choices
-	unidentifiedConns [400]net.Conn // connections that never identify themselves; their number exceeds maxDescriptors
+	unidentifiedConns [400]net.Conn // connections that never identify themselves; their number exceeds fileDescriptorLimit
 	nextRemoved       string        // name of the endpoint that the next replacement removes
 }
 
@@ -168,8 +168,8 @@
 		"KB of heap":       {firstHalf.heapKB, secondHalf.heapKB},
 		"file descriptors": {firstHalf.descriptors, secondHalf.descriptors},
 	} {
-		if highest[1] > 1.5*highest[0]+20 || secondHalf.descriptors > maxDescriptors {
-			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most %d file descriptors", name, highest[1], highest[0], maxDescriptors)
+		if highest[1] > 1.5*highest[0]+20 || secondHalf.descriptors > fileDescriptorLimit {
+			t.Errorf("%s: got %g in the second half, want at most 1.5 x %g + 20, and at most %d file descriptors", name, highest[1], highest[0], fileDescriptorLimit)
 		}
 	}
 	for _, conn := range soakRun.unidentifiedConns {
@@ -179,7 +179,7 @@
 	}
 	platform.relay.SetFault(nil)
 	platform.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
-	for i := range 6 { // fresh proxies may keep their default table, so the check needs proxies that are not fresh
+	for i := range 6 { // a proxy with only its default tables may keep them, so these proxies hold other tables
 		platform.relay.Disconnect(i)
 		platform.relay.Connect(i, zoneOf(i), 20, false)
 	}
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -151,7 +151,7 @@
 }
 
 // SIGTERM must end the program with status 0 even while an operation blocks, for instance because the relay does not
-// answer.
+// respond.
 func TestTerminateDuringBlockingOperation(t *testing.T) {
 	for name, test := range map[string]struct {
 		// prepare makes the operation block. It is called before the start of the program. The returned function
@@ -200,8 +200,8 @@
 	return nil // the test waits for the log line about the address
 }
 
-// blockFirstListRequest makes the discovery agent leave all requests unanswered. The operation has begun once the
-// agent has received a request.
+// blockFirstListRequest makes the discovery agent respond to no request. The operation has begun once the agent has
+// received a request.
 func blockFirstListRequest(_ *testing.T, p *platform) (hasBegun func() bool) {
 	requests := make(chan struct{}, 100)
 	p.agent.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
@@ -212,8 +212,8 @@
 	return func() bool { return len(requests) > 0 }
 }
 
-// blockCalls makes the relay leave all calls unanswered, and connects a proxy so that the assigner makes a call. The
-// operation has begun once the relay has received a call.
+// blockCalls makes the relay respond to no call, and connects a proxy so that the assigner makes a call. The operation
+// has begun once the relay has received a call.
 func blockCalls(_ *testing.T, p *platform) (hasBegun func() bool) {
 	calls := make(chan struct{}, 100)
 	p.relay.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return relaytest.HangAfterApplying })
@@ -232,8 +232,8 @@
 	}
 }
 
-// SIGTERM must end the program with status 0 even if nobody reads its log. Writing to standard error then blocks once
-// the pipe is full, and must not delay the exit.
+// SIGTERM must end the program with status 0 even if no process reads its log. Writing to standard error then blocks
+// once the pipe is full, and must not delay the exit.
 func TestTerminateWhileLogIsNotRead(t *testing.T) {
 	// setPipeSize is the fcntl command F_SETPIPE_SZ of Linux. pageSize is the smallest size of a pipe, in bytes.
 	const setPipeSize, pageSize = 1031, 4096
--- a/internal/collectortest/collectortest.go
+++ b/internal/collectortest/collectortest.go
@@ -22,8 +22,8 @@
 // pingTimeout is the time within which the assigner must answer the ping that DialAll sends on each connection.
 const pingTimeout = 10 * time.Second
 
-// reportIntervalMillis is the length of the period that each report covers, in milliseconds.
-const reportIntervalMillis = 1000
+// reportIntervalMilliseconds is the length of the period that each report covers, in milliseconds.
+const reportIntervalMilliseconds = 1000
 
 // Collector is a fake collector with one connection to an assigner. It is not safe for concurrent use.
 type Collector struct {
@@ -91,15 +91,15 @@
 
 // ReportEndpointLoad sends a load report on the attempts at an endpoint during one second: the number of attempts,
 // the number of failed attempts, the mean latency in milliseconds, and the busy fraction of the endpoint.
-func (c *Collector) ReportEndpointLoad(endpoint string, attempts, failed int, meanLatencyMillis, busyFraction float64) error {
+func (c *Collector) ReportEndpointLoad(endpoint string, attempts, failed int, meanLatencyMilliseconds, busyFraction float64) error {
 	report := endpointLoadReport{
-		Type:              endpointLoadReportType,
-		Zone:              c.zone,
-		Endpoint:          endpoint,
-		Attempts:          attempts,
-		Failed:            failed,
-		MeanLatencyMillis: meanLatencyMillis,
-		IntervalMillis:    reportIntervalMillis,
+		Type:                    endpointLoadReportType,
+		Zone:                    c.zone,
+		Endpoint:                endpoint,
+		Attempts:                attempts,
+		Failed:                  failed,
+		MeanLatencyMilliseconds: meanLatencyMilliseconds,
+		IntervalMilliseconds:    reportIntervalMilliseconds,
 	}
 	report.Load.BusyFraction = busyFraction
 	return c.sendMessage(report)
@@ -108,11 +108,11 @@
 // ReportProxyTraffic reports the number of requests of a request class that reached a proxy during one second.
 func (c *Collector) ReportProxyTraffic(proxy int, requestClass string, requests int) error {
 	return c.sendMessage(proxyTrafficReport{
-		Type:           proxyTrafficReportType,
-		Proxy:          proxy,
-		RequestClass:   requestClass,
-		Requests:       requests,
-		IntervalMillis: reportIntervalMillis,
+		Type:                 proxyTrafficReportType,
+		Proxy:                proxy,
+		RequestClass:         requestClass,
+		Requests:             requests,
+		IntervalMilliseconds: reportIntervalMilliseconds,
 	})
 }
 
--- a/internal/collectortest/names.go
+++ b/internal/collectortest/names.go
@@ -25,24 +25,24 @@
 
 // endpointLoadReport reports the attempts at an endpoint and the endpoint's load during an interval.
 type endpointLoadReport struct {
-	Type              string  `json:"@type"`
-	Zone              string  `json:"locality"`
-	Endpoint          string  `json:"endpoint"`
-	Attempts          int     `json:"total"`
-	Failed            int     `json:"errors"`
-	MeanLatencyMillis float64 `json:"rtt"`
-	IntervalMillis    int     `json:"interval"`
-	Load              struct {
+	Type                    string  `json:"@type"`
+	Zone                    string  `json:"locality"`
+	Endpoint                string  `json:"endpoint"`
+	Attempts                int     `json:"total"`
+	Failed                  int     `json:"errors"`
+	MeanLatencyMilliseconds float64 `json:"rtt"`
+	IntervalMilliseconds    int     `json:"interval"`
+	Load                    struct {
 		BusyFraction float64 `json:"util"`
 	} `json:"metrics"`
 }
 
 // proxyTrafficReport reports the requests of a request class that reached a proxy during an interval.
 type proxyTrafficReport struct {
-	Type           string `json:"@type"`
-	Proxy          int    `json:"node"`
-	RequestClass   string `json:"route"`
-	Requests       int    `json:"total"`
-	Failed         int    `json:"errors"`
-	IntervalMillis int    `json:"interval"`
+	Type                 string `json:"@type"`
+	Proxy                int    `json:"node"`
+	RequestClass         string `json:"route"`
+	Requests             int    `json:"total"`
+	Failed               int    `json:"errors"`
+	IntervalMilliseconds int    `json:"interval"`
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,8 +22,8 @@
 
 // Limits that apply if the configuration file states none.
 const (
-	defaultMemoryLimitMB      = 192
-	defaultMaxFileDescriptors = 1024
+	defaultMemoryLimitMB       = 192
+	defaultFileDescriptorLimit = 1024
 )
 
 // Config is the validated configuration of an assigner. It is not modified after Load. Addresses have the form
@@ -37,7 +37,7 @@
 	Seed                 int64             // seed of all random number generators of the assigner
 	CPUCores             float64           // number of CPU cores, possibly fractional; 0 if not stated
 	MemoryLimitMB        int               // memory limit of the process in MiB
-	MaxFileDescriptors   int               // limit on the open file descriptors of the process
+	FileDescriptorLimit  int               // limit on the open file descriptors of the process
 	PeerListenAddress    string            // address at which this assigner receives datagrams from other assigners
 	PeerAddresses        []string          // addresses of all assigners, indexed by assigner number; may be empty
 	PeerBroadcastAddress string            // address that reaches all assigners; empty if there is none
@@ -73,7 +73,7 @@
 		Seed:                 int64(seed),
 		CPUCores:             fields.Limits.CPUCores,
 		MemoryLimitMB:        positiveOrDefault(int(fields.Limits.MemoryLimitMB), defaultMemoryLimitMB),
-		MaxFileDescriptors:   positiveOrDefault(fields.Limits.MaxFileDescriptors, defaultMaxFileDescriptors),
+		FileDescriptorLimit:  positiveOrDefault(fields.Limits.FileDescriptorLimit, defaultFileDescriptorLimit),
 		PeerListenAddress:    fields.PeerListenAddress,
 		PeerAddresses:        fields.PeerAddresses,
 		PeerBroadcastAddress: fields.PeerBroadcastAddress,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if config.Name != "n2" || config.ListenAddress != "127.0.0.1:9" || config.DiscoveryAddress != "127.0.0.1:2" || config.Seed != -1 ||
-		config.MemoryLimitMB != defaultMemoryLimitMB || config.MaxFileDescriptors != defaultMaxFileDescriptors {
+		config.MemoryLimitMB != defaultMemoryLimitMB || config.FileDescriptorLimit != defaultFileDescriptorLimit {
 		t.Errorf("got %+v, want name and listen address from the environment, other fields from the file, and default limits", config)
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -34,9 +34,9 @@
 
 // resourceLimits are the resource limits of the process. Load replaces missing limits by defaults, except CPUCores.
 type resourceLimits struct {
-	CPUCores           float64 `json:"cores"`     // number of CPU cores, possibly fractional
-	MemoryLimitMB      float64 `json:"memory_mb"` // memory limit in MiB
-	MaxFileDescriptors int     `json:"sockets"`   // limit on all open file descriptors, not only on sockets
+	CPUCores            float64 `json:"cores"`     // number of CPU cores, possibly fractional
+	MemoryLimitMB       float64 `json:"memory_mb"` // memory limit in MiB
+	FileDescriptorLimit int     `json:"sockets"`   // limit on all open file descriptors, not only on sockets
 }
 
 // relaySection holds the fields of the configuration file that concern the relay.
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -1,5 +1,5 @@
 // Package configreload applies a changed configuration file while the program runs. When a signal arrives, it reads the
-// file again and moves the addresses of discovery and the relay. A change of any other field that the running program
+// file again and sets the addresses of discovery and the relay. A change of any other field that the running program
 // uses needs a restart.
 //
 // All work is done by the goroutine that calls Reloader.Run, the only exported method. Run blocks while the file is
@@ -31,12 +31,12 @@
 // Config configures a Reloader.
 type Config struct {
 	FilePath         string            // path of the configuration file that the program started with; required
-	DiscoveryAddress *handover.Address // address of the discovery agent; only the Reloader may move it; required
-	RelayAddress     *handover.Address // address of the relay; only the Reloader may move it; required
+	DiscoveryAddress *handover.Address // address of the discovery agent; only the Reloader may set it; required
+	RelayAddress     *handover.Address // address of the relay; only the Reloader may set it; required
 	Log              zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
 
-// Reloader reads the configuration file and moves the addresses. A Reloader is in one of the states idle and reloading.
+// Reloader reads the configuration file and sets the addresses. A Reloader is in one of the states idle and reloading.
 // Its transitions, with the state, the event and the next state, are:
 //
 //	idle       signal                                             -> reloading, until retryTimeout has passed
@@ -102,7 +102,7 @@
 // tryReload reads the file once. It ends the reload if the file has a new address or if the timeout has passed.
 func (r *Reloader) tryReload() {
 	update, err := config.LoadUpdate(r.filePath)
-	if err == nil && r.moveAddresses(update) {
+	if err == nil && r.setAddresses(update) {
 		r.deadline = time.Time{}
 		return
 	}
@@ -121,14 +121,14 @@
 	r.log.Info().Strs("needs_restart", update.ChangesNeedingRestart(r.initialFile)).Msg("configuration reload found no new address")
 }
 
-// moveAddresses sets both addresses to those of the file, and reports whether at least one of them has changed.
-func (r *Reloader) moveAddresses(update *config.Update) bool {
-	discoveryMoved := r.discoveryAddress.Set(update.DiscoveryAddress)
-	relayMoved := r.relayAddress.Set(update.RelayAddress)
-	if !discoveryMoved && !relayMoved {
+// setAddresses sets both addresses to those of the file, and reports whether at least one of them has changed.
+func (r *Reloader) setAddresses(update *config.Update) bool {
+	discoveryChanged := r.discoveryAddress.Set(update.DiscoveryAddress)
+	relayChanged := r.relayAddress.Set(update.RelayAddress)
+	if !discoveryChanged && !relayChanged {
 		return false
 	}
-	r.log.Info().Bool("discovery_moved", discoveryMoved).Bool("relay_moved", relayMoved).
+	r.log.Info().Bool("discovery_moved", discoveryChanged).Bool("relay_moved", relayChanged).
 		Strs("needs_restart", update.ChangesNeedingRestart(r.initialFile)).Msg("configuration reloaded")
 	return true
 }
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -47,8 +47,7 @@
 	ErrConnectionClosed = errors.New("connection closed by agent")
 )
 
-// maxResponseSize returns the maximum size of a response body in bytes, for a process with a memory limit in units of
-// 2^20 bytes.
+// maxResponseSize returns the maximum size of a response body in bytes, for a process with a memory limit in MiB.
 func maxResponseSize(memoryLimitMB int) int64 {
 	return int64(min(maxResponseBytes, memoryLimitMB<<20/responseMemoryDivisor))
 }
@@ -126,7 +125,7 @@
 	if err != nil {
 		return update, true, fmt.Errorf("read response: %w", err)
 	}
-	update, err = w.responseCodec.DecodeEndpointList(body)
+	update, err = w.codec.DecodeEndpointList(body)
 	if err != nil {
 		return update, true, fmt.Errorf("decode response: %w", err)
 	}
@@ -134,7 +133,8 @@
 }
 
 // readResponseBody reads the body of a response and closes it. It returns ErrResponseTooLarge, and does not close the
-// body, if the body exceeds the size limit. It returns an error that wraps httpconn.ErrUnexpectedStatus if the status is not OK.
+// body, if the body exceeds the size limit. It returns an error that wraps httpconn.ErrUnexpectedStatus if the status
+// is not OK.
 func (w *Watcher) readResponseBody(response *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxResponseSize+1))
 	if int64(len(body)) > w.maxResponseSize { // the rest is not read, because the caller closes the connection
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -30,12 +30,13 @@
 	maxRetryDelay = 300 * time.Millisecond
 )
 
-// ErrMemoryLimit reports a Config with a memory limit below 1 MB, which leaves no memory for the responses of an agent.
+// ErrMemoryLimit reports a Config with a memory limit below 1 MiB, which leaves no memory for the responses of an
+// agent.
 var ErrMemoryLimit = errors.New("memory limit below 1 MB")
 
 // Config configures a Watcher.
 type Config struct {
-	Address        *handover.Address // address of the agent, which its owner may move at any time; required
+	Address        *handover.Address // address of the agent, which may change at any time; required
 	InitialVersion int               // version of the endpoint list in the configuration; 0 if there is none
 	Codec          *wire.Codec       // decoder of the agent's responses; required
 	Sink           eventqueue.Sink   // receives each assign.EndpointUpdate, in the goroutine of Run; required
@@ -44,14 +45,14 @@
 	Log            zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
 
-// Watcher watches the endpoint list of one discovery agent. It uses one connection, or two while the address of the
-// agent moves. SetFailureReporting and RequestFullList may be called by any goroutine and do not block.
+// Watcher watches the endpoint list of one discovery agent. It uses one connection, or two during a change of the
+// agent's address. SetFailureReporting and RequestFullList may be called by any goroutine and do not block.
 type Watcher struct {
 	address         *handover.Address
-	responseCodec   *wire.Codec
-	eventSink       eventqueue.Sink
+	codec           *wire.Codec
+	sink            eventqueue.Sink
 	log             zerolog.Logger
-	retryDelays     *backoff.Backoff
+	retryBackoff    *backoff.Backoff
 	maxResponseSize int64 // maximum size of a response body in bytes
 
 	// reportFailures is set if the decision module gets an event for each failure. A connection that the agent closes
@@ -75,10 +76,10 @@
 	log := config.Log.With().Str("component", "discovery").Logger()
 	return &Watcher{
 		address:         config.Address,
-		responseCodec:   config.Codec,
-		eventSink:       config.Sink,
+		codec:           config.Codec,
+		sink:            config.Sink,
 		log:             log,
-		retryDelays:     backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
+		retryBackoff:    backoff.New(minRetryDelay, maxRetryDelay, config.Seed),
 		maxResponseSize: maxResponseSize(config.MemoryLimitMB),
 		versionTracker:  versionTracker{currentVersion: config.InitialVersion},
 		watchCondition: conditionlog.New(conditionlog.Config{
@@ -105,10 +106,10 @@
 	w.fullListCalls.Add(1)
 }
 
-// Run watches the list until the context ends. It must be called only once. After the address moves, Run requests the
+// Run watches the list until the context ends. It must be called only once. After the address changes, Run requests the
 // full list from the agent at the new address while it still watches the list of the agent at the old address.
 func (w *Watcher) Run(ctx context.Context) {
-	handover.Follow(ctx, w.address, w.retryDelays, handover.Source[*pollState]{
+	handover.Follow(ctx, w.address, w.retryBackoff, handover.Source[*pollState]{
 		Open: w.pollAgent,
 		Receive: func(poll *pollState, duringHandover bool) bool {
 			return w.handlePoll(ctx, poll, duringHandover)
@@ -127,7 +128,7 @@
 	w.logFailure(err, duringHandover)
 	if w.reportFailures.Load() && !duringHandover {
 		// The only possible error is that the context has ended, which also ends Run.
-		_ = w.eventSink(ctx, assign.EndpointUpdate{Version: w.versionTracker.currentVersion, Failed: true})
+		_ = w.sink(ctx, assign.EndpointUpdate{Version: w.versionTracker.currentVersion, Failed: true})
 	}
 }
 
@@ -156,7 +157,7 @@
 	if poll.rejection = w.applyUpdate(ctx, poll.update); poll.rejection != nil {
 		return false
 	}
-	w.retryDelays.Reset()
+	w.retryBackoff.Reset()
 	w.watchCondition.RecordSuccess()
 	if address, _ := w.address.Current(); poll.address == address {
 		w.handoverCondition.RecordSuccess()
@@ -196,7 +197,7 @@
 			Msg("list version restarted; lower version accepted")
 	}
 	if update.Full || len(update.Endpoints) > 0 {
-		if err := w.eventSink(ctx, update); err != nil {
+		if err := w.sink(ctx, update); err != nil {
 			return err
 		}
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -120,10 +120,10 @@
 }
 
 // moveAgent moves the agent to a new address and then sets the watcher's address to it. The agent keeps its old address
-// open for the duration oldOpen.
-func (h *watcherHarness) moveAgent(t *testing.T, oldOpen time.Duration) {
+// open for the duration closeDelay.
+func (h *watcherHarness) moveAgent(t *testing.T, closeDelay time.Duration) {
 	t.Helper()
-	if err := h.Move("", oldOpen); err != nil {
+	if err := h.Move("", closeDelay); err != nil {
 		t.Fatal(err)
 	}
 	h.address.Set(h.Address())
@@ -143,7 +143,7 @@
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
-		t.Error(err) // not Fatal, because handlers of the fake agent call encodeJSON in other goroutines
+		t.Error(err) // Fatal is not allowed here, because handlers of the fake agent call encodeJSON in other goroutines
 	}
 	return text
 }
@@ -304,7 +304,7 @@
 }
 
 // TestWatcherReplacesAgentWhenAddressMoves checks that changes are reported at all times while the agent's address
-// moves. The old agent reports changes while the new address refuses connections and until the new agent has sent the
+// changes. The old agent reports changes while the new address refuses connections and until the new agent has sent the
 // full list. The new agent reports changes afterwards.
 func TestWatcherReplacesAgentWhenAddressMoves(t *testing.T) {
 	t.Parallel()
--- a/internal/discoverytest/discovery.go
+++ b/internal/discoverytest/discovery.go
@@ -35,7 +35,7 @@
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"type"`
 	Group       int     `json:"group"`    // number of the endpoint's group of machines
-	State       string  `json:"status"`   // one of Ready, Draining and Removed
+	State       string  `json:"status"`   // state of the endpoint: Ready, Draining or Removed
 	Weight      float64 `json:"weight"`   // capacity relative to the other endpoints
 	StartedAt   int64   `json:"since_ms"` // Unix time of the start of the endpoint, in ms
 }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -58,7 +58,7 @@
 	Inputs    Inputs         // sources of the events; all fields are required
 	Outputs   Outputs        // functions that execute the orders; all fields are required
 	StartedAt time.Time      // time at which the clock of the decision module shows ClockStart; required
-	Log       zerolog.Logger // logger to which New adds the component name; the zero value logs nothing
+	Log       zerolog.Logger // logger to which New adds the field "component"; the zero value logs nothing
 }
 
 // Loop runs one assign.Assigner. Only Stats is safe for concurrent use.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -47,7 +47,7 @@
 		if err := queue.PostEvent(ctx, assign.EndpointUpdate{Failed: true}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // one event per millisecond gives many events in each batch
+		time.Sleep(time.Millisecond) // this rate of events gives many events in each batch
 	}
 	allHandled := func() bool { return len(queue.Events()) == 0 && loop.Stats().Events >= sentUpdates+ticks }
 	if !eventually.True(testTimeout, allHandled) {
--- a/internal/handover/follow_test.go
+++ b/internal/handover/follow_test.go
@@ -108,7 +108,7 @@
 	case <-time.After(testTimeout):
 		t.Fatalf("got nothing, want %s", description)
 	}
-	var zero T // not reached, because Fatalf ends the test
+	var zero T // never returned, because Fatalf ends the test
 	return zero
 }
 
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -14,14 +14,14 @@
 	"madderhollow/internal/testserver"
 )
 
-const timeout = 5 * time.Second
+const testTimeout = 5 * time.Second
 
 // dialServer starts a server with the handler and returns the server and a connection to it. Both are closed at the end
 // of the test.
 func dialServer(t *testing.T, handler http.HandlerFunc) (*testserver.Server, *Conn) {
 	t.Helper()
 	server := servertest.Start(t, handler)
-	conn, err := Dial(t.Context(), server.Address(), timeout)
+	conn, err := Dial(t.Context(), server.Address(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 
 func TestDoReportsWhetherRequestWasSent(t *testing.T) {
 	handlers := map[string]http.HandlerFunc{
-		"answered":          func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) },
+		"responded":         func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) },
 		"closed after sent": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	}
 	for _, test := range []struct {
@@ -41,9 +41,9 @@
 		wantSent         bool
 		wantErr          error
 	}{
-		{name: "response", handler: handlers["answered"], wantSent: true},
+		{name: "response", handler: handlers["responded"], wantSent: true},
 		{name: "closed by server", handler: handlers["closed after sent"], wantSent: true, wantErr: io.ErrUnexpectedEOF},
-		{name: "closed before write", handler: handlers["answered"], closeBeforeWrite: true, wantErr: net.ErrClosed},
+		{name: "closed before write", handler: handlers["responded"], closeBeforeWrite: true, wantErr: net.ErrClosed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, conn := dialServer(t, test.handler)
@@ -52,7 +52,7 @@
 					t.Fatal(err)
 				}
 			}
-			response, sent, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), timeout)
+			response, sent, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), testTimeout)
 			if sent != test.wantSent || !errors.Is(err, test.wantErr) {
 				t.Errorf("got sent %t, error %v; want sent %t, error %v", sent, err, test.wantSent, test.wantErr)
 			}
@@ -82,7 +82,7 @@
 
 func TestServerClosedAfterServerClosesIdleConnection(t *testing.T) {
 	server, conn := dialServer(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
-	response, _, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), timeout)
+	response, _, err := conn.Do(conn.NewRequest(http.MethodGet, "/"), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,10 +92,10 @@
 	if conn.ServerClosed() || conn.HasUnreadBytes() {
 		t.Errorf("open connection: got server closed %t, unread %t; want false, false", conn.ServerClosed(), conn.HasUnreadBytes())
 	}
-	if !eventually.True(timeout, func() bool { return server.CloseIdleConnections() > 0 }) {
+	if !eventually.True(testTimeout, func() bool { return server.CloseIdleConnections() > 0 }) {
 		t.Fatal("got no idle connection, want one")
 	}
-	if !eventually.True(timeout, conn.ServerClosed) {
+	if !eventually.True(testTimeout, conn.ServerClosed) {
 		t.Error("closed connection: got server closed false, want true")
 	}
 }
--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -56,8 +56,8 @@
 }
 
 // provesApplied reports whether an acknowledgment of a sequence number proves that the call which requested it was
-// applied. An acknowledgment of a split batch proves nothing, because it does not tell which of the calls of the batch
-// was applied.
+// applied. An acknowledgment of a split batch proves nothing, because any one of the calls of the batch may be the
+// applied one.
 func (t *acknowledgmentTracker) provesApplied(sequence int) bool {
 	return sequence != noSequence && !slices.Contains(t.splitSequences, sequence)
 }
--- a/internal/orderqueue/doc.go
+++ b/internal/orderqueue/doc.go
@@ -1,7 +1,7 @@
-// Package orderqueue holds the orders of the decision module (assign.Assigner) until the relay has accepted them.
-// The relay accepts orders in calls of limited size. The queue coalesces pending orders, groups them into calls,
-// enforces the limit on messages to each proxy, and handles calls whose answer was lost. It makes no decision about
-// tables or rates, opens no connection and starts no goroutine.
+// Package orderqueue holds the orders of the decision module (assign.Assigner) until the relay has accepted them. The
+// relay accepts orders in calls of limited size. The queue coalesces pending orders, groups them into calls, enforces
+// the limit on messages to each proxy, and handles calls whose response was lost. It makes no decision about tables or
+// rates, opens no connection and starts no goroutine.
 //
 // The relay applies a call by sending one message to each proxy that the call reaches, regardless of how many
 // orders of the call concern that proxy. The platform limits the number of messages to a proxy within a time
@@ -16,7 +16,7 @@
 //
 // A call goes through these states:
 //
-//	           Take               answer: all accepted
+//	           Take              response: all accepted
 //	queued ------------> in flight -------------------> acknowledged
 //	 ^ ^ ^                | | |                              ^
 //	 | | |     Requeue    | | |  RequeueAmbiguous            | acknowledgment of
@@ -32,7 +32,7 @@
 //   - queued: the orders are pending. If two pending orders set the same value, only the later order is kept
 //     (pending.go).
 //   - in flight: the call was sent and counts as one message to each proxy that it reaches (budget.go).
-//   - ambiguous: the answer was lost, so it is unknown whether the relay applied the call. Either all of its orders
+//   - ambiguous: the response was lost, so it is unknown whether the relay applied the call. Either all of its orders
 //     were applied or none. The orders are pending again, before all newer orders. No call with orders is sent
 //     during a delay in which the acknowledgment may arrive (ambiguity.go, acknowledgments.go). After the delay the
 //     orders are sent again, because a repeated call costs only one message to each proxy, while a lost order could
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -16,8 +16,9 @@
 // twice the number of pending orders plus maxSupersededSlots.
 const maxSupersededSlots = 256
 
-// orderSeparator separates the orders of a call. It is the URL-escaped form of a semicolon, as sent to the relay.
-const orderSeparator = "%3B"
+// escapedOrderSeparator separates the orders of a call. It is the URL-escaped form of a semicolon, as sent to the
+// relay.
+const escapedOrderSeparator = "%3B"
 
 // orderKind is the type of an order as part of an orderKey.
 type orderKind int
@@ -88,7 +89,7 @@
 }
 
 func newPendingOrder(order assign.Order, encoded string) *pendingOrder {
-	escapedSize := len(url.QueryEscape(encoded)) + len(orderSeparator)
+	escapedSize := len(url.QueryEscape(encoded)) + len(escapedOrderSeparator)
 	return &pendingOrder{order: order, encoded: encoded, escapedSize: escapedSize, ambiguousSequence: noSequence, submittedAt: time.Now()}
 }
 
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -55,7 +55,7 @@
 	Channel assign.ChannelConfig
 	// Encoder encodes the submitted orders. It is required.
 	Encoder Encoder
-	// Log is the logger to which New adds the component name. The zero value logs nothing.
+	// Log is the logger to which New adds the field "component". The zero value logs nothing.
 	Log zerolog.Logger
 }
 
@@ -87,9 +87,9 @@
 }
 
 // PreprocessEvents updates the state of the queue from a batch of events, and returns the events that the decision
-// module has to handle. It inserts the acknowledgments of merged batches. It marks a reconnected proxy as not fresh if
-// an attachment may have reached the new connection. It drops the pending attachments of proxies that have connected or
-// disconnected. It does not block.
+// module has to handle. It inserts the acknowledgments of merged batches. It clears DefaultTablesOnly in the event of a
+// reconnected proxy if an attachment may have reached the new connection. It drops the pending attachments of proxies
+// that have connected or disconnected. It does not block.
 func (q *Queue) PreprocessEvents(events []assign.Event) []assign.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -12,7 +12,7 @@
 	"madderhollow/internal/wire"
 )
 
-// The acknowledgment of a call can arrive before the order client detects that the answer of the relay was lost. The
+// The acknowledgment of a call can arrive before the order client detects that the response of the relay was lost. The
 // call was applied and must not be repeated.
 func TestAmbiguousCallAcknowledgedBeforeRequeueIsNotRepeated(t *testing.T) {
 	queue := newTestQueue(0)
@@ -186,7 +186,7 @@
 	call := take()
 	processed := queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, DefaultTablesOnly: true}})
 	if connected, ok := processed[1].(assign.ProxyConnected); !ok || connected.DefaultTablesOnly {
-		t.Errorf("got %+v, want a connected proxy that is not fresh: it may have received the attachment", processed[1])
+		t.Errorf("got %+v, want a connected proxy without DefaultTablesOnly: it may have received the attachment", processed[1])
 	}
 	queue.RequeueAmbiguous(call)
 	call = take()
--- a/internal/orderqueue/recipients.go
+++ b/internal/orderqueue/recipients.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// recordConnect records a new connection of a proxy and returns the event for the decision module. The returned event
-// marks the proxy as not fresh if an attachment may have reached the new connection.
+// recordConnect records a new connection of a proxy and returns the event for the decision module. DefaultTablesOnly is
+// false in the returned event if an attachment may have reached the new connection.
 func (t *proxyTracker) recordConnect(event assign.ProxyConnected) assign.ProxyConnected {
 	t.connectionGenerations[event.Proxy]++
 	if t.connectedProxies[event.Proxy] == nil {
@@ -176,8 +176,8 @@
 	}
 }
 
-// forEachProxyOfTable calls visit for each connected proxy that may use a table. If the table is assign.AllProxyTables, it
-// calls visit for each connected proxy that may use any table.
+// forEachProxyOfTable calls visit for each connected proxy that may use a table. If the table is assign.AllProxyTables,
+// it calls visit for each connected proxy that may use any table.
 func (t *proxyTracker) forEachProxyOfTable(table int, visit func(*connectedProxy)) {
 	if table != assign.AllProxyTables {
 		for proxy := range t.proxiesByTable[table] {
--- a/internal/peer/bytes_test.go
+++ b/internal/peer/bytes_test.go
@@ -21,7 +21,7 @@
 	for _, to := range []int{-1, 0} {
 		for _, data := range [][]byte{{}, []byte("hi 7"), {0, 255, 10}, bytes.Repeat([]byte{7}, 256)} {
 			socket.Send(to, data)
-			if err := receiver.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+			if err := receiver.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 			n, err := receiver.Read(buffer)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -58,7 +58,7 @@
 	broadcastAddress netip.AddrPort              // address that reaches all peers; not valid if none is configured
 	sink             eventqueue.Sink
 	log              zerolog.Logger
-	rateLimitedLog   zerolog.Logger          // for dropped datagrams; rate-limited because any host can send many
+	rateLimitedLog   zerolog.Logger          // logger for dropped datagrams; rate-limited because any host can send many
 	bindFailures     *conditionlog.Condition // consecutive failures to bind; used by Open, afterwards only by Run
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,8 +15,8 @@
 	"madderhollow/internal/loglimit"
 )
 
-// timeout bounds every wait. It is long, so that tests also pass on a busy machine.
-const timeout = 5 * time.Second
+// testTimeout bounds every wait. It is long, so that tests also pass on a busy machine.
+const testTimeout = 5 * time.Second
 
 // listenUDP binds a UDP socket to a free port of the loopback address and closes it at the end of the test.
 func listenUDP(t *testing.T) *net.UDPConn {
@@ -75,7 +75,7 @@
 // expectDatagram fails the test unless the next datagram that the socket receives has the given text.
 func expectDatagram(t *testing.T, at *net.UDPConn, want string) {
 	t.Helper()
-	if err := at.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+	if err := at.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	buffer := make([]byte, 1000)
@@ -98,7 +98,7 @@
 	select {
 	case event := <-events:
 		expectHiFromPeer1(t, event)
-	case <-time.After(timeout):
+	case <-time.After(testTimeout):
 		t.Fatal("got no event, want the message of peer 1")
 	}
 }
@@ -149,7 +149,7 @@
 	if err := addressHolder.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for deadline := time.Now().Add(timeout); ; {
+	for deadline := time.Now().Add(testTimeout); ; {
 		mustSendDatagram(t, peerConn, []byte("hi"), ownAddress)
 		select {
 		case event := <-events:
--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -8,13 +8,13 @@
 	"madderhollow/internal/wire"
 )
 
-// callConditions holds one logged condition for each reason why calls fail. A condition ends only with an answer that
+// callConditions holds one logged condition for each reason why calls fail. A condition ends only with a response that
 // rules it out. While the relay is down or breaks every call, no condition ends.
 type callConditions struct {
 	unsent     *conditionlog.Condition // calls cannot be sent
-	unanswered *conditionlog.Condition // the outcome of calls is unknown, because no valid answer arrives
-	busy       *conditionlog.Condition // the relay answers that it is busy
-	unparsable *conditionlog.Condition // the relay answers that it cannot parse calls
+	unanswered *conditionlog.Condition // the outcome of calls is unknown, because no valid response arrives
+	busy       *conditionlog.Condition // the relay responds that it is busy
+	unparsable *conditionlog.Condition // the relay responds that it cannot parse calls
 }
 
 func newCallConditions(log zerolog.Logger) callConditions {
@@ -42,9 +42,9 @@
 	}
 }
 
-// recordAnswer ends the conditions that are ruled out by an answer with this error code. The code is empty if the
-// answer reports no error.
-func (c *callConditions) recordAnswer(code string) {
+// recordResponse ends the conditions that are ruled out by a response with this error code. The code is empty if the
+// response reports no error.
+func (c *callConditions) recordResponse(code string) {
 	c.unsent.RecordSuccess()
 	c.unanswered.RecordSuccess()
 	if code == "" || code == wire.ErrorCodeSyntax {
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -17,16 +17,16 @@
 	"madderhollow/internal/wire"
 )
 
-// Path and content type of the HTTP request of a call. Package wire defines the request body and the answer.
+// Path and content type of the HTTP request of a call. Package wire defines the request body and the response body.
 const (
 	callPath        = "/"
 	callContentType = "application/x-www-form-urlencoded"
 )
 
 const (
-	// answerTimeout bounds the time from sending a call until its answer has been read. It is four times the 50 ms
-	// within which the relay answers, if it answers at all.
-	answerTimeout = 200 * time.Millisecond
+	// responseTimeout bounds the time from sending a call until its response has been read. It is four times the 50 ms
+	// within which the relay responds, if it responds at all.
+	responseTimeout = 200 * time.Millisecond
 	// maxIdleTime is the longest idle time after which a connection is used again. It is below the 10 s after which
 	// the relay may close an idle connection. A close that has arrived is detected before a call is sent. A close that
 	// is still in transit would make the call ambiguous.
@@ -34,12 +34,12 @@
 	// handoverRetryDelay is the delay between two attempts to connect to a new address while the connection to the old
 	// address is in use.
 	handoverRetryDelay = 250 * time.Millisecond
-	// maxAnswerBytes bounds the part of an answer that is read, in bytes. The answers of the relay have about a
+	// maxResponseBytes bounds the part of a response that is read, in bytes. The responses of the relay have about a
 	// hundred bytes.
-	maxAnswerBytes = 64 << 10
+	maxResponseBytes = 64 << 10
 )
 
-// ErrTooManyAccepted reports an answer that counts more accepted orders than the call contained.
+// ErrTooManyAccepted reports a response that counts more accepted orders than the call contained.
 var ErrTooManyAccepted = errors.New("more orders accepted than sent")
 
 // callConn manages the connection over which calls are sent. It has three states: closed (conn is nil), connected to
@@ -48,7 +48,7 @@
 type callConn struct {
 	address         *handover.Address
 	conn            *httpconn.Conn          // open connection, or nil in the closed state
-	lastUsed        time.Time               // time of the last answer, or of opening the connection
+	lastUsed        time.Time               // time of the last response, or of opening the connection
 	handoverRetryAt time.Time               // earliest time of the next attempt to connect to a new address
 	handoverFailing *conditionlog.Condition // connecting to the current address fails while the old connection is in use
 }
@@ -137,12 +137,12 @@
 	c.conn = nil
 }
 
-// call makes one call and blocks until the call is answered, fails or times out. The result sent reports whether the
-// whole request was written. If the request was written and an error is returned, the outcome of the call is
-// ambiguous.
-func (c *callConn) call(ctx context.Context, orders []string) (answer wire.Answer, sent bool, err error) {
+// call makes one call and blocks until the response has been read, the call fails or times out. The result sent reports
+// whether the whole request was written. If the request was written and an error is returned, the outcome of the call
+// is ambiguous.
+func (c *callConn) call(ctx context.Context, orders []string) (callResponse wire.CallResponse, sent bool, err error) {
 	if err := c.ensureConnected(ctx); err != nil {
-		return answer, false, err
+		return callResponse, false, err
 	}
 	stop := c.conn.CloseOnContextDone(ctx)
 	defer stop()
@@ -151,32 +151,32 @@
 	request.Header.Set("Content-Type", callContentType)
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	request.ContentLength = int64(len(body))
-	response, sent, err := c.conn.Do(request, answerTimeout)
+	response, sent, err := c.conn.Do(request, responseTimeout)
 	if err != nil {
-		return answer, sent, fmt.Errorf("call: %w", err)
+		return callResponse, sent, fmt.Errorf("call: %w", err)
 	}
-	answer, err = readAnswer(response, len(orders))
+	callResponse, err = readCallResponse(response, len(orders))
 	if err != nil {
-		return answer, true, err
+		return callResponse, true, err
 	}
 	c.lastUsed = time.Now()
 	if response.Close {
 		c.close()
 	}
-	return answer, true, nil
+	return callResponse, true, nil
 }
 
-// readAnswer reads, decodes and checks the answer to a call with the given number of orders.
-func readAnswer(response *http.Response, orders int) (answer wire.Answer, err error) {
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+// readCallResponse reads, decodes and checks the response to a call with the given number of orders.
+func readCallResponse(response *http.Response, orders int) (callResponse wire.CallResponse, err error) {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err := errors.Join(err, response.Body.Close()); err != nil {
-		return answer, fmt.Errorf("read answer: %w", err)
+		return callResponse, fmt.Errorf("read answer: %w", err)
 	}
-	if answer, err = wire.DecodeAnswer(text); err != nil {
-		return answer, fmt.Errorf("decode answer: %w", err)
+	if callResponse, err = wire.DecodeCallResponse(text); err != nil {
+		return callResponse, fmt.Errorf("decode answer: %w", err)
 	}
-	if answer.AcceptedOrders > orders {
-		return answer, fmt.Errorf("check answer: %w: %d of %d", ErrTooManyAccepted, answer.AcceptedOrders, orders)
+	if callResponse.AcceptedOrders > orders {
+		return callResponse, fmt.Errorf("check answer: %w: %d of %d", ErrTooManyAccepted, callResponse.AcceptedOrders, orders)
 	}
-	return answer, nil
+	return callResponse, nil
 }
--- a/internal/relay/callconn_test.go
+++ b/internal/relay/callconn_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestReadAnswerChecksAcceptedOrders(t *testing.T) {
+func TestReadCallResponseChecksAcceptedOrders(t *testing.T) {
 	for _, test := range []struct {
 		accepted, sent int
 		wantErr        error
@@ -19,10 +19,10 @@
 		{accepted: 4, sent: 3, wantErr: ErrTooManyAccepted},
 	} {
 		t.Run(fmt.Sprintf("%d of %d", test.accepted, test.sent), func(t *testing.T) {
-			body := io.NopCloser(strings.NewReader(acceptedAnswer(test.accepted)))
-			answer, err := readAnswer(&http.Response{Body: body}, test.sent)
-			if !errors.Is(err, test.wantErr) || answer.AcceptedOrders != test.accepted {
-				t.Errorf("got %d accepted, error %v; want %d, error %v", answer.AcceptedOrders, err, test.accepted, test.wantErr)
+			body := io.NopCloser(strings.NewReader(acceptedResponse(test.accepted)))
+			response, err := readCallResponse(&http.Response{Body: body}, test.sent)
+			if !errors.Is(err, test.wantErr) || response.AcceptedOrders != test.accepted {
+				t.Errorf("got %d accepted, error %v; want %d, error %v", response.AcceptedOrders, err, test.accepted, test.wantErr)
 			}
 		})
 	}
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -49,7 +49,7 @@
 //     cannot be parsed maxSyntaxErrors times is dropped.
 //   - not sent: The connection failed before the last byte of the call was written. The call is sent again after a
 //     backoff.
-//   - ambiguous: The call was sent, but no valid answer arrived, so either all of its orders or none of them were
+//   - ambiguous: The call was sent, but no valid response arrived, so either all of its orders or none of them were
 //     applied. The connection is reset, so that nothing of the call arrives after its repeat. The queue decides whether
 //     to repeat the call.
 package relay
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -18,7 +18,8 @@
 )
 
 // After the event stream breaks, all connected proxies are reported again, and proxies that have disconnected in the
-// meantime are reported as disconnected. A proxy to which a table was attached is not reported as fresh.
+// meantime are reported as disconnected. A proxy to which a table was attached is not reported as one that holds only
+// its default tables.
 func TestEventReaderResyncsAfterBreak(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -60,7 +61,7 @@
 	repeated := assign.ProxyConnected{Proxy: 0, Zone: "a", TypicalRate: 2, DefaultTablesOnly: true}
 	disconnected := assign.ProxyDisconnected{Proxy: 1}
 	got := setup.takeEvents(2)
-	for len(got) > 0 && reflect.DeepEqual(got[0], repeated) { // one or two snapshots report proxy 0 again
+	for len(got) > 0 && reflect.DeepEqual(got[0], repeated) { // each of one or two snapshots reports proxy 0
 		got = got[1:]
 	}
 	if !reflect.DeepEqual(got, []assign.Event{disconnected}) {
@@ -170,8 +171,8 @@
 }
 
 // A proxy reconnects while a call that attaches a table to it is in flight, so either connection may have received the
-// attachment. The proxy must not be reported as fresh, and the acknowledgment must still count for the other orders of
-// the call.
+// attachment. The proxy must not be reported as one that holds only its default tables, and the acknowledgment must
+// still count for the other orders of the call.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -29,7 +29,7 @@
 	messageWindow = 500 * time.Millisecond
 )
 
-func testCodec() *wire.Codec {
+func newTestCodec() *wire.Codec {
 	return wire.NewCodec(testconfig.New([]string{"a", "b"}, 8, "read", "sign"), time.Now())
 }
 
@@ -44,8 +44,8 @@
 	attachPrefix   = "attach,"                         // start of an encoded assign.AttachTable, before the proxy number
 )
 
-// acceptedAnswer returns an answer of the relay that reports the given number of accepted orders.
-func acceptedAnswer(accepted int) string {
+// acceptedResponse returns a response body of the relay that reports the given number of accepted orders.
+func acceptedResponse(accepted int) string {
 	return fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", accepted)
 }
 
@@ -73,12 +73,12 @@
 	setup := &harness{
 		Relay:   relay,
 		address: handover.NewAddress(relay.Address()),
-		queue:   orderqueue.New(orderqueue.Config{Channel: testChannel(), Encoder: testCodec()}),
+		queue:   orderqueue.New(orderqueue.Config{Channel: testChannel(), Encoder: newTestCodec()}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	setup.shutdown = cancel
 	client := NewOrderClient(OrderClientConfig{Address: setup.address, Queue: setup.queue, Seed: seed, Log: log})
-	reader := NewEventReader(EventReaderConfig{Address: setup.address, Codec: testCodec(), Sink: setup.receive, Seed: seed, Log: log})
+	reader := NewEventReader(EventReaderConfig{Address: setup.address, Codec: newTestCodec(), Sink: setup.receive, Seed: seed, Log: log})
 	for _, run := range []func(context.Context){client.Run, reader.Run} {
 		setup.running.Add(1)
 		go func() { // ends after shutdown is called
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// connectProxies connects proxies 0 to n-1 in zone "a" and removes their events from the record. The proxies are fresh
-// and usually receive 2 requests per second.
+// connectProxies connects proxies 0 to n-1 in zone "a" and removes their events from the record. The proxies hold only
+// their default tables and usually receive 2 requests per second.
 func (h *harness) connectProxies(n int) {
 	for proxy := range n {
 		h.Connect(proxy, "a", 2, true)
@@ -189,7 +189,7 @@
 // encodeOrders returns the wire format of orders.
 func encodeOrders(t *testing.T, orders []assign.Order) []string {
 	t.Helper()
-	codec := testCodec()
+	codec := newTestCodec()
 	texts := make([]string, len(orders))
 	for i, order := range orders {
 		var err error
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -41,7 +41,7 @@
 	logs := logtest.New(t, "relay")
 	reader := NewEventReader(EventReaderConfig{
 		Address: handover.NewAddress(address),
-		Codec:   testCodec(),
+		Codec:   newTestCodec(),
 		Sink:    func(context.Context, assign.Event) error { return nil },
 		Seed:    1,
 		Log:     logs.Logger(),
@@ -97,10 +97,10 @@
 	}
 }
 
-func TestReadStreamReturnsErrStatus(t *testing.T) {
+func TestReadStreamReturnsErrUnexpectedStatus(t *testing.T) {
 	t.Parallel()
 	address := servertest.Start(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }).Address()
-	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: testCodec(), Log: zerolog.Nop()})
+	reader := NewEventReader(EventReaderConfig{Address: handover.NewAddress(address), Codec: newTestCodec(), Log: zerolog.Nop()})
 	err := reader.readStream(t.Context(), address, func(*streamItem) bool { return true })
 	if !errors.Is(err, httpconn.ErrUnexpectedStatus) {
 		t.Errorf("got error %v, want %v", err, httpconn.ErrUnexpectedStatus)
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -76,12 +76,12 @@
 		if !ok {
 			return
 		}
-		answer, sent, err := c.conn.call(callCtx, call.Orders)
+		response, sent, err := c.conn.call(callCtx, call.Orders)
 		if err != nil {
 			c.handleFailure(callCtx, call, sent, err)
 			continue
 		}
-		c.handleAnswer(callCtx, call, answer)
+		c.handleResponse(callCtx, call, response)
 	}
 }
 
@@ -97,14 +97,13 @@
 	return call, ok && callCtx.Err() == nil
 }
 
-// handleFailure requeues a call that received no valid answer. A call that was sent is ambiguous and may be repeated:
-// a repeat costs one message to each proxy, while a lost call could break a drain or leave a proxy without an
-// endpoint.
+// handleFailure requeues a call that received no valid response. A call that was sent is ambiguous and may be repeated:
+// a repeat costs one message to each proxy, while a lost call could break a drain or leave a proxy without an endpoint.
 func (c *OrderClient) handleFailure(ctx context.Context, call orderqueue.Call, sent bool, err error) {
 	c.conn.reset()
 	if sent {
 		c.conditions.unanswered.RecordFailure(err, addOrderCount(call))
-		c.queue.RequeueAmbiguous(call) // also delays the next call
+		c.queue.RequeueAmbiguous(call) // RequeueAmbiguous also delays the next call
 		return
 	}
 	c.conditions.unsent.RecordFailure(err, addOrderCount(call))
@@ -112,20 +111,20 @@
 	c.retryBackoff.Wait(ctx)
 }
 
-// handleAnswer handles the relay's answer to a call. It requeues or drops the orders that the relay did not accept.
-func (c *OrderClient) handleAnswer(ctx context.Context, call orderqueue.Call, answer wire.Answer) {
-	c.conditions.recordAnswer(answer.ErrorCode)
+// handleResponse handles the relay's response to a call. It requeues or drops the orders that the relay did not accept.
+func (c *OrderClient) handleResponse(ctx context.Context, call orderqueue.Call, response wire.CallResponse) {
+	c.conditions.recordResponse(response.ErrorCode)
 	switch {
-	case answer.ErrorCode == wire.ErrorCodeSyntax:
+	case response.ErrorCode == wire.ErrorCodeSyntax:
 		c.handleSyntaxError(ctx, call)
-	case answer.ErrorCode != "":
+	case response.ErrorCode != "":
 		c.conditions.busy.RecordFailure(nil, func(line *zerolog.Event) {
-			line.Str("code", answer.ErrorCode).Int("orders", len(call.Orders))
+			line.Str("code", response.ErrorCode).Int("orders", len(call.Orders))
 		})
 		c.queue.Requeue(call)
 		backoff.Sleep(ctx, refusedRetryDelay)
-	case answer.AcceptedOrders < len(call.Orders):
-		c.handleRejection(call, answer.AcceptedOrders)
+	case response.AcceptedOrders < len(call.Orders):
+		c.handleRejection(call, response.AcceptedOrders)
 	default:
 		c.resetRetries()
 	}
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -230,7 +230,8 @@
 	}
 }
 
-// At shutdown the call in flight is completed, and orders that were submitted in the meantime are also sent.
+// When the context ends, the client completes the call in flight and also sends the orders that were submitted in the
+// meantime.
 func TestShutdownCompletesCallInFlightAndPendingOrders(t *testing.T) {
 	t.Parallel()
 	setup := newHarness(t, 1, zerolog.Nop())
@@ -260,14 +261,14 @@
 
 func TestShutdownEndsInTimeDespiteFault(t *testing.T) {
 	for name, fault := range map[string]relaytest.Fault{
-		"no answer, not applied": relaytest.HangBeforeApplying,
-		"no answer, applied":     relaytest.HangAfterApplying,
-		"reset, not applied":     relaytest.AbortBeforeApplying,
-		"reset, applied":         relaytest.AbortAfterApplying,
-		"garbled answer":         relaytest.MalformedResponse,
-		"busy":                   relaytest.BusyResponse,
-		"syntax error":           relaytest.SyntaxErrorResponse,
-		"half accepted":          relaytest.HalfApplied,
+		"no response, not applied": relaytest.HangBeforeApplying,
+		"no response, applied":     relaytest.HangAfterApplying,
+		"reset, not applied":       relaytest.AbortBeforeApplying,
+		"reset, applied":           relaytest.AbortAfterApplying,
+		"malformed response":       relaytest.MalformedResponse,
+		"busy":                     relaytest.BusyResponse,
+		"syntax error":             relaytest.SyntaxErrorResponse,
+		"half accepted":            relaytest.HalfApplied,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/relay/streammerger.go
+++ b/internal/relay/streammerger.go
@@ -38,7 +38,7 @@
 
 // reportedProxy describes a proxy that was last reported as connected.
 type reportedProxy struct {
-	fresh bool // the proxy was reported as fresh
+	defaultTablesOnly bool // the last event reported that the proxy holds only its default tables
 }
 
 // streamMerger merges successive event streams, two at a time during a handover, into one sequence of events. No
@@ -143,8 +143,8 @@
 			break
 		}
 		before, reported := m.reported[proxy.Proxy]
-		becameFresh := proxy.DefaultTablesOnly && !before.fresh
-		if !reported || becameFresh {
+		nowDefaultTablesOnly := proxy.DefaultTablesOnly && !before.defaultTablesOnly
+		if !reported || nowDefaultTablesOnly {
 			changes = append(changes, proxy)
 		}
 		delete(missing, proxy.Proxy)
@@ -172,7 +172,7 @@
 func (m *streamMerger) forward(ctx context.Context, stream *streamState, event assign.Event) error {
 	if connected, ok := event.(assign.ProxyConnected); ok {
 		delete(stream.unconfirmed, connected.Proxy)
-		m.reported[connected.Proxy] = reportedProxy{fresh: connected.DefaultTablesOnly}
+		m.reported[connected.Proxy] = reportedProxy{defaultTablesOnly: connected.DefaultTablesOnly}
 		return m.sink(ctx, event)
 	}
 	if err := m.completeResync(ctx, stream); err != nil {
--- a/internal/relay/streammerger_test.go
+++ b/internal/relay/streammerger_test.go
@@ -50,7 +50,7 @@
 	return got, forwarding, failed
 }
 
-// connectedEvent returns the event that reports a proxy, which is not fresh, as connected.
+// connectedEvent returns the event that reports the connection of a proxy that holds assigned tables.
 func connectedEvent(proxy int) assign.Event { return assign.ProxyConnected{Proxy: proxy, Zone: "a"} }
 
 func disconnectedEvent(proxy int) assign.Event { return assign.ProxyDisconnected{Proxy: proxy} }
@@ -123,7 +123,7 @@
 // A stream at a new address replaces the old stream once the old stream is known to work and the snapshot of the new
 // stream is complete. Only changes are then reported.
 func TestStreamMergerReportsChangesAfterHandover(t *testing.T) {
-	fresh := assign.ProxyConnected{Proxy: 1, Zone: "a", DefaultTablesOnly: true}
+	defaultTablesOnly := assign.ProxyConnected{Proxy: 1, Zone: "a", DefaultTablesOnly: true}
 	acknowledged := assign.Acknowledged{Proxy: 1, Sequence: 4}
 	runMergerCases(t, []mergerCase{
 		{
@@ -154,12 +154,12 @@
 		{
 			name: "with changes",
 			deliveries: []delivery{
-				{stream: "new", event: fresh, duringHandover: true},
+				{stream: "new", event: defaultTablesOnly, duringHandover: true},
 				{stream: "new", event: connectedEvent(3), duringHandover: true},
 				{stream: "old"},
 				{stream: "new", event: acknowledged, duringHandover: true},
 			},
-			want:           []assign.Event{fresh, connectedEvent(3), disconnectedEvent(2), acknowledged},
+			want:           []assign.Event{defaultTablesOnly, connectedEvent(3), disconnectedEvent(2), acknowledged},
 			wantForwarding: true,
 		},
 		{
--- a/internal/relaytest/names.go
+++ b/internal/relaytest/names.go
@@ -50,7 +50,7 @@
 // Texts on the event stream: formats of events, and the heartbeat, which is an empty comment of the stream's format.
 const (
 	// connectedEventFormat takes the proxy's number, its zone, its request rate in requests per second, and 1 for a
-	// fresh proxy or 0 for any other.
+	// proxy that holds only its default tables or 0 for any other.
 	connectedEventFormat    = "event: joined\ndata: node=%d&locality=%s&w=%g&cold=%d\n\n"
 	disconnectedEventFormat = "event: left\ndata: node=%d\n\n" // takes the number of the proxy
 	// acknowledgedEventFormat takes the number of the proxy and the sequence number that the proxy acknowledges.
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -40,11 +40,11 @@
 
 // Proxy is a fake proxy that is connected to the relay.
 type Proxy struct {
-	Zone         string
-	RequestRate  float64        // request rate that the event of its connection reports, in requests per second
-	TableByClass map[string]int // number of the attached table for each request class
-	MessageTimes []time.Time    // times at which calls sent messages to the proxy since it connected, the oldest first
-	Fresh        bool           // true if the proxy held no assigned table when it connected
+	Zone              string
+	RequestRate       float64        // request rate that the event of its connection reports, in requests per second
+	TableByClass      map[string]int // number of the attached table for each request class
+	MessageTimes      []time.Time    // times at which calls sent messages to the proxy since it connected, the oldest first
+	DefaultTablesOnly bool           // true if the proxy held no assigned table when it connected
 }
 
 // State is the state of the proxies and tables that results from all applied calls.
@@ -144,11 +144,11 @@
 }
 
 // Connect connects a proxy and sends the event of its connection on all streams. The rate is in requests per second.
-// A fresh proxy holds no assigned table yet.
-func (r *Relay) Connect(proxyID int, zone string, requestRate float64, fresh bool) {
+// DefaultTablesOnly states that the proxy holds only its default tables.
+func (r *Relay) Connect(proxyID int, zone string, requestRate float64, defaultTablesOnly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := &Proxy{Zone: zone, RequestRate: requestRate, TableByClass: map[string]int{}, Fresh: fresh}
+	p := &Proxy{Zone: zone, RequestRate: requestRate, TableByClass: map[string]int{}, DefaultTablesOnly: defaultTablesOnly}
 	r.state.Proxies[proxyID] = p
 	r.events.send(connectedEvent(proxyID, p))
 }
--- a/internal/relaytest/stream.go
+++ b/internal/relaytest/stream.go
@@ -101,14 +101,14 @@
 	}
 }
 
-// connectedEvent formats the event which reports that a proxy has connected. The proxy is reported as fresh if it
-// connected fresh and no table has been attached to it since.
+// connectedEvent formats the event which reports that a proxy has connected. The event reports that the proxy holds
+// only its default tables if it held only these when it connected and no table has been attached to it since.
 func connectedEvent(proxyID int, proxy *Proxy) string {
-	fresh := 0
-	if proxy.Fresh && len(proxy.TableByClass) == 0 {
-		fresh = 1
+	defaultTablesOnly := 0
+	if proxy.DefaultTablesOnly && len(proxy.TableByClass) == 0 {
+		defaultTablesOnly = 1
 	}
-	return fmt.Sprintf(connectedEventFormat, proxyID, proxy.Zone, proxy.RequestRate, fresh)
+	return fmt.Sprintf(connectedEventFormat, proxyID, proxy.Zone, proxy.RequestRate, defaultTablesOnly)
 }
 
 // disconnectedEvent formats the event which reports that a proxy has disconnected.
--- a/internal/reportserver/connections_test.go
+++ b/internal/reportserver/connections_test.go
@@ -26,13 +26,13 @@
 		dialUnidentified(t, address)
 	}
 	sentAt := time.Now()
-	if err := dialCollector(t, address).Ping(timeout); err != nil || time.Since(sentAt) > identificationTimeout {
+	if err := dialCollector(t, address).Ping(testTimeout); err != nil || time.Since(sentAt) > identificationTimeout {
 		t.Errorf("got the pong of a new collector after %v (%v), want one within %v", time.Since(sentAt), err, identificationTimeout)
 	}
 	if n := server.connections.count(); n > limit {
 		t.Errorf("got %d open connections, want at most %d", n, limit)
 	}
-	if err := collector.Ping(timeout); err != nil {
+	if err := collector.Ping(testTimeout); err != nil {
 		t.Errorf("first collector: got no pong: %v", err)
 	}
 }
@@ -53,16 +53,16 @@
 	// One ping may still be answered if it arrives while the eviction interrupts a blocked read. Later pings must not
 	// be answered.
 	pongs := 0
-	for pongs < 2 && first.Ping(timeout) == nil {
+	for pongs < 2 && first.Ping(testTimeout) == nil {
 		pongs++
 	}
 	if pongs > 1 {
 		t.Errorf("first collector: got %d pongs, want the connection closed after one at most", pongs)
 	}
-	if err := last.Ping(timeout); err != nil {
+	if err := last.Ping(testTimeout); err != nil {
 		t.Errorf("last collector: got no pong: %v", err)
 	}
-	if !eventually.True(timeout, func() bool { return server.connections.count() == minCollectorLimit }) {
+	if !eventually.True(testTimeout, func() bool { return server.connections.count() == minCollectorLimit }) {
 		t.Errorf("got %d open connections, want %d", server.connections.count(), minCollectorLimit)
 	}
 }
@@ -82,7 +82,7 @@
 		nextEvent(t, events)
 	}
 	for i, collector := range collectors {
-		if err := collector.Ping(timeout); err != nil {
+		if err := collector.Ping(testTimeout); err != nil {
 			t.Errorf("collector of %s: got no pong: %v", zones[i], err)
 		}
 	}
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -42,8 +42,8 @@
 // collectorLine returns the line that identifies a collector of a zone.
 func collectorLine(zone string) string { return fmt.Sprintf(collectorLineFormat, zone) }
 
-// timeout bounds every wait. It is long, so that tests also pass on a busy machine.
-const timeout = 5 * time.Second
+// testTimeout bounds every wait. It is long, so that tests also pass on a busy machine.
+const testTimeout = 5 * time.Second
 
 // startServer starts a server that allows maxConnections connections. At the end of the test the server is stopped, and
 // the test fails if the server still has an open connection. startServer returns the server's address, the channel of
@@ -70,7 +70,7 @@
 	events = make(chan assign.Event, 10000)
 	codec := wire.NewCodec(testconfig.New(zones, 8, "read"), time.Now())
 	sink := func(_ context.Context, event assign.Event) error { events <- event; return nil }
-	server = New(Config{Codec: codec, Sink: sink, DescriptorLimit: maxConnections + reservedDescriptors, ZoneCount: len(zones),
+	server = New(Config{Codec: codec, Sink: sink, FileDescriptorLimit: maxConnections + reservedFileDescriptors, ZoneCount: len(zones),
 		MemoryLimitMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	serveReturned := make(chan struct{})
@@ -91,8 +91,8 @@
 	select {
 	case event := <-events:
 		return event
-	case <-time.After(timeout):
-		t.Fatalf("got no event within %v, want one", timeout)
+	case <-time.After(testTimeout):
+		t.Fatalf("got no event within %v, want one", testTimeout)
 		return nil
 	}
 }
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -16,15 +16,15 @@
 
 // randomReports returns random lines and the events that the server must pass to its sink for them. The lines are proxy
 // traffic reports, some of them longer than the read buffer, mixed with malformed and oversized lines.
-func randomReports(rng *rand.Rand) (text string, want []assign.Event) {
+func randomReports(random *rand.Rand) (text string, want []assign.Event) {
 	var lines strings.Builder
 	for i := range 30 {
 		event := assign.ProxyTrafficReport{Proxy: i % 8, RequestClass: "read", Interval: 1, Requests: i}
-		switch rng.Intn(8) {
+		switch random.Intn(8) {
 		case 0:
-			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[rng.Intn(6)])
+			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[random.Intn(6)])
 		case 1: // valid report that can be longer than the read buffer
-			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", rng.Intn(20000)))
+			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", random.Intn(20000)))
 			want = append(want, event)
 		case 2: // in some cases a line that exceeds maxLineSize, otherwise an empty line
 			if i%10 == 0 {
@@ -44,11 +44,11 @@
 func TestLineReaderIsIndependentOfChunks(t *testing.T) {
 	address, events, _ := startServer(t, 100)
 	property := func(seed int64) bool {
-		rng := rand.New(rand.NewSource(seed))
-		reports, want := randomReports(rng)
+		random := rand.New(rand.NewSource(seed))
+		reports, want := randomReports(random)
 		conn := dialUnidentified(t, address)
 		for text := collectorLine("b") + "\n" + reports; text != ""; {
-			n := min(len(text), 1+rng.Intn(1<<uint(rng.Intn(18))))
+			n := min(len(text), 1+random.Intn(1<<uint(random.Intn(18))))
 			if _, err := io.WriteString(conn, text[:n]); err != nil {
 				t.Fatal(err)
 			}
@@ -86,7 +86,7 @@
 		collectors = append(collectors, collector)
 		// The bytes in the read buffers are not reserved.
 		reserved := int64(min(i+1, fittingLines)) * int64(len(unfinishedLongLine)-readBufferSize)
-		if !eventually.True(timeout, func() bool { return server.lineBudget.usedBytes.Load() >= reserved }) {
+		if !eventually.True(testTimeout, func() bool { return server.lineBudget.usedBytes.Load() >= reserved }) {
 			t.Fatalf("%d lines: got %d reserved bytes, want at least %d", i+1, server.lineBudget.usedBytes.Load(), reserved)
 		}
 	}
@@ -110,7 +110,7 @@
 	if n := finishLines(collectors[:fittingLines], 2*fittingLines); n != fittingLines {
 		t.Errorf("within the budget: got %d long lines, want %d", n, fittingLines)
 	}
-	if !eventually.True(timeout, func() bool { return server.lineBudget.usedBytes.Load() == 0 }) {
+	if !eventually.True(testTimeout, func() bool { return server.lineBudget.usedBytes.Load() == 0 }) {
 		t.Errorf("at the end: got %d reserved bytes, want 0", server.lineBudget.usedBytes.Load())
 	}
 }
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// reservedDescriptors is the number of file descriptors that client connections may not use. The listener, the
+	// reservedFileDescriptors is the number of file descriptors that client connections may not use. The listener, the
 	// connections to the relay and to discovery, the peer socket and the Go runtime need them.
-	reservedDescriptors = 64
+	reservedFileDescriptors = 64
 	// lineMemoryDivisor determines the memory budget for lines that are being read: the memory limit of the process
 	// divided by lineMemoryDivisor.
 	lineMemoryDivisor = 8
@@ -42,12 +42,12 @@
 type Config struct {
 	Codec *wire.Codec     // decodes the received lines; required
 	Sink  eventqueue.Sink // receives the reports, may block, and is called by every connection's goroutine; required
-	// DescriptorLimit is the process's limit on open file descriptors; required. The server uses all of them except
-	// reservedDescriptors for client connections, and allows at least one connection.
-	DescriptorLimit int
-	ZoneCount       int // number of zones in the deployment, each with one collector; default 0: unknown
-	MemoryLimitMB   int // the process's memory limit, in MB (2^20 bytes); required
-	Log             zerolog.Logger
+	// FileDescriptorLimit is the process's limit on open file descriptors; required. The server uses all of them except
+	// reservedFileDescriptors for client connections, and allows at least one connection.
+	FileDescriptorLimit int
+	ZoneCount           int // number of zones in the deployment, each with one collector; default 0: unknown
+	MemoryLimitMB       int // memory limit of the process in MiB; required
+	Log                 zerolog.Logger
 }
 
 // Stats holds the server's counters since its start.
@@ -78,7 +78,7 @@
 		sink:           config.Sink,
 		log:            log,
 		rateLimitedLog: loglimit.New(log),
-		connections:    newConnectionSet(max(1, config.DescriptorLimit-reservedDescriptors), config.ZoneCount),
+		connections:    newConnectionSet(max(1, config.FileDescriptorLimit-reservedFileDescriptors), config.ZoneCount),
 		lineBudget:     &byteBudget{limitBytes: int64(config.MemoryLimitMB) * bytesPerMB / lineMemoryDivisor},
 	}
 }
--- a/internal/reportserver/session_test.go
+++ b/internal/reportserver/session_test.go
@@ -87,7 +87,7 @@
 	}
 	for i := 0; time.Since(startedAt) < identificationTimeout+lineTimeout/2; i++ {
 		sentAt := time.Now()
-		if err := collector.Ping(timeout); err != nil || time.Since(sentAt) > time.Second {
+		if err := collector.Ping(testTimeout); err != nil || time.Since(sentAt) > time.Second {
 			t.Fatalf("got a pong after %v (%v), want one within 1 s", time.Since(sentAt), err)
 		}
 		mustSendReport(t, collector, i)
@@ -96,7 +96,7 @@
 		}
 	}
 	clients.Wait()
-	if !eventually.True(timeout, func() bool { return server.connections.count() == 1 }) {
+	if !eventually.True(testTimeout, func() bool { return server.connections.count() == 1 }) {
 		t.Errorf("got %d open connections, want the collector's alone", server.connections.count())
 	}
 }
@@ -117,7 +117,7 @@
 	for range maxMalformedLines {
 		mustSendLine(t, collector, "{")
 	}
-	if err := collector.Ping(timeout); err == nil {
+	if err := collector.Ping(testTimeout); err == nil {
 		t.Error("got a pong, want the connection closed")
 	}
 }
@@ -171,8 +171,8 @@
 			if strings.TrimSpace(got) != want {
 				t.Errorf("got line %s, want %s", got, want)
 			}
-		case <-time.After(timeout):
-			t.Fatalf("got no line within %v, want %s", timeout, want)
+		case <-time.After(testTimeout):
+			t.Fatalf("got no line within %v, want %s", testTimeout, want)
 		}
 	}
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -84,7 +84,7 @@
 		}
 		entry := &fieldReader{name: fmt.Sprintf("entry %d", position), values: values}
 		update.Endpoints = append(update.Endpoints, decodeEndpoint(entry))
-		message.checks.RecordError(entry.err())
+		message.validator.RecordError(entry.err())
 	}
 	return update
 }
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -23,14 +23,14 @@
 // first error, so the caller may read all fields and then call err once. The value of an invalid field is not to be
 // used.
 type fieldReader struct {
-	name   string // name of the message, or "entry" and the position of the entry
-	values []any
-	checks fieldcheck.Validator
+	name      string // name of the message, or "entry" and the position of the entry
+	values    []any
+	validator fieldcheck.Validator
 }
 
 // err returns the first error that was recorded, or nil if all fields read so far are valid.
 func (f *fieldReader) err() error {
-	if err := f.checks.Err(); err != nil {
+	if err := f.validator.Err(); err != nil {
 		return fmt.Errorf("%s: %w", f.name, err)
 	}
 	return nil
@@ -38,7 +38,7 @@
 
 // recordInvalid records an error for the field at position i. Want describes the valid values of the field.
 func (f *fieldReader) recordInvalid(i int, want string) {
-	f.checks.RecordError(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
+	f.validator.RecordError(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
 }
 
 // valueText returns the text that represents the value of a field in an error.
--- a/internal/simproto/names.go
+++ b/internal/simproto/names.go
@@ -21,12 +21,13 @@
 const (
 	endpointUpdateName = "update" // assign.EndpointUpdate: version, mode, entries
 
-	// assign.EndpointLoadReport: zone, mean latency in ms, failed, interval in ms, endpoint, attempts, load report.
+	// assign.EndpointLoadReport: zone, mean latency in milliseconds, failed, interval in milliseconds, endpoint,
+	// attempts, load report.
 	endpointLoadReportName = "tally"
 
 	proxyTrafficReportName  = "usage"      // assign.ProxyTrafficReport: interval in ms, proxy, requests, failed, class
 	shardTrafficReportName  = "heat"       // assign.ShardTrafficReport: failed, class, requests, interval in ms, shard
-	proxyConnectedName      = "connected"  // assign.ProxyConnected: proxy, zone, typical rate in 1/s, whether it is fresh
+	proxyConnectedName      = "connected"  // assign.ProxyConnected: proxy, zone, typical rate in 1/s, default tables only
 	proxyDisconnectedName   = "left"       // assign.ProxyDisconnected: proxy
 	acknowledgedName        = "receipt"    // assign.Acknowledged: latency in ms, proxy, sequence number
 	shardAssignedName       = "given"      // assign.ShardAssigned: whether the shard is assigned, shard
@@ -45,7 +46,7 @@
 )
 
 // States of an endpoint in an entry of an endpoint update. An entry is an array with the fields zone, group, endpoint,
-// weight, state, start time in ms or null, and machine type or null.
+// weight, state, start time in milliseconds or null, and machine type or null.
 const (
 	stateReady    = "healthy"      // decoded into assign.Ready
 	stateDraining = "cordoned"     // decoded into assign.Draining
--- a/internal/wire/answer.go
+++ b/internal/wire/callresponse.go
@@ -12,41 +12,41 @@
 	"madderhollow/internal/fieldcheck"
 )
 
-// Answer is the relay's answer to a call: the number of orders that it accepted, or an error code.
-type Answer struct {
+// CallResponse is the relay's response to a call: the number of orders that it accepted, or an error code.
+type CallResponse struct {
 	AcceptedOrders int    // number of orders that the relay accepted
 	ErrorCode      string // ErrorCodeBusy, ErrorCodeSyntax or another error code; empty if the call succeeded
 }
 
-// answerParser builds an Answer from the tokens of an XML document.
-type answerParser struct {
-	answer         Answer
-	hasAnswer      bool   // whether the document has stated a number of accepted orders or an error code so far
+// callResponseParser builds a CallResponse from the tokens of an XML document.
+type callResponseParser struct {
+	response       CallResponse
+	hasResult      bool   // whether the document has stated a number of accepted orders or an error code so far
 	currentElement string // name of the element opened last, in lower case; empty once an element has been closed
 }
 
-// DecodeAnswer decodes the XML document with which the relay answers a call. The code of an error may be in an element
-// or in an attribute. An incomplete document is an error, and so is a document without a number of accepted orders or a
-// code.
-func DecodeAnswer(body []byte) (Answer, error) {
+// DecodeCallResponse decodes the XML document with which the relay responds to a call. The code of an error may be in
+// an element or in an attribute. An incomplete document is an error, and so is a document without a number of accepted
+// orders or a code.
+func DecodeCallResponse(body []byte) (CallResponse, error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
-	parser := answerParser{}
+	parser := callResponseParser{}
 	for {
 		token, err := decoder.Token()
-		if errors.Is(err, io.EOF) && parser.hasAnswer {
-			return parser.answer, nil
+		if errors.Is(err, io.EOF) && parser.hasResult {
+			return parser.response, nil
 		}
 		if err != nil {
-			return Answer{}, fmt.Errorf("relay answer: %w", err)
+			return CallResponse{}, fmt.Errorf("relay answer: %w", err)
 		}
 		if err := parser.applyToken(token); err != nil {
-			return Answer{}, fmt.Errorf("relay answer: %w", err)
+			return CallResponse{}, fmt.Errorf("relay answer: %w", err)
 		}
 	}
 }
 
-// applyToken updates the answer with the next token of the document.
-func (p *answerParser) applyToken(token xml.Token) error {
+// applyToken updates the response with the next token of the document.
+func (p *callResponseParser) applyToken(token xml.Token) error {
 	switch token := token.(type) {
 	case xml.StartElement:
 		p.currentElement = strings.ToLower(token.Name.Local)
@@ -63,16 +63,16 @@
 	return nil
 }
 
-// applyText updates the answer with the text of the current element, without surrounding white space.
-func (p *answerParser) applyText(text string) error {
+// applyText updates the response with the text of the current element, without surrounding white space.
+func (p *callResponseParser) applyText(text string) error {
 	switch p.currentElement {
 	case acceptedElement:
 		accepted, err := strconv.Atoi(text)
 		if err != nil || accepted < 0 {
 			return &fieldcheck.Error{Field: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
 		}
-		p.answer.AcceptedOrders = accepted
-		p.hasAnswer = true
+		p.response.AcceptedOrders = accepted
+		p.hasResult = true
 	case errorCodeElement, errorElement:
 		if text != "" {
 			p.setErrorCode(text)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func (p *answerParser) setErrorCode(code string) {
-	p.answer.ErrorCode = code
-	p.hasAnswer = true
+func (p *callResponseParser) setErrorCode(code string) {
+	p.response.ErrorCode = code
+	p.hasResult = true
 }
--- a/internal/wire/answer_test.go
+++ b/internal/wire/callresponse_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-func TestDecodeAnswer(t *testing.T) {
-	for body, want := range map[string]Answer{
+func TestDecodeCallResponse(t *testing.T) {
+	for body, want := range map[string]CallResponse{
 		`<?xml version="1.0"?><Response><results><item><taken>3</taken></item></results></Response>`: {AcceptedOrders: 3},
 		`<Response><Errors><Error><Code>BUSY</Code></Error></Errors></Response>`:                     {ErrorCode: "BUSY"},
 		`<Response><error code="SYNTAX"/></Response>`:                                                {ErrorCode: "SYNTAX"},
 	} {
-		if got, err := DecodeAnswer([]byte(body)); err != nil || got != want {
+		if got, err := DecodeCallResponse([]byte(body)); err != nil || got != want {
 			t.Errorf("%s: got %+v (%v), want %+v", body, got, err, want)
 		}
 	}
 }
 
-func TestDecodeAnswerRejectsInvalidAnswers(t *testing.T) {
+func TestDecodeCallResponseRejectsInvalidResponses(t *testing.T) {
 	for _, test := range []invalidInput{
 		{input: ``},
 		{input: `ok`},
@@ -22,7 +22,7 @@
 		{input: `<a><taken>-1</taken></a>`, wantField: "taken"},
 		{input: `<a><taken></taken></a>`},
 	} {
-		got, err := DecodeAnswer([]byte(test.input))
+		got, err := DecodeCallResponse([]byte(test.input))
 		test.checkRejected(t, got, err)
 	}
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,6 @@
 // Package wire decodes and encodes the messages of the platform's protocol: reports, endpoint lists, relay events,
-// orders and the relay's answers. Each message is decoded once, into an event of package assign or a small type of this
-// package. The package does no I/O except that an EventStream reads from its io.Reader.
+// orders and the relay's responses to calls. Each message is decoded once, into an event of package assign or a small
+// type of this package. The package does no I/O except that an EventStream reads from its io.Reader.
 //
 // The file names.go lists the names used in the protocol, with the term and the unit that each name stands for.
 package wire
@@ -26,8 +26,8 @@
 	// maxFieldValue is the largest value accepted in a numeric field. A larger value indicates a defective counter, and
 	// sums of such values lose precision.
 	maxFieldValue = 1e9
-	// maxUnixMilliseconds is the latest start time accepted for an endpoint, in ms of Unix time. It is in the year
-	// 5138, well within the range of time.Duration.
+	// maxUnixMilliseconds is the latest start time accepted for an endpoint, a Unix time in milliseconds. It is in the
+	// year 5138, well within the range of time.Duration.
 	maxUnixMilliseconds = 1e14
 	// maxBusyFraction is the largest busy fraction accepted in a load report. A fully used endpoint reports 1, and
 	// measured values exceed 1 by a few tenths.
@@ -57,17 +57,18 @@
 	proxyCount     int                 // proxies are numbered from 0 to proxyCount-1
 	maxMeanLatency float64             // largest valid mean latency, ms; no client waits beyond the latest deadline
 	maxInterval    float64             // longest valid report interval, ms
-	epoch          time.Time           // wall-clock time at which the assigner's clock reads 0
+	clockZero      time.Time           // wall-clock time at which the clock of the decision module shows 0
 }
 
-// NewCodec returns a codec for a configuration. Epoch is the wall-clock time at which the assigner's clock reads 0.
-func NewCodec(config assign.Config, epoch time.Time) *Codec {
+// NewCodec returns a codec for a configuration. ClockZero is the wall-clock time at which the clock of the decision
+// module shows 0.
+func NewCodec(config assign.Config, clockZero time.Time) *Codec {
 	codec := &Codec{
 		loadMetrics:    config.Reports.LoadMetrics,
 		zones:          config.Zones,
 		proxyCount:     defaultProxyCount,
 		maxMeanLatency: maxFieldValue,
-		epoch:          epoch,
+		clockZero:      clockZero,
 	}
 	deadline := 0.0
 	for _, class := range config.RequestClasses {
@@ -84,9 +85,9 @@
 	return codec
 }
 
-// maxReportInterval returns the longest time that a report may cover, in ms. If the settings limit the reports per
-// second, the proxies of a large fleet take turns. A report then covers the time since the previous report of the same
-// proxy.
+// maxReportInterval returns the longest time that a report may cover, in milliseconds. If the settings limit the
+// reports per second, the proxies of a large fleet take turns. A report then covers the time since the previous report
+// of the same proxy.
 func (c *Codec) maxReportInterval(reports assign.ReportConfig) float64 {
 	interval := reports.Interval
 	if interval <= 0 {
@@ -111,12 +112,12 @@
 // proxyFieldDescription is the text for proxyField in errors.
 const proxyFieldDescription = "number of a proxy"
 
-// decodeProxy returns the number of a proxy and records an error in checks if the number is invalid. A nil value stands
-// for a missing field.
-func (c *Codec) decodeProxy(checks *fieldcheck.Validator, value *float64) int {
-	number := checks.Count(proxyField, proxyFieldDescription, value, maxFieldValue)
+// decodeProxy returns the number of a proxy and records an error in validator if the number is invalid. A nil value
+// stands for a missing field.
+func (c *Codec) decodeProxy(validator *fieldcheck.Validator, value *float64) int {
+	number := validator.Count(proxyField, proxyFieldDescription, value, maxFieldValue)
 	if number >= c.proxyCount {
-		checks.RecordError(fmt.Errorf("%w %d in %q, want a number below %d", ErrUnknownProxy, number, proxyField, c.proxyCount))
+		validator.RecordError(fmt.Errorf("%w %d in %q, want a number below %d", ErrUnknownProxy, number, proxyField, c.proxyCount))
 	}
 	return number
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -73,7 +73,7 @@
 func TestReportIntervalBoundFollowsReportCap(t *testing.T) {
 	for _, test := range []struct {
 		maxPerSecond float64
-		interval     int // ms
+		interval     int // report interval in ms
 		valid        bool
 	}{{120, 24386, true}, {120, 60000, true}, {120, 700000, false}, {0, 24386, false}, {50000, 24386, false}} {
 		config := testconfig.New(nil, 2400, "a", "b", "c")
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -28,9 +28,9 @@
 	}
 	endpoints := make([]assign.Endpoint, len(list.Endpoints))
 	for i, entry := range list.Endpoints {
-		checks := &fieldcheck.Validator{}
-		endpoints[i] = c.decodeEndpoint(checks, entry)
-		if err := checks.Err(); err != nil {
+		validator := &fieldcheck.Validator{}
+		endpoints[i] = c.decodeEndpoint(validator, entry)
+		if err := validator.Err(); err != nil {
 			return assign.EndpointUpdate{}, fmt.Errorf("endpoint list version %d: entry %d (%q): %w", *list.Version, i, entry.Name, err)
 		}
 	}
@@ -56,21 +56,21 @@
 	return strconv.FormatInt(*value, 10)
 }
 
-// decodeEndpoint converts one entry of an endpoint list and records the first invalid field in checks.
-func (c *Codec) decodeEndpoint(checks *fieldcheck.Validator, entry ListedEndpoint) assign.Endpoint {
+// decodeEndpoint converts one entry of an endpoint list and records the first invalid field in validator.
+func (c *Codec) decodeEndpoint(validator *fieldcheck.Validator, entry ListedEndpoint) assign.Endpoint {
 	state, err := decodeEndpointState(entry.State)
-	checks.RecordError(err)
+	validator.RecordError(err)
 	if !isValidOrderArgument(entry.Name) {
-		checks.RecordError(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
+		validator.RecordError(&fieldcheck.Error{Field: nameField, Value: strconv.Quote(entry.Name),
 			Want: fmt.Sprintf("name of an endpoint: a string, not empty, without any of %q", reservedCharacters)})
 	}
 	return assign.Endpoint{
 		Zone:         entry.Zone,
 		MachineGroup: entry.Group,
 		Name:         entry.Name,
-		Weight:       checks.Number(weightField, "weight", &entry.Weight, maxFieldValue),
+		Weight:       validator.Number(weightField, "weight", &entry.Weight, maxFieldValue),
 		State:        state,
-		StartedAt: c.toAssignerClock(checks.Number(startedAtField, "Unix time of the start in ms",
+		StartedAt: c.toAssignerClock(validator.Number(startedAtField, "Unix time of the start in ms",
 			&entry.StartedAt, maxUnixMilliseconds)),
 		MachineType: entry.MachineType,
 	}
@@ -91,12 +91,12 @@
 		Want: fmt.Sprintf("state of an endpoint: %s, %s or %s", stateReady, stateDraining, stateRemoved)}
 }
 
-// toAssignerClock converts a Unix time in ms to a time of the assigner's clock in seconds. A time before the epoch of
-// that clock becomes 0, which stands for a start long ago.
+// toAssignerClock converts a Unix time in milliseconds to a time of the decision module's clock in seconds. A time
+// before the zero of that clock becomes 0, which stands for a start long ago.
 func (c *Codec) toAssignerClock(unixMilliseconds float64) float64 {
 	if unixMilliseconds <= 0 {
 		return 0
 	}
-	sinceEpoch := time.UnixMicro(int64(unixMilliseconds * microsecondsPerMillisecond)).Sub(c.epoch)
-	return math.Max(0, sinceEpoch.Seconds())
+	sinceClockZero := time.UnixMicro(int64(unixMilliseconds * microsecondsPerMillisecond)).Sub(c.clockZero)
+	return math.Max(0, sinceClockZero.Seconds())
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -47,8 +47,8 @@
 	f.Add([]byte("event: joined\ndata: node=3&locality=a&w=21.5&cold=1\n\n"))
 	f.Add([]byte(`<Response><results><item><taken>3</taken></item></results></Response>`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if answer, err := DecodeAnswer(text); err == nil && answer.AcceptedOrders < 0 {
-			t.Errorf("%s: got %+v, want accepted orders from 0", text, answer)
+		if response, err := DecodeCallResponse(text); err == nil && response.AcceptedOrders < 0 {
+			t.Errorf("%s: got %+v, want accepted orders from 0", text, response)
 		}
 		for stream := NewEventStream(strings.NewReader(string(text))); ; {
 			eventType, data, err := stream.Next()
--- a/internal/wire/names.go
+++ b/internal/wire/names.go
@@ -33,8 +33,8 @@
 	failedField                = "errors"   // number of failed requests or attempts
 	meanLatencyField           = "rtt"      // mean latency of the successful attempts at an endpoint, in ms
 	reportIntervalField        = "interval" // time that the report covers, in ms
-	typicalRateField           = "w"        // rate at which the proxy usually receives requests, in 1/s
-	freshField                 = "cold"     // a number other than 0 if the proxy holds only its default tables
+	typicalRateField           = "w"        // rate at which the proxy usually receives requests, in requests per second
+	defaultTablesOnlyField     = "cold"     // a number other than 0 if the proxy holds only its default tables
 	sequenceField              = "nonce"    // sequence number of an acknowledgment request
 	acknowledgmentLatencyField = "latency"  // time from an order to its effect at the proxy, in ms
 )
@@ -49,8 +49,8 @@
 	Proxy        *float64        `json:"node"`
 	Requests     *float64        `json:"total"`
 	Failed       *float64        `json:"errors"`
-	MeanLatency  *float64        `json:"rtt"`      // in ms
-	Interval     *float64        `json:"interval"` // in ms
+	MeanLatency  *float64        `json:"rtt"`      // mean latency in ms
+	Interval     *float64        `json:"interval"` // report interval in ms
 	Load         json.RawMessage `json:"metrics"`  // object with the load metrics, whose names settings.LoadMetric accepts
 }
 
@@ -116,8 +116,8 @@
 	reservedCharacters    = wildcard + argumentSeparator + requestClassSeparator + orderSeparator
 )
 
-// Elements of the relay's answer to a call, and the attribute that may hold the code of an error instead of an element.
-// The names are not case-sensitive.
+// Elements of the relay's response to a call, and the attribute that may hold the code of an error instead of an
+// element. The names are not case-sensitive.
 const (
 	acceptedElement    = "taken" // number of orders that the relay accepted
 	errorCodeElement   = "code"  // code of an error
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -28,7 +28,7 @@
 	default:
 		return nil, fmt.Errorf("%s: %w", eventType, ErrUnknownMessage)
 	}
-	if err := fields.checks.Err(); err != nil {
+	if err := fields.validator.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", eventType, err)
 	}
 	return event, nil
@@ -38,12 +38,12 @@
 func (c *Codec) decodeProxyConnected(fields *eventFields) assign.ProxyConnected {
 	proxy := c.decodeEventProxy(fields)
 	zone := fields.values.Get(zoneField)
-	fields.checks.RecordError(c.checkZone(zone))
+	fields.validator.RecordError(c.checkZone(zone))
 	return assign.ProxyConnected{
 		Proxy:             proxy,
 		Zone:              zone,
 		TypicalRate:       fields.number(typicalRateField, "typical rate in 1/s"),
-		DefaultTablesOnly: fields.number(freshField, "whether the proxy is fresh") != 0,
+		DefaultTablesOnly: fields.number(defaultTablesOnlyField, "whether the proxy is fresh") != 0,
 	}
 }
 
@@ -55,7 +55,7 @@
 	sequence := fields.number(sequenceField, sequenceFieldDescription)
 	return assign.Acknowledged{
 		Proxy:    c.decodeEventProxy(fields),
-		Sequence: fields.checks.Count(sequenceField, sequenceFieldDescription, &sequence, maxFieldValue),
+		Sequence: fields.validator.Count(sequenceField, sequenceFieldDescription, &sequence, maxFieldValue),
 		Latency:  fields.number(acknowledgmentLatencyField, "latency in ms") / millisecondsPerSecond,
 	}
 }
@@ -63,26 +63,25 @@
 // decodeEventProxy returns the number of the proxy that a relay event is about.
 func (c *Codec) decodeEventProxy(fields *eventFields) int {
 	number := fields.number(proxyField, proxyFieldDescription)
-	return c.decodeProxy(&fields.checks, &number)
+	return c.decodeProxy(&fields.validator, &number)
 }
 
-// eventFields reads the fields of a relay event. It keeps the first error, so the caller may
-// read several fields before it looks at checks.Err.
+// eventFields reads the fields of a relay event. It keeps the first error, so the caller may read several fields before
+// it checks validator.Err.
 type eventFields struct {
-	checks fieldcheck.Validator
-	values url.Values
+	validator fieldcheck.Validator
+	values    url.Values
 }
 
 // number returns the value of a field that holds a number from 0 to maxFieldValue, and 0 if the field is invalid.
-// Description is the text for the
-// field in errors, with its unit.
+// Description is the text for the field in errors, with its unit.
 func (f *eventFields) number(name, description string) float64 {
 	value, err := strconv.ParseFloat(f.values.Get(name), 64)
 	if err != nil {
-		f.checks.RecordError(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
+		f.validator.RecordError(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
 		return 0
 	}
-	return f.checks.Number(name, description, &value, maxFieldValue)
+	return f.validator.Number(name, description, &value, maxFieldValue)
 }
 
 // quoted returns the text of a field in quotation marks, or fieldcheck.Missing for a missing field, for use in an
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -44,22 +44,22 @@
 	if err := json.Unmarshal(line, &fields); err != nil {
 		return nil, fmt.Errorf("malformed message: %w", err)
 	}
-	checks := &fieldcheck.Validator{}
+	validator := &fieldcheck.Validator{}
 	var message Message
 	switch fields.Type {
 	case pingType:
 		message = Ping{}
 	case collectorType:
-		checks.RecordError(c.checkZone(fields.Zone))
+		validator.RecordError(c.checkZone(fields.Zone))
 		message = Collector{fields.Zone}
 	case endpointLoadReportType:
-		message = Report{c.decodeEndpointLoadReport(checks, &fields)}
+		message = Report{c.decodeEndpointLoadReport(validator, &fields)}
 	case proxyTrafficReportType:
-		message = Report{c.decodeProxyTrafficReport(checks, &fields)}
+		message = Report{c.decodeProxyTrafficReport(validator, &fields)}
 	default:
 		return nil, fmt.Errorf("%w %q", ErrUnknownMessage, fields.Type)
 	}
-	if err := checks.Err(); err != nil {
+	if err := validator.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", fields.Type, err)
 	}
 	return message, nil
@@ -73,33 +73,34 @@
 }
 
 // decodeCommonFields decodes the fields that are common to both types of report and records the first invalid field in
-// checks.
-func (c *Codec) decodeCommonFields(checks *fieldcheck.Validator, fields *messageFields) commonReportFields {
-	requests := checks.Count(requestsField, "requests or attempts", fields.Requests, maxFieldValue)
-	failed := checks.Count(failedField, "failed requests or attempts", fields.Failed, maxFieldValue)
-	interval := checks.Number(reportIntervalField, "report interval in ms", fields.Interval, c.maxInterval)
+// validator.
+func (c *Codec) decodeCommonFields(validator *fieldcheck.Validator, fields *messageFields) commonReportFields {
+	requests := validator.Count(requestsField, "requests or attempts", fields.Requests, maxFieldValue)
+	failed := validator.Count(failedField, "failed requests or attempts", fields.Failed, maxFieldValue)
+	interval := validator.Number(reportIntervalField, "report interval in ms", fields.Interval, c.maxInterval)
 	if interval == 0 {
-		checks.RecordError(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
+		validator.RecordError(&fieldcheck.Error{Field: reportIntervalField, Value: "0", Want: "report interval in ms: more than 0"})
 	}
 	return commonReportFields{requests, failed, interval / millisecondsPerSecond}
 }
 
-// decodeEndpointLoadReport decodes the fields of an endpoint load report and records the first invalid field in checks.
-func (c *Codec) decodeEndpointLoadReport(checks *fieldcheck.Validator, fields *messageFields) assign.EndpointLoadReport {
-	counts := c.decodeCommonFields(checks, fields)
-	checks.RecordError(c.checkZone(fields.Zone))
+// decodeEndpointLoadReport decodes the fields of an endpoint load report and records the first invalid field in
+// validator.
+func (c *Codec) decodeEndpointLoadReport(validator *fieldcheck.Validator, fields *messageFields) assign.EndpointLoadReport {
+	counts := c.decodeCommonFields(validator, fields)
+	validator.RecordError(c.checkZone(fields.Zone))
 	if fields.Endpoint == "" {
-		checks.RecordError(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
+		validator.RecordError(fmt.Errorf("%q: %w", endpointField, ErrNoEndpointName))
 	}
 	// Attempts cannot be fewer than the failed attempts. Proxy traffic reports have no such check, because a request
 	// may fail in a later report interval than the interval of its arrival.
 	if counts.failed > counts.requests {
-		checks.RecordError(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
+		validator.RecordError(&fieldcheck.Error{Field: failedField, Value: strconv.Itoa(counts.failed),
 			Want: fmt.Sprintf("failed attempts: at most the %d attempts", counts.requests)})
 	}
 	latency := 0.0
 	if counts.requests > counts.failed { // the mean latency is undefined and may be missing if no attempt succeeded
-		latency = checks.Number(meanLatencyField, "mean latency in ms", fields.MeanLatency, c.maxMeanLatency)
+		latency = validator.Number(meanLatencyField, "mean latency in ms", fields.MeanLatency, c.maxMeanLatency)
 	}
 	return assign.EndpointLoadReport{
 		Zone:        fields.Zone,
@@ -112,12 +113,13 @@
 	}
 }
 
-// decodeProxyTrafficReport decodes the fields of a proxy traffic report and records the first invalid field in checks.
-func (c *Codec) decodeProxyTrafficReport(checks *fieldcheck.Validator, fields *messageFields) assign.ProxyTrafficReport {
-	counts := c.decodeCommonFields(checks, fields)
-	proxy := c.decodeProxy(checks, fields.Proxy)
+// decodeProxyTrafficReport decodes the fields of a proxy traffic report and records the first invalid field in
+// validator.
+func (c *Codec) decodeProxyTrafficReport(validator *fieldcheck.Validator, fields *messageFields) assign.ProxyTrafficReport {
+	counts := c.decodeCommonFields(validator, fields)
+	proxy := c.decodeProxy(validator, fields.Proxy)
 	if !slices.Contains(c.requestClasses, fields.RequestClass) {
-		checks.RecordError(fmt.Errorf("%w %q in %q", ErrUnknownRequestClass, fields.RequestClass, requestClassField))
+		validator.RecordError(fmt.Errorf("%w %q in %q", ErrUnknownRequestClass, fields.RequestClass, requestClassField))
 	}
 	return assign.ProxyTrafficReport{
 		Proxy:        proxy,
