--- a/assign/admission/admission.go
+++ b/assign/admission/admission.go
@@ -2,9 +2,9 @@
 // make.
 //
 // Its functions run whenever the tables of a proxy are computed. The inputs are rates in requests per second. The
-// results are a limit for each request class, as a rate or as the admitted fraction of requests, and a number of
-// retries. See docs/design.md, "What was kept" (the lowest priority is rejected first) and "What was changed", 6
-// (slow-start rate cap).
+// results are a limit for each request class, as a rate or as the admitted fraction of requests, and the number of
+// retries that the proxy may make for a request. See docs/design.md, "What was kept" (the lowest priority is rejected
+// first) and "What was changed", 6 (slow-start rate cap).
 package admission
 
 import (
@@ -21,7 +21,7 @@
 // remaining rate, and all classes of lower priority are limited to 0.
 type Budget struct {
 	limited   bool    // whether the proxy has a rate limit
-	remaining float64 // rate left for the next classes, in requests per second
+	remaining float64 // part of the rate limit left for the next request classes, in requests per second
 }
 
 // NewBudget returns the budget of a proxy with a rate limit in requests per second. A rate limit of 0 means that the
@@ -32,8 +32,8 @@
 
 // ClassDemand describes the traffic of one request class at a proxy.
 type ClassDemand struct {
-	ObservedRate float64 // rate of the requests that reach the proxy, in requests per second
-	SlowStartCap float64 // slow-start rate cap, in requests per second; Unlimited if there is none
+	ObservedRate float64 // rate of the class's requests that reach the proxy, in requests per second
+	SlowStartCap float64 // slow-start rate cap, in requests per second; Unlimited if the class has no cap
 	AdmitByRatio bool    // whether the proxy expects the limit as the admitted fraction of requests
 }
 
@@ -54,7 +54,8 @@
 
 // AllowedRetries returns the number of retries that a proxy may make for a request. It is the configured number, or 0
 // while the proxy is rate limited or its table holds warming endpoints, because retries would add to the overload or
-// to a burst on a warming endpoint. More than one retry is never allowed, because not every request may run twice.
+// to a burst on a warming endpoint. More than one retry is never allowed, because not every request may run twice: the
+// result is 0 if the configured number is above 1.
 func AllowedRetries(configured int, rateLimited, tableHasWarming bool) int {
 	if configured > 1 || rateLimited || tableHasWarming {
 		return 0
--- a/assign/admission/admission_test.go
+++ b/assign/admission/admission_test.go
@@ -11,25 +11,25 @@
 )
 
 func TestBudgetAllocate(t *testing.T) {
-	const none = admission.Unlimited
+	const noLimit = admission.Unlimited
 	type demand = admission.ClassDemand
 	for _, test := range []struct {
 		name      string
-		rateLimit float64 // rate limit of the proxy, in requests per second
-		demands   []demand
-		want      []float64
+		rateLimit float64   // rate limit of the proxy, in requests per second
+		demands   []demand  // demand of each request class, in descending order of priority
+		want      []float64 // limit of each request class
 	}{
-		{"no rate limit", 0, []demand{{ObservedRate: 50, SlowStartCap: none}}, []float64{none}},
-		{"rate limit equal to the observed rates", 50, []demand{{ObservedRate: 30, SlowStartCap: none}, {ObservedRate: 20, SlowStartCap: none}}, []float64{none, none}},
-		{"rate limit slightly below the observed rates", 49, []demand{{ObservedRate: 30, SlowStartCap: none}, {ObservedRate: 20, SlowStartCap: none}}, []float64{none, 19}},
-		{"rate limit exceeded by the first class", 20, []demand{{ObservedRate: 30, SlowStartCap: none}, {ObservedRate: 20, SlowStartCap: none}}, []float64{20, 0}},
-		{"rate limit used up by the first class", 30, []demand{{ObservedRate: 30, SlowStartCap: none}, {ObservedRate: 20, SlowStartCap: none}}, []float64{none, 0}},
-		{"rate limit used up before a class without requests", 30, []demand{{ObservedRate: 30, SlowStartCap: none}, {ObservedRate: 0, SlowStartCap: none}}, []float64{none, none}},
+		{"no rate limit", 0, []demand{{ObservedRate: 50, SlowStartCap: noLimit}}, []float64{noLimit}},
+		{"rate limit equal to the observed rates", 50, []demand{{ObservedRate: 30, SlowStartCap: noLimit}, {ObservedRate: 20, SlowStartCap: noLimit}}, []float64{noLimit, noLimit}},
+		{"rate limit slightly below the observed rates", 49, []demand{{ObservedRate: 30, SlowStartCap: noLimit}, {ObservedRate: 20, SlowStartCap: noLimit}}, []float64{noLimit, 19}},
+		{"rate limit exceeded by the first class", 20, []demand{{ObservedRate: 30, SlowStartCap: noLimit}, {ObservedRate: 20, SlowStartCap: noLimit}}, []float64{20, 0}},
+		{"rate limit used up by the first class", 30, []demand{{ObservedRate: 30, SlowStartCap: noLimit}, {ObservedRate: 20, SlowStartCap: noLimit}}, []float64{noLimit, 0}},
+		{"rate limit used up before a class without requests", 30, []demand{{ObservedRate: 30, SlowStartCap: noLimit}, {ObservedRate: 0, SlowStartCap: noLimit}}, []float64{noLimit, noLimit}},
 		{"cap without a rate limit", 0, []demand{{ObservedRate: 50, SlowStartCap: 8}}, []float64{8}},
 		{"cap below the remaining rate", 20, []demand{{ObservedRate: 30, SlowStartCap: 8}}, []float64{8}},
 		{"cap above the remaining rate", 20, []demand{{ObservedRate: 30, SlowStartCap: 25}}, []float64{20}},
-		{"ratio of the remaining rate", 20, []demand{{ObservedRate: 40, SlowStartCap: none, AdmitByRatio: true}}, []float64{0.5}},
-		{"ratio without a limit", 50, []demand{{ObservedRate: 40, SlowStartCap: none, AdmitByRatio: true}}, []float64{none}},
+		{"ratio of the remaining rate", 20, []demand{{ObservedRate: 40, SlowStartCap: noLimit, AdmitByRatio: true}}, []float64{0.5}},
+		{"ratio without a limit", 50, []demand{{ObservedRate: 40, SlowStartCap: noLimit, AdmitByRatio: true}}, []float64{noLimit}},
 		{"ratio of a cap above the rate", 0, []demand{{ObservedRate: 4, SlowStartCap: 8, AdmitByRatio: true}}, []float64{1}},
 		{"ratio of a cap for a class without requests", 0, []demand{{ObservedRate: 0, SlowStartCap: 8, AdmitByRatio: true}}, []float64{1}},
 	} {
@@ -49,9 +49,9 @@
 func TestAllowedRetries(t *testing.T) {
 	for _, test := range []struct {
 		name                         string
-		configured                   int
-		rateLimited, tableHasWarming bool
-		want                         int
+		configured                   int  // number of retries in the settings
+		rateLimited, tableHasWarming bool // whether the proxy is rate limited, and whether its table holds warming endpoints
+		want                         int  // number of retries that the proxy may make for a request
 	}{
 		{"none configured", 0, false, false, 0},
 		{"one configured", 1, false, false, 1},
--- a/assign/any_input_test.go
+++ b/assign/any_input_test.go
@@ -17,7 +17,7 @@
 	config Config
 }
 
-// newRandomInput returns the input of a seed. It draws the configuration at once.
+// newRandomInput returns the randomInput of a seed with a random configuration.
 func newRandomInput(seed int64) *randomInput {
 	input := &randomInput{random: rand.New(rand.NewSource(seed)), config: DefaultConfig()}
 	input.config.Zones = []string{"x", "y", "z"}
@@ -53,15 +53,15 @@
 // pickOne returns one of the values at random.
 func (in *randomInput) pickOne(values ...float64) float64 { return values[in.random.Intn(len(values))] }
 
-// randomMagnitude returns a random number between two bounds whose order of magnitude is random.
+// randomMagnitude returns a random number between two bounds. The order of magnitude of the number is random.
 func (in *randomInput) randomMagnitude(lowest, highest float64) float64 {
 	return quickcheck.LogUniform(in.random, lowest, highest)
 }
 
 func (in *randomInput) randomZone() string { return zoneByNumber(in.random.Intn(3)) }
 
-// randomEvents returns the random events of a batch at a time in seconds. Some of them name proxies that never
-// connected.
+// randomEvents returns random events for one batch. The parameter now is the time of the batch in seconds. Some of the
+// events name proxies that never connected.
 func (in *randomInput) randomEvents(now float64) (events []Event) {
 	for range in.random.Intn(12) {
 		proxy := in.random.Intn(6)
--- a/assign/assigner.go
+++ b/assign/assigner.go
@@ -19,37 +19,42 @@
 // the deletion of expired endpoints and values that are computed on first use. A handler collects the inputs of a rule,
 // calls the package of that rule and stores the result.
 type Assigner struct {
-	// Set by New and not changed afterwards.
+	// The fields of this group are set by New and not changed afterwards.
 	config             Config
 	random             *rand.Rand
 	classes            []*requestClass
-	classesByPriority  []*requestClass // sorted by descending priority
+	classesByPriority  []*requestClass // request classes, sorted by descending priority
 	tableGroups        []*tableGroup
-	busyFractionColumn int // index of MetricBusyFraction in load reports; -1 if load reports do not contain it
+	busyFractionColumn int // index of the busy fraction in the values of a load report; -1 if not reported
 
-	// State of the current batch. Written by Handle, emit, enqueue and processMailbox.
-	now     float64         // time of the batch, in seconds
-	orders  []Order         // orders emitted so far
-	mailbox []recordMessage // record messages that are not yet handled
+	// The fields of this group hold the state of the current batch. They are written by Handle, emit, enqueue and
+	// processMailbox.
+	now     float64         // time of the current batch, in seconds
+	orders  []Order         // orders that the current batch has emitted so far
+	mailbox []recordMessage // messages to records of the Assigner that are not yet handled
 
 	nextTickAt float64 // time of the next tick, in seconds; 0 before the first batch; written by scheduleTick
 
-	// Records. Each record is created on first use and changed only by its own handlers.
+	// The fields of this group hold the records of the Assigner. Each record is created on first use and changed only
+	// by its own handlers.
 	endpointsByName map[string]*endpoint
-	endpointList    []*endpoint // sorted by the time at which each endpoint was first listed
-	proxies         []*proxy    // sorted by proxy number
-	zones           []*zone     // sorted by the time at which each zone was first named
+	endpointList    []*endpoint // records of the endpoints, sorted by the time at which each was first listed
+	proxies         []*proxy    // records of the proxies, sorted by proxy number
+	zones           []*zone     // records of the zones, sorted by the time at which each was first named
 	scheduler       *orderScheduler
 
 	// Requests per second that all proxies together may admit; 0 if no total rate is set. Written by updateTotalRate.
 	totalRate float64
-	// Proxies that wait to join the rate split. Written by queueJoin and addJoiningProxies.
+	// Proxies that wait for a quota, which makes them members of the rate split: the split of the total rate among the
+	// proxies. Written by queueJoin and addJoiningProxies.
 	joiningProxies []*proxy
-	// Mean failure ratio over the current health assessments, 0 to 1. Written by updateTotalRate.
+	// Mean fraction of failed attempts over the current health assessments of endpoints, 0 to 1. Written by
+	// updateTotalRate.
 	meanFailureRatio float64
-	// Number of entries of assigned tables. Written by updateTotalRate.
+	// Number of entries that the Assigner gives the table of a proxy. Written by updateTotalRate.
 	tableSize overload.TableSize
-	// Whether default tables may hold expired endpoints. Set by deleteExpiredEndpoints and never reset.
+	// Whether the record of any endpoint has expired, so that default tables of proxies may still hold an endpoint
+	// without a record. Set by deleteExpiredEndpoints and never reset.
 	anyEndpointExpired bool
 }
 
@@ -127,8 +132,9 @@
 			a.enqueue(messageAcknowledged{proxy, event.Sequence})
 		}
 	case TimerFired:
-		// The only purpose of the timer is to start a batch.
+		// The only purpose of a timer is to start a batch, so TimerFired needs no handling.
 	case ShardTrafficReport, ShardAssigned, ShardEntry, HealthCheckResult, PeerMessageReceived:
-		// No rule uses these events. Both wire protocols carry them.
+		// No rule uses shard events, results of health checks or messages of other assigners. Both wire protocols carry
+		// them.
 	}
 }
--- a/assign/assignment/assignment_test.go
+++ b/assign/assignment/assignment_test.go
@@ -13,8 +13,8 @@
 func TestReplacementNeedFor(t *testing.T) {
 	for _, test := range []struct {
 		name           string
-		ready, warming bool
-		healthWeight   float64
+		ready, warming bool    // whether the endpoint takes requests, and whether it is warming up
+		healthWeight   float64 // health weight of the endpoint, from 0 to 1
 		want           assignment.ReplacementNeed
 	}{
 		{"ready, warm and healthy", true, false, 1, assignment.KeepDefault},
@@ -38,8 +38,8 @@
 func TestContentsAtConnect(t *testing.T) {
 	for _, test := range []struct {
 		name              string
-		defaultTablesOnly bool
-		supplies          []assignment.ZoneSupply
+		defaultTablesOnly bool                    // whether the proxy holds only its default tables
+		supplies          []assignment.ZoneSupply // supply of the proxy's zone for each of the tables
 		want              assignment.TableContents
 	}{
 		{"four ready", true, []assignment.ZoneSupply{{ReadyEndpoints: 4}}, assignment.TableContents{OnlyLocal: true}},
@@ -62,7 +62,7 @@
 	for _, test := range []struct {
 		name         string
 		proxy        assignment.ProxyState
-		want, urgent bool
+		want, urgent bool // whether the proxy needs assigned tables, and whether their attachment is urgent
 	}{
 		{"no problem", assignment.ProxyState{Connected: true}, false, false},
 		{"an endpoint should have less weight", assignment.ProxyState{Connected: true, DefaultTableNeed: assignment.ReplaceDefault}, true, false},
@@ -93,7 +93,7 @@
 func TestIsSignificantChange(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		before, after float64
+		before, after float64 // weight or rate limit before and after the change
 		want          bool
 	}{
 		{"no change", 5, 5, false},
@@ -120,7 +120,7 @@
 	}
 	for _, test := range []struct {
 		name               string
-		held, wanted, want table
+		held, wanted, want table // held table, wanted table, and the entries that Diff should return
 	}{
 		{"the same table", table{entry("a", 1), entry("b", 2)}, table{entry("b", 2), entry("a", 1)}, nil},
 		{"weights within a tenth", table{entry("a", 1)}, table{entry("a", 1.1)}, nil},
@@ -187,7 +187,7 @@
 	addedWarming := assignment.EntryChange{NewWeight: 1, Ready: true, Warming: true}
 	for _, test := range []struct {
 		name        string
-		heldEntries int
+		heldEntries int // number of entries of the table before the changes
 		changes     []assignment.EntryChange
 		want        bool
 	}{
@@ -208,8 +208,8 @@
 func TestLimitChangeIsUrgent(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		before, after   float64
-		tableHasWarming bool
+		before, after   float64 // rate limit before and after the change
+		tableHasWarming bool    // whether the table holds warming endpoints
 		want            bool
 	}{
 		{"decreases to half", 10, 5, true, false},
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestDiffLeadsToWantedTable checks that a held table has the wanted endpoints after all changes are applied, each with
-// a weight within a tenth of the wanted one.
+// TestDiffLeadsToWantedTable checks that the changes returned by Diff turn the held table into the wanted table. After
+// all changes are applied, the table has the wanted endpoints, each with a weight within a tenth of its wanted weight.
 func TestDiffLeadsToWantedTable(t *testing.T) {
 	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -255,6 +255,7 @@
 	})
 }
 
+// drawTable draws a table of up to ten random endpoints, which are numbers from 0 to 11, with random weights.
 func drawTable(random *rand.Rand) (table []subset.Entry[int]) {
 	for _, endpoint := range random.Perm(12)[:random.Intn(11)] {
 		table = append(table, subset.Entry[int]{Endpoint: endpoint, Weight: quickcheck.LogUniform(random, 0.1, 10)})
--- a/assign/assignment/changes.go
+++ b/assign/assignment/changes.go
@@ -31,17 +31,18 @@
 	return IsSignificantChange(before.Rate, after.Rate) || after.Retries > before.Retries
 }
 
-// Diff returns the entries that change the held table into the wanted one. It contains each wanted entry that the held
-// table lacks or holds at a significantly different weight. It contains an entry of weight 0 for each endpoint that
-// has to be removed. Diff may append to the array of wanted, which the caller must not use afterwards.
-func Diff[E comparable](held, wanted []subset.Entry[E]) (changes []subset.Entry[E]) {
-	for _, entry := range held {
-		if subset.WeightOf(wanted, entry.Endpoint) == 0 {
-			wanted = append(wanted, subset.Entry[E]{Endpoint: entry.Endpoint, Weight: 0})
+// Diff returns the entries that change the table heldTable into the table wantedTable. The result contains each wanted
+// entry that the held table lacks or holds at a significantly different weight. It also contains an entry of weight 0
+// for each endpoint that has to be removed from the held table. Diff may append to the array of wantedTable, which the
+// caller must not use afterwards.
+func Diff[E comparable](heldTable, wantedTable []subset.Entry[E]) (changes []subset.Entry[E]) {
+	for _, entry := range heldTable {
+		if subset.WeightOf(wantedTable, entry.Endpoint) == 0 {
+			wantedTable = append(wantedTable, subset.Entry[E]{Endpoint: entry.Endpoint, Weight: 0})
 		}
 	}
-	for _, entry := range wanted {
-		if IsSignificantChange(subset.WeightOf(held, entry.Endpoint), entry.Weight) {
+	for _, entry := range wantedTable {
+		if IsSignificantChange(subset.WeightOf(heldTable, entry.Endpoint), entry.Weight) {
 			changes = append(changes, entry)
 		}
 	}
@@ -50,10 +51,10 @@
 
 // EntryChange is a change of one entry of an assigned table.
 type EntryChange struct {
-	OldWeight, NewWeight float64 // weights of the entry; 0 if the table does not hold the entry
+	OldWeight, NewWeight float64 // weights before and after the change; 0 if the table does not hold the entry
 
 	Ready   bool // whether the endpoint takes requests
-	Warming bool // whether the endpoint is still warming up
+	Warming bool // whether the endpoint is still warming up after its start
 }
 
 // EntryChangeIsUrgent reports whether a guarantee (see docs/design.md) depends on the change. This is the case if the
@@ -62,16 +63,17 @@
 	return change.NewWeight < change.OldWeight && (!change.Ready || change.Warming)
 }
 
-// EntryChangeIsEssential reports whether the change is sent even while the channel has no room for all urgent
-// messages. This applies to urgent changes and to an entry of a warm endpoint that is added or gets a higher weight.
-// The latter takes load that would otherwise go to the other endpoints of the table, some of which may be warming up.
+// EntryChangeIsEssential reports whether the change is sent even while the order channel, on which the relay carries
+// messages to proxies, has no room for all urgent messages. Two kinds of change are essential: urgent changes, and
+// changes that add an entry of a warm endpoint or raise its weight. The warm endpoint takes load that would otherwise
+// go to the other endpoints of the table, some of which may be warming up.
 func EntryChangeIsEssential(change EntryChange) bool {
 	warmIncreases := change.NewWeight > change.OldWeight && change.Ready && !change.Warming
 	return warmIncreases || EntryChangeIsUrgent(change)
 }
 
 // NonEmptyAfterEssentialChanges reports whether a table that holds the given number of entries still has at least one
-// after only the essential changes are applied.
+// entry after only the essential changes are applied (see EntryChangeIsEssential).
 func NonEmptyAfterEssentialChanges(heldEntries int, changes []EntryChange) bool {
 	remaining := heldEntries
 	for _, change := range changes {
@@ -86,9 +88,10 @@
 	return remaining > 0
 }
 
-// urgentDecreaseFactor is the factor by which a rate limit has to decrease for the change to be urgent. A slow-start
-// rate cap uses half of the overload multiple (slowstart.overloadMultipleFraction). A smaller decrease therefore does
-// not overload a warming endpoint while its message waits among the ordinary ones.
+// urgentDecreaseFactor is the factor by more than which a rate limit has to decrease for the change to be urgent. The
+// slow-start rate cap admits only half of the load that overloads a warming endpoint
+// (slowstart.overloadMultipleFraction). If the limit decreases by a smaller factor, the old limit therefore does not
+// overload the endpoint while the message with the new limit waits among the ordinary messages.
 const urgentDecreaseFactor = 2
 
 // LimitChangeIsUrgent reports whether a guarantee (see docs/design.md) depends on the change of a rate limit. This is
--- a/assign/assignment/defaulttable.go
+++ b/assign/assignment/defaulttable.go
@@ -1,23 +1,25 @@
-// Package assignment decides whether a proxy's default table has to be replaced by an assigned one, which changes of
-// an assigned table are sent to the proxy, and which of them are urgent.
+// Package assignment decides whether a proxy's default table has to be replaced by an assigned table, which changes of
+// an assigned table are sent to the proxy, and which of these changes are urgent. A proxy uses a default table, in
+// which endpoints have their listed weights, until an order attaches an assigned table.
 //
 // Its functions run when a proxy connects and whenever the tables of the proxy are computed. The inputs are the states
 // of endpoints, weights, and rate limits in requests per second. See docs/design.md, "What was changed", 2 (assigned
 // tables before a limit).
 package assignment
 
-// ReplacementNeed is whether, and how urgently, a default table has to be replaced because of the endpoints that it
-// may hold. Higher values take precedence.
+// ReplacementNeed states whether, and how urgently, a default table has to be replaced because of the endpoints that it
+// may hold. The need of a table is the highest of the needs that its endpoints cause.
 type ReplacementNeed int
 
-// The replacement needs in ascending order of precedence.
+// Needs to replace a default table, in ascending order of urgency.
 const (
-	// KeepDefault means that the default table may stay in use.
+	// KeepDefault means that the proxy may keep its default table.
 	KeepDefault ReplacementNeed = iota
 	// ReplaceDefault means that an endpoint should have less than its listed weight, which a default table cannot
 	// express.
 	ReplaceDefault
-	// ReplaceDefaultUrgently means that a guarantee (see docs/design.md) depends on the replacement.
+	// ReplaceDefaultUrgently means that a guarantee (see docs/design.md) depends on the replacement of the default
+	// table.
 	ReplaceDefaultUrgently
 )
 
@@ -45,7 +47,7 @@
 // ZoneSupply describes the endpoints that a zone has for the request classes that share a table.
 type ZoneSupply struct {
 	ReadyEndpoints int  // number of ready endpoints of the zone that the classes may use
-	Disallowed     bool // whether the classes may use no endpoint of the zone at all
+	Disallowed     bool // whether the classes may not use any endpoint of the zone
 }
 
 // TableContents is what the assigner knows about the tables that a proxy holds when it connects.
@@ -54,11 +56,11 @@
 	Unknown   bool // whether the tables may hold endpoints that the assigner does not know
 }
 
-// ContentsAtConnect returns what a proxy's tables may hold when the proxy connects. It takes the zone's supply for each
-// of the tables. DefaultTablesOnly is set for a proxy that holds only its default tables. Any other proxy holds tables
-// of another assigner, whose contents are unknown. The default table of classes that must not use the zone's endpoints
-// holds endpoints of other zones. In a zone with few ready endpoints, which is failing or recovering, the contents of
-// default tables are unknown.
+// ContentsAtConnect returns what a proxy's tables may hold when the proxy connects. The parameter supplies holds the
+// supply of the proxy's zone for each of the tables. The parameter defaultTablesOnly states whether the proxy holds
+// only its default tables. Any other proxy holds tables of another assigner, whose contents are unknown. The default
+// table of classes that must not use the zone's endpoints holds endpoints of other zones. In a zone with few ready
+// endpoints, which is failing or recovering, the contents of default tables are unknown.
 func ContentsAtConnect(defaultTablesOnly bool, supplies []ZoneSupply) TableContents {
 	contents := TableContents{OnlyLocal: true, Unknown: !defaultTablesOnly}
 	for _, supply := range supplies {
@@ -69,12 +71,12 @@
 	return contents
 }
 
-// ProxyState holds the inputs of the decision whether a proxy needs assigned tables.
+// ProxyState holds the inputs of NeedsAssignedTables and AttachmentIsUrgent.
 type ProxyState struct {
-	Connected         bool            // whether the proxy's stream is open
-	TablesByShard     bool            // whether tables belong to shards instead of proxies
+	Connected         bool            // whether the stream of the proxy, on which it receives messages, is open
+	TablesByShard     bool            // whether tables belong to shards; if so, proxies get no assigned tables
 	HasAssignedTables bool            // whether the proxy already uses assigned tables
-	HasUnknownTables  bool            // whether the tables may hold unknown endpoints; see TableContents.Unknown
+	HasUnknownTables  bool            // whether the proxy's tables may hold endpoints that the assigner does not know
 	RateLimited       bool            // whether the proxy has a rate limit
 	ZoneOverloaded    bool            // whether the proxy's zone is overloaded
 	DefaultTableNeed  ReplacementNeed // replacement need of the proxy's default table
@@ -90,8 +92,8 @@
 		proxy.DefaultTableNeed > KeepDefault
 }
 
-// AttachmentIsUrgent reports whether a guarantee (see docs/design.md) depends on the attachment of the proxy's first
-// assigned tables.
+// AttachmentIsUrgent reports whether a guarantee (see docs/design.md) depends on the orders that attach the proxy's
+// first assigned tables, which make the proxy use these tables.
 func AttachmentIsUrgent(proxy ProxyState) bool {
 	return !proxy.HasAssignedTables && (proxy.HasUnknownTables || proxy.DefaultTableNeed == ReplaceDefaultUrgently)
 }
--- a/assign/config.go
+++ b/assign/config.go
@@ -11,8 +11,8 @@
 
 // The admission modes.
 const (
-	AdmitByRate  AdmissionMode = iota // a rate limit is a rate in requests per second
-	AdmitByRatio                      // a rate limit is the fraction of requests that is admitted
+	AdmitByRate  AdmissionMode = iota // proxies take a rate limit as a number of requests per second
+	AdmitByRatio                      // proxies take a rate limit as the fraction of requests that they admit
 	AdmitAll                          // proxies ignore rate limits and admit all requests
 )
 
@@ -43,8 +43,8 @@
 	MetricBusyFraction   LoadMetric = "busy"            // fraction of the endpoint's capacity in use; 1 means full
 	MetricInFlight       LoadMetric = "in_flight"       // number of requests in progress at the endpoint
 	MetricServiceTime    LoadMetric = "service_time"    // mean time that a request takes at the endpoint, in seconds
-	MetricCompletionRate LoadMetric = "completion_rate" // requests answered per second
-	MetricErrorRate      LoadMetric = "error_rate"      // requests failed per second
+	MetricCompletionRate LoadMetric = "completion_rate" // number of requests that the endpoint answers per second
+	MetricErrorRate      LoadMetric = "error_rate"      // number of requests that fail at the endpoint per second
 	MetricQueued         LoadMetric = "queued"          // number of requests queued at the endpoint
 )
 
@@ -55,15 +55,15 @@
 // Config holds the settings of a deployment. DefaultConfig returns the values for settings that are missing.
 type Config struct {
 	Zone           string   // zone of this assigner; no rule uses this setting
-	Zones          []string // zones of the deployment; empty if it is not divided into zones
+	Zones          []string // zones of the deployment; empty if the deployment has no division into zones
 	ProxyCount     float64  // number of proxies in the deployment, over all assigners, or UnknownProxyCount
-	ShardCount     float64  // number of tables that belong to shards; if above 0, no tables are assigned; default 0
+	ShardCount     float64  // number of tables that belong to shards; if above 0, proxies get no tables; default 0
 	RequestClasses []RequestClassConfig
 	Admission      AdmissionMode
 	DiscoveryMode  DiscoveryMode
 
-	RemovalIsAdvisory      bool    // whether an endpoint that was removed from the endpoint list may still serve
-	Retries                int     // number of retries that proxies make under normal conditions
+	RemovalIsAdvisory      bool    // whether an endpoint may still serve after its removal from the endpoint list
+	Retries                int     // number of retries that proxies make for a request under normal conditions
 	MinBatchInterval       float64 // minimum time between two batches, in seconds
 	MaxTimeWithoutEndpoint float64 // maximum time in seconds that a proxy may be without endpoints; no rule uses it
 
@@ -81,23 +81,25 @@
 // Config.RequestClasses, and traffic reports refer to it by its name.
 type RequestClassConfig struct {
 	Name             string
-	EndpointGroup    string  // group of endpoints that have the data of the class; no rule uses this setting
-	Priority         float64 // classes with a higher priority are admitted first
-	LatencyObjective float64 // an answer that takes more seconds is late and worth less; default 0: no answer is late
-	Deadline         float64 // time in seconds after which clients give up; 0: not stated
+	EndpointGroup    string  // group of endpoints that have the data of the request class; no rule uses this setting
+	Priority         float64 // requests of classes with a higher priority are admitted first
+	LatencyObjective float64 // latency in seconds above which an answer is late; default 0: no answer is late
+	Deadline         float64 // time in seconds after which clients give up a request; 0: not stated
 	AllowedZones     []string
-	OwnZoneOnly      bool        // whether requests may use only endpoints in the zone of their proxy
-	RetrySafety      RetrySafety // no rule uses this setting, because no order allows a retry that could run twice
+	OwnZoneOnly      bool // whether requests may use only endpoints in the zone of their proxy
+	// RetrySafety states whether requests may be retried. No rule uses this setting, because no order allows a retry
+	// after which a request could run twice.
+	RetrySafety RetrySafety
 }
 
 // ChannelConfig describes the channel that carries orders to the proxies. The channel carries messages, and the size of
 // a message is counted in lines.
 type ChannelConfig struct {
-	QueueLimit      float64 // maximum number of queued lines that the platform permits; default +Inf
+	QueueLimit      float64 // maximum number of lines queued in the channel that the platform permits; default +Inf
 	LinesPerSecond  float64 // lines per second that the channel carries under normal conditions; default 0: not stated
-	MessageOverhead float64 // lines that a message occupies in addition to its orders; default 1
+	MessageOverhead float64 // lines of the channel that a message occupies in addition to its orders; default 1
 	MessageLimit    float64 // maximum number of messages to one proxy within MessageWindow; default 0: no limit
-	MessageWindow   float64 // period in seconds over which MessageLimit is counted; default 10
+	MessageWindow   float64 // period in seconds over which messages are counted for MessageLimit; default 10
 	MeanTransitTime float64 // mean transit time of a message to its proxy, in seconds
 	MaxTransitTime  float64 // maximum transit time of a message to its proxy, in seconds
 }
--- a/assign/decisions_doc_test.go
+++ b/assign/decisions_doc_test.go
@@ -21,12 +21,13 @@
 // decisionsDoc is the path of the index of decisions, relative to the directory of this package.
 const decisionsDoc = "../docs/decisions.md"
 
-// minDecisionRows is the least number of rows, each of which answers a question, that the index must have.
+// minDecisionRows is the least number of rows, each of which answers a question, that the tables of docs/decisions.md
+// must have.
 const minDecisionRows = 25
 
-// The tables of the index have these columns: question, functions that decide, functions that collect the inputs,
-// inputs, constants, and how to observe the decision. The constants name the number of columns and the positions of
-// two of them.
+// The tables of docs/decisions.md have these columns: question, functions that decide, functions that collect the
+// inputs, inputs, constants, and how to observe the decision. The constants name the number of columns and the
+// positions of two of them.
 const (
 	decisionColumnCount = 6
 	decidedByColumn     = 1
@@ -61,8 +62,8 @@
 // declarationOrFilePattern matches each `package.Identifier` and each (file.go) in a table cell.
 var declarationOrFilePattern = regexp.MustCompile("`([a-z]+)\\.([A-Za-z][\\w.]*)`|\\(([\\w/]+\\.go)\\)")
 
-// TestDecisionsDocFilesDeclareFunctions checks that each function that the index names as deciding or as collecting
-// inputs is declared in the file that the index gives for it.
+// TestDecisionsDocFilesDeclareFunctions checks that each function that docs/decisions.md names as deciding or as
+// collecting inputs is declared in the file that the document gives for it.
 func TestDecisionsDocFilesDeclareFunctions(t *testing.T) {
 	packages := typeCheckPackages(t)
 	for _, row := range decisionRows(t) {
@@ -123,8 +124,8 @@
 	}
 }
 
-// TestDecisionsDocQuotesExistingLogMessages checks that each log message that the index quotes occurs in the sources of
-// this package.
+// TestDecisionsDocQuotesExistingLogMessages checks that each log message that docs/decisions.md quotes occurs in the
+// sources of this package.
 func TestDecisionsDocQuotesExistingLogMessages(t *testing.T) {
 	sourceFiles, err := filepath.Glob("*.go")
 	if err != nil {
@@ -157,8 +158,8 @@
 	return string(text)
 }
 
-// TestDecisionsDocRowsAreComplete checks that the index has at least minDecisionRows questions, asks each question
-// once and leaves no column empty.
+// TestDecisionsDocRowsAreComplete checks that docs/decisions.md has at least minDecisionRows questions, asks each
+// question once and leaves no column empty.
 func TestDecisionsDocRowsAreComplete(t *testing.T) {
 	questions := map[string]bool{}
 	for _, cells := range decisionRows(t) {
@@ -178,7 +179,7 @@
 	}
 }
 
-// decisionRows returns the cells of each row of the index whose first cell is a question.
+// decisionRows returns the cells of each table row of docs/decisions.md whose first cell is a question.
 func decisionRows(t *testing.T) (rows [][]string) {
 	t.Helper()
 	for line := range strings.Lines(readTextFile(t, decisionsDoc)) {
@@ -198,7 +199,8 @@
 	return rows
 }
 
-// checkConstant checks that the document gives the value that a numeric constant has in the source.
+// checkConstant checks that the value of a numeric constant in docs/decisions.md, the parameter documented, is the
+// value in the source.
 func checkConstant(t *testing.T, name string, declared *types.Const, documented string) {
 	t.Helper()
 	if declared.Val().Kind() == constant.String {
@@ -297,7 +299,8 @@
 		}
 		files = append(files, file)
 	}
-	config := types.Config{Importer: p, Error: func(error) {}} // ignores errors about packages not imported
+	// The Error function ignores errors about packages that are not imported.
+	config := types.Config{Importer: p, Error: func(error) {}}
 	p.byName[name], _ = config.Check(importPath, p.fileSet, files, nil)
 	return p.byName[name], nil
 }
--- a/assign/deployment_test.go
+++ b/assign/deployment_test.go
@@ -11,36 +11,39 @@
 // a channel that transmits the lines of all messages one after another at a constant rate. The model records which
 // entries each proxy's tables have.
 type deploymentModel struct {
-	assigner        *Assigner
-	config          Config
-	now             float64 // simulated time, s
-	channelFreeAt   float64 // time at which the channel has transmitted all queued lines, s
-	inTransit       []deploymentMessage
-	tables          map[int]map[string]float64 // positive entry weights, by table number and endpoint name
-	previousTables  map[int]map[string]float64 // weights set by another assigner, until this one attaches a table
-	endpoints       []Endpoint
-	drainNotifiedAt map[string]float64 // time at which the assigner was notified that an endpoint drains, s
+	assigner          *Assigner
+	config            Config
+	now               float64 // simulated time, s
+	channelFreeAt     float64 // time at which the order channel has transmitted all queued lines, s
+	messagesInTransit []deploymentMessage
+	tables            map[int]map[string]float64 // weights of all table entries, by table number and endpoint name
+	// Entry weights that another assigner set, by proxy number and endpoint name. The weights of a proxy are deleted
+	// when this assigner attaches a table to the proxy.
+	previousTables map[int]map[string]float64
+	endpoints      []Endpoint
+	// Time at which the assigner was notified that an endpoint drains, by endpoint name, s.
+	drainNotifiedAt map[string]float64
 }
 
 // deploymentMessage is a message that is on its way to a proxy.
 type deploymentMessage struct {
 	proxy, sequence int
 	orders          []Order
-	arrivesAt       float64 // time of arrival at the proxy, s
+	arrivesAt       float64 // time at which the message arrives at its proxy, s
 }
 
 const (
 	deploymentDrainGrace    = 4.0 // time within which proxies must stop using a draining endpoint, s
-	deploymentTransitTime   = 0.3 // travel time of a message after it has left the channel, s
+	deploymentTransitTime   = 0.3 // time from which a message leaves the order channel until it arrives at its proxy, s
 	deploymentBatchInterval = 0.2 // time between two batches, s
 )
 
 // deploymentTypicalRate is the typical request rate of each proxy, in requests per second.
 const deploymentTypicalRate = 10.0
 
-// newDeploymentModel returns a deployment in which the given number of proxies is connected and has tables that the
-// assigner built. For each proxy, connected or not, the channel carries eight lines per second. Its queue holds as many
-// lines as it carries in four seconds.
+// newDeploymentModel returns a deployment with the given numbers of proxies and endpoints. The parameter connected is
+// the number of proxies that are connected and have tables that the assigner built. For each proxy, connected or not,
+// the channel carries eight lines per second. Its queue holds as many lines as it carries in four seconds.
 func newDeploymentModel(proxies, connected, endpoints int) *deploymentModel {
 	config := modelConfig()
 	config.RequestClasses = config.RequestClasses[:2]
@@ -63,8 +66,8 @@
 	return deployment
 }
 
-// run advances the clock by the given number of seconds. Once a second the assigner receives a report on each
-// endpoint. If lateInterval is positive, one endpoint of every lateInterval is reported with late answers, a
+// run advances the clock by the given number of seconds. Once a second the assigner receives a report on each endpoint.
+// If lateInterval is positive, one endpoint in each group of lateInterval endpoints is reported with late answers, a
 // different one each second, so that weights change and cause ordinary messages. If lateInterval is 0, no endpoint
 // answers late.
 func (m *deploymentModel) run(seconds float64, lateInterval int) {
@@ -89,16 +92,16 @@
 // handleBatch delivers the messages that have arrived, passes their acknowledgments and then the given events to the
 // assigner, and sends the orders that it returns.
 func (m *deploymentModel) handleBatch(events ...Event) {
-	var arrived []Event
-	for len(m.inTransit) > 0 && m.inTransit[0].arrivesAt <= m.now {
-		message := m.inTransit[0]
-		m.inTransit = m.inTransit[1:]
+	var acknowledgments []Event
+	for len(m.messagesInTransit) > 0 && m.messagesInTransit[0].arrivesAt <= m.now {
+		message := m.messagesInTransit[0]
+		m.messagesInTransit = m.messagesInTransit[1:]
 		for _, order := range message.orders {
 			m.apply(order)
 		}
-		arrived = append(arrived, Acknowledged{Proxy: message.proxy, Sequence: message.sequence})
+		acknowledgments = append(acknowledgments, Acknowledged{Proxy: message.proxy, Sequence: message.sequence})
 	}
-	m.send(m.assigner.Handle(m.now, append(arrived, events...)))
+	m.send(m.assigner.Handle(m.now, append(acknowledgments, events...)))
 }
 
 // apply applies an order at the proxy that it is for.
@@ -152,22 +155,22 @@
 		lines := float64(len(message.orders)+1) + m.config.Channel.MessageOverhead
 		m.channelFreeAt = math.Max(m.channelFreeAt, m.now) + lines/m.config.Channel.LinesPerSecond
 		message.arrivesAt = m.channelFreeAt + deploymentTransitTime
-		m.inTransit = append(m.inTransit, *message)
+		m.messagesInTransit = append(m.messagesInTransit, *message)
 	}
 }
 
 // drainAndReplace notifies the assigner that count endpoints drain, starting at index first, and that a new endpoint
 // starts in the zone of each.
 func (m *deploymentModel) drainAndReplace(first, count int) {
-	var updated []Endpoint
+	var updatedEndpoints []Endpoint
 	for i := first; i < first+count; i++ {
 		m.endpoints[i].State = Draining
 		m.drainNotifiedAt[m.endpoints[i].Name] = m.now
 		replacement := Endpoint{Zone: m.endpoints[i].Zone, Name: "new-" + m.endpoints[i].Name, Weight: 1, StartedAt: m.now}
 		m.endpoints = append(m.endpoints, replacement)
-		updated = append(updated, m.endpoints[i], replacement)
+		updatedEndpoints = append(updatedEndpoints, m.endpoints[i], replacement)
 	}
-	m.handleBatch(EndpointUpdate{Endpoints: updated})
+	m.handleBatch(EndpointUpdate{Endpoints: updatedEndpoints})
 }
 
 // longestDrainingEntry returns the table entry of a draining endpoint whose drain was announced first, and the time
--- a/assign/deployment_warming_test.go
+++ b/assign/deployment_warming_test.go
@@ -8,8 +8,8 @@
 )
 
 // connectWithPreviousTables connects the proxies with numbers from first up to, but not including, last. Each of them
-// holds a table that another assigner built: ten ready endpoints of the proxy's zone, with warming ones at the
-// fraction of their capacity that they have at that time.
+// holds a table that another assigner built. The table has ten ready endpoints of the proxy's zone, and the weight of
+// each entry is the fraction of its full capacity that the endpoint has.
 func (m *deploymentModel) connectWithPreviousTables(first, last int) {
 	var events []Event
 	for i := first; i < last; i++ {
--- a/assign/digest_test.go
+++ b/assign/digest_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// runZoneLoadScenario runs four phases of 15 s. First the endpoints of zone x are nearly full, then they are
-// moderately busy. In the third phase most attempts at idle endpoints fail quickly, and in the last one idle
-// endpoints answer all attempts.
+// runZoneLoadScenario runs four phases of 15 s. In the first phase the endpoints of zone x are nearly full, and in the
+// second phase they are moderately busy. In the third phase most attempts at idle endpoints fail quickly, and in the
+// last one idle endpoints answer all attempts.
 func runZoneLoadScenario(t *testing.T) *model {
 	t.Helper()
 	sim := newFaultFreeModel(t)
@@ -81,7 +81,8 @@
 	return sim
 }
 
-// runReleaseScenario runs six seconds of a release in a large deployment and returns the digest of the orders.
+// runReleaseScenario runs six seconds of a release, in which endpoints drain and start, in a large deployment. It
+// returns the digest of the orders.
 func runReleaseScenario(t *testing.T) hash.Hash {
 	t.Helper()
 	digest := sha256.New()
@@ -139,7 +140,7 @@
 func TestOrdersMatchDigests(t *testing.T) {
 	scenarios := digestScenarios()
 	digests := make([]string, len(scenarios))
-	t.Run("scenarios", func(t *testing.T) { // returns after all parallel subtests have ended
+	t.Run("scenarios", func(t *testing.T) { // this call of Run returns after all parallel subtests have ended
 		for i, scenario := range scenarios {
 			t.Run(scenario.name, func(t *testing.T) {
 				t.Parallel()
--- a/assign/endpoint.go
+++ b/assign/endpoint.go
@@ -16,17 +16,17 @@
 // endpoint is the record of an endpoint. The record is kept after the endpoint has been removed from the endpoint list,
 // because tables of proxies may still hold the endpoint.
 type endpoint struct {
-	// Set by newEndpoint and not changed afterwards.
+	// The fields of this group are set by newEndpoint and not changed afterwards.
 	name     string
-	tieBreak float64 // orders endpoints of equal rank; see subset.TieBreak
+	tieBreak float64 // value that decides the order of endpoints of equal rank; see subset.TieBreak
 
-	// Written by applyListing.
+	// The fields of this group are written by applyListing.
 	zone         string
 	listedWeight float64 // capacity relative to other endpoints, as the endpoint list states it
 	startedAt    float64 // start time of the endpoint's process, in seconds; 0: long ago
 	lastListedAt float64 // time of the last update that listed the endpoint, in seconds; initialized by newEndpoint
 
-	status membership.Status // Removed until the first listing is applied; written by setStatus
+	status membership.Status // status of the endpoint; Removed until the first listing is applied; written by setStatus
 	// Time at which the Assigner learned that the endpoint drains or is removed, in seconds. Read only while the
 	// endpoint is not ready. Written by setStatus.
 	notReadySince float64
@@ -42,8 +42,10 @@
 	// recordLoadReport, closePeriod and decreaseHealthWeight, and discarded by applyListing for a new process.
 	healthByZone []*zoneHealth
 
-	currentPeriod overload.AttemptStats // attempts since the last tick; written by recordLoadReport, reset by closePeriod
-	lastPeriod    overload.AttemptStats // attempts per second in the period before the last tick; written by closePeriod
+	// Sums over the attempts at the endpoint since the last tick. Written by recordLoadReport and reset by closePeriod.
+	currentPeriod overload.AttemptStats
+	// Attempts at the endpoint per second in the period before the last tick. Written by closePeriod.
+	lastPeriod overload.AttemptStats
 }
 
 // zoneHealth is the health of an endpoint as observed by the proxies of one zone.
@@ -111,7 +113,7 @@
 }
 
 // newEndpoint returns a new record for an entry of the endpoint list. The status of the record is Removed until its
-// listing is applied. FirstUpdate is true if the Assigner had no endpoints before the update.
+// listing is applied. The parameter firstUpdate states whether the Assigner had no endpoints before the update.
 func (a *Assigner) newEndpoint(entry Endpoint, firstUpdate bool) *endpoint {
 	return &endpoint{
 		name:           entry.Name,
@@ -146,7 +148,7 @@
 		return
 	}
 	if entry.StartedAt > 0 && entry.StartedAt != e.startedAt {
-		// The endpoint runs as a new process. Reports on the former process do not apply to it.
+		// The endpoint runs as a new process. Reports on the earlier process do not apply to the new one.
 		e.healthByZone = nil
 		e.busyFraction = 0
 	}
@@ -159,7 +161,7 @@
 }
 
 // applyRemoval applies the removal of the endpoint from the endpoint list. It is called again at each tick while the
-// endpoint is delisted.
+// endpoint is delisted, that is, no longer listed but in use while it answers.
 func (e *endpoint) applyRemoval(assigner *Assigner) {
 	e.setStatus(membership.StatusAfterDrop(e.status, membership.DropConditions{
 		RemovalIsAdvisory: assigner.config.RemovalIsAdvisory,
@@ -204,7 +206,8 @@
 	e.lastPeriod = e.currentPeriod.PerSecond(timing.TickInterval)
 	e.currentPeriod = overload.AttemptStats{}
 	if e.status.Delisted {
-		// The endpoint may have become silent since the last check.
+		// A delisted endpoint stays ready only while it answers attempts, and it may have stopped answering since the
+		// last tick.
 		assigner.enqueue(endpointRemoved{e})
 	}
 	for _, health := range e.healthByZone {
@@ -252,7 +255,7 @@
 	result.unverified = outlier.Unverified(outlier.VerificationInput{
 		LastAnsweredAt: e.lastAnsweredAt,
 		Now:            assigner.now,
-		// The fraction is above 1 if the settings let an endpoint start above its full capacity.
+		// The capacity fraction is above 1 if the settings let an endpoint start above its full capacity.
 		Warming: capacityFraction != 1,
 		Failing: health.Failing(),
 	})
--- a/assign/endpoint_test.go
+++ b/assign/endpoint_test.go
@@ -60,7 +60,7 @@
 	}
 	sim.updateEndpoints(sim.endpoints...)
 	for _, e := range sim.endpoints {
-		e.State = Ready // the process of each endpoint still runs
+		e.State = Ready // the removal was wrong: the process of each endpoint still runs
 	}
 	sim.run(12, 0.4)
 	for i, e := range sim.endpoints {
@@ -84,10 +84,10 @@
 	assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}, ProxyConnected{Proxy: 1, Zone: "x", TypicalRate: 5, DefaultTablesOnly: true}})
 	for i := range 2000 {
 		now++
-		removed := listedEndpoints[i%12]
-		removed.State = Removed
+		removedEndpoint := listedEndpoints[i%12]
+		removedEndpoint.State = Removed
 		listedEndpoints[i%12].Name, listedEndpoints[i%12].StartedAt = fmt.Sprint("n", i), now-20
-		assigner.Handle(now, []Event{TimerFired{0}, EndpointUpdate{Endpoints: []Endpoint{removed, listedEndpoints[i%12]}},
+		assigner.Handle(now, []Event{TimerFired{0}, EndpointUpdate{Endpoints: []Endpoint{removedEndpoint, listedEndpoints[i%12]}},
 			Acknowledged{Proxy: 1, Sequence: assigner.scheduler.lastSequence}})
 		if len(assigner.endpointList) > 12+2*membership.RecordRetention || len(assigner.endpointsByName) != len(assigner.endpointList) {
 			t.Fatalf("got %d records and %d names, want equal numbers, at most %g above the 12 listed endpoints",
--- a/assign/events.go
+++ b/assign/events.go
@@ -36,7 +36,7 @@
 
 // EndpointLoadReport is the summary of the attempts that the proxies of one zone made at one endpoint.
 type EndpointLoadReport struct {
-	Zone        string  // zone of the proxies
+	Zone        string  // zone of the proxies that made the attempts
 	Endpoint    string  // name of the endpoint
 	Interval    float64 // time that the report covers, in seconds; no rule uses this field
 	MeanLatency float64 // mean latency of the successful attempts, in seconds; 0 if there are none
@@ -68,7 +68,7 @@
 	Failed       int     // number of failed requests
 }
 
-// ProxyConnected reports that the stream of a proxy is open.
+// ProxyConnected reports that the stream on which a proxy receives messages is open.
 type ProxyConnected struct {
 	Proxy             int     // number of the proxy
 	Zone              string  // zone of the proxy
@@ -76,14 +76,14 @@
 	DefaultTablesOnly bool    // whether the proxy holds only its default tables, and no assigned tables
 }
 
-// ProxyDisconnected reports that the stream of the proxy with this number has ended.
+// ProxyDisconnected reports that the stream on which the proxy with this number receives messages has ended.
 type ProxyDisconnected struct{ Proxy int }
 
 // Acknowledged reports that a proxy has applied the message with this sequence number and all earlier messages.
 type Acknowledged struct {
 	Proxy    int     // number of the proxy
-	Sequence int     // sequence number of the AcknowledgmentRequest order
-	Latency  float64 // time from the order until it took effect, in seconds
+	Sequence int     // sequence number of the AcknowledgmentRequest order that the proxy answers
+	Latency  float64 // time from the AcknowledgmentRequest order until it took effect, in seconds
 }
 
 // ShardAssigned reports that a shard was assigned to this assigner or is no longer assigned to it. No rule uses this
@@ -104,15 +104,15 @@
 // orders health checks.
 type HealthCheckResult struct {
 	Endpoint string    // name of the endpoint
-	Code     string    // status code of the check
-	Latency  float64   // latency of the check, in seconds
+	Code     string    // status code of the health check
+	Latency  float64   // latency of the health check, in seconds
 	Load     []float64 // values that the endpoint reported, in the order of ReportConfig.LoadMetrics
 }
 
 // PeerMessageReceived reports a message from another assigner. No rule uses this event.
 type PeerMessageReceived struct {
-	From int    // number of the sending assigner
-	Data []byte // content of the message
+	Source int    // number of the sending assigner
+	Data   []byte // content of the message
 }
 
 // TimerFired reports that the timer of the SetTimer order with this ID has expired.
--- a/assign/example_test.go
+++ b/assign/example_test.go
@@ -24,10 +24,10 @@
 		assign.ProxyConnected{Proxy: 7, Zone: "x", TypicalRate: 10, DefaultTablesOnly: true},
 	}))
 
-	draining := endpoints[0]
-	draining.State = assign.Draining
+	drainingEndpoint := endpoints[0]
+	drainingEndpoint.State = assign.Draining
 	show(assigner.Handle(start+0.5, []assign.Event{
-		assign.EndpointUpdate{Endpoints: []assign.Endpoint{draining}},
+		assign.EndpointUpdate{Endpoints: []assign.Endpoint{drainingEndpoint}},
 	}))
 	// Output:
 	// timer in 1 s
--- a/assign/known_faults_test.go
+++ b/assign/known_faults_test.go
@@ -46,7 +46,7 @@
 // TestEventOfUnknownProxyCreatesNoZone checks that an event of a proxy that never connected creates no zone record
 // without a name and changes no order.
 func TestEventOfUnknownProxyCreatesNoZone(t *testing.T) {
-	const unknownProxy = 0 // proxy number, lower than that of the connected proxy
+	const unknownProxy = 0 // number of a proxy that never connects, lower than the number of the connected proxy
 	for _, test := range []struct {
 		name  string
 		event Event
@@ -76,7 +76,7 @@
 }
 
 // weightsInSmallZone returns the weights that the assigner orders for a proxy of zone x. Zone x has one endpoint, and
-// zone y has twelve. The first batch also has additionalEvents.
+// zone y has twelve. The parameter additionalEvents holds further events of the first batch.
 func weightsInSmallZone(additionalEvents ...Event) (weights map[string]float64, assigner *Assigner) {
 	assigner = New(1, modelConfig())
 	listedEndpoints := append(newEndpoints("y", 12), Endpoint{Zone: "x", Name: "x0", Weight: 1})
@@ -104,7 +104,8 @@
 	host := newTestHost(t, config)
 	host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Load: []float64{0.5}})
 	host.failingEndpoints[host.listedEndpoints[0].Name] = true
-	host.requestsPerClass = 8 // requests per second of each class, more in total than the 48/s that the endpoints answer
+	// All proxies together report more requests per second than the 48/s that the endpoints answer.
+	host.requestsPerClass = 8
 	for second := range 5 {
 		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.2, Attempts: 9, Failed: 5, Load: []float64{0.95}})
 		if total := totalRate(host.assigner); math.IsNaN(total) || math.IsInf(total, 0) {
@@ -160,7 +161,7 @@
 
 // TestOverloadedZoneCreatedBetweenTicksGetsTable guards against a panic when a zone is created between two ticks. The
 // endpoint list, a proxy and reports of nearly full endpoints arrive after the first tick. The proxy must get a table
-// before the second.
+// before the second tick.
 func TestOverloadedZoneCreatedBetweenTicksGetsTable(t *testing.T) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -192,7 +193,8 @@
 // are removed, each request class must have the configured number of retries again.
 func TestRetriesAreRestoredAfterRateLimitRemoval(t *testing.T) {
 	host := newTestHost(t, modelConfig())
-	host.requestsPerClass = 8 // requests per second of each class, more in total than the 48/s that the endpoints answer
+	// All proxies together report more requests per second than the 48/s that the endpoints answer.
+	host.requestsPerClass = 8
 	for range 5 {
 		host.reportAllEndpoints(EndpointLoadReport{MeanLatency: 0.9, Attempts: 9, Failed: 5, Load: []float64{0.95}})
 	}
@@ -220,8 +222,9 @@
 // update lists.
 func TestEndpointRelistedAfterRetentionIsReady(t *testing.T) {
 	for _, test := range []struct {
-		name                  string
-		listedFor, removedFor float64 // durations of the listing, without an answer, and of the removal, s
+		name string
+		// Times for which the endpoint is first listed, without an answer, and then removed, s.
+		listedFor, removedFor float64
 	}{
 		{"before the retention", 1, membership.RecordRetention - 2},
 		{"after the retention", 1, membership.RecordRetention + 1},
@@ -233,9 +236,9 @@
 			listedEndpoints := newEndpoints("x", 4)
 			assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}})
 			now += test.listedFor
-			removed := listedEndpoints[0]
-			removed.State = Removed
-			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
+			removedEndpoint := listedEndpoints[0]
+			removedEndpoint.State = Removed
+			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removedEndpoint}}})
 			now += test.removedFor
 			assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listedEndpoints[:1]}})
 			if !hasReadyEndpoint(assigner, listedEndpoints[0].Name) {
@@ -272,9 +275,9 @@
 	now := 1000.0
 	listedEndpoints := newEndpoints("x", 4)
 	assigner.Handle(now, []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}})
-	removed := listedEndpoints[0]
-	removed.State = Removed
-	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removed}}})
+	removedEndpoint := listedEndpoints[0]
+	removedEndpoint.State = Removed
+	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: []Endpoint{removedEndpoint}}})
 	now += membership.RecordRetention + 1
 	assigner.Handle(now, []Event{EndpointUpdate{Endpoints: listedEndpoints[:1]}, EndpointUpdate{Endpoints: listedEndpoints[1:]}})
 	if !hasReadyEndpoint(assigner, listedEndpoints[0].Name) {
@@ -290,15 +293,15 @@
 	config                 Config
 	now                    float64            // simulated time, s
 	listedEndpoints        []Endpoint         // endpoints of the current endpoint list
-	requestsPerClass       int                // requests of each class that a proxy reports, 1/s
+	requestsPerClass       int                // requests per second of each request class that each proxy reports
 	failingEndpoints       map[string]bool    // names of the endpoints that fail every attempt
-	busyByZone             map[string]float64 // busy fractions by zone, which replace those in reports
+	busyByZone             map[string]float64 // busy fraction by zone name, which replaces that of a load report
 	pendingAcknowledgments []Event            // acknowledgments that the next batch passes to the assigner
 
-	attachedTables map[proxyClassKey]int      // number of the table that each proxy uses for each class
+	attachedTables map[proxyClassKey]int      // number of the table that each proxy uses for each request class
 	entryWeights   map[int]map[string]float64 // positive entry weights, by table number and endpoint name
-	rateLimits     map[tableClassKey]float64  // rate limits in force, 1/s; a class without a limit has no value
-	retries        map[tableClassKey]int      // number of retries ordered last
+	rateLimits     map[tableClassKey]float64  // rate limits in force, 1/s; no value for a class without a limit
+	retries        map[tableClassKey]int      // number of retries that the last SetRateLimit order set
 }
 
 // proxyClassKey identifies a proxy and a request class, which together determine the table in use.
--- a/assign/known_table_faults_test.go
+++ b/assign/known_table_faults_test.go
@@ -41,14 +41,14 @@
 func TestRestrictedTableKeepsUsualWeightAfterCapacityLoss(t *testing.T) {
 	const restrictedClass = 2 // index of the request class "sign"
 	host := newTestHost(t, modelConfig())
-	var removed []Endpoint
+	var removedEndpoints []Endpoint
 	for _, endpoint := range host.listedEndpoints {
-		if endpoint.Zone == "x" && len(removed) < 2 {
+		if endpoint.Zone == "x" && len(removedEndpoints) < 2 {
 			endpoint.State = Removed
-			removed = append(removed, endpoint)
+			removedEndpoints = append(removedEndpoints, endpoint)
 		}
 	}
-	host.handle(0.1, EndpointUpdate{Endpoints: removed})
+	host.handle(0.1, EndpointUpdate{Endpoints: removedEndpoints})
 	host.handle(1)
 	var localWeight, remoteWeight float64
 	for _, endpoint := range host.listedEndpoints {
--- a/assign/locality/locality.go
+++ b/assign/locality/locality.go
@@ -15,24 +15,24 @@
 	"madderhollow/assign/timing"
 )
 
-// Endpoint is the state of one endpoint that is added to the summary of a zone.
+// Endpoint is the state of an endpoint that ZoneSummary.Add adds to the summary of a zone.
 type Endpoint struct {
-	Local        bool    // whether the endpoint is in the zone
+	Local        bool    // whether the endpoint is in the zone that is summarized
 	Ready        bool    // whether the endpoint takes requests
 	Warming      bool    // whether the endpoint is still warming up
 	Unverified   bool    // whether the endpoint still has to prove that it serves; see outlier.Unverified
-	ListedWeight float64 // weight in the endpoint list
-	BusyFraction float64 // fraction of the endpoint's capacity in use, as it reports; 0 also if it reports none
+	ListedWeight float64 // weight of the endpoint in the endpoint list
+	BusyFraction float64 // fraction of its capacity that the endpoint reports as in use; 0 if it reports no fraction
 	FailureRatio float64 // fraction of the attempts by the zone's proxies that failed, 0 to 1
 }
 
 // ZoneSummary sums up all endpoints as seen by the proxies of one zone. Its zero value contains no endpoints.
 type ZoneSummary struct {
-	ReadyWeight float64 // listed weight of the zone's ready and verified endpoints
+	ReadyWeight float64 // sum of the listed weights of the zone's ready and verified endpoints
 
 	weightedBusySum  float64 // sum of busy fraction times listed weight over the zone's ready and verified endpoints
-	warmWeight       float64 // listed weight of the ready warm endpoints of all zones
-	succeedingWeight float64 // warmWeight without the fraction of the attempts that fails at each endpoint
+	warmWeight       float64 // sum of the listed weights of the ready warm endpoints of all zones
+	succeedingWeight float64 // sum of listed weight times success ratio over the same endpoints as warmWeight
 }
 
 // Add adds an endpoint to the summary.
@@ -59,7 +59,7 @@
 func (s *ZoneSummary) MostWarmAttemptsFail() bool { return 2*s.succeedingWeight < s.warmWeight }
 
 // busyRecoveryThreshold is the mean busy fraction at or below which a zone is no longer overloaded. It is lower than
-// overload.BusyThreshold so that the tables do not flap.
+// overload.BusyThreshold, above which a zone becomes overloaded, so that the tables do not change back and forth.
 const busyRecoveryThreshold = 0.5
 
 // IsOverloaded reports whether a zone with the given mean busy fraction is overloaded. The result also depends on
@@ -71,14 +71,14 @@
 // RemoteSummary sums up the endpoints of other zones. Use NewRemoteSummary to create one.
 type RemoteSummary struct {
 	weightedBusySum float64 // sum of busy fraction times usable weight over the endpoints that report a busy fraction
-	knownWeight     float64 // usable weight of the endpoints that report a busy fraction
+	knownWeight     float64 // sum of the usable weights of the endpoints that report a busy fraction
 }
 
 // NewRemoteSummary returns a summary without endpoints.
 func NewRemoteSummary() RemoteSummary { return RemoteSummary{knownWeight: numeric.MinDivisor} }
 
-// Add adds an endpoint with the given busy fraction and the weight that tables may give it. An endpoint with a busy
-// fraction of 0 is left out, because it may not report any.
+// Add adds an endpoint of another zone with the given busy fraction and usable weight, which is the weight that tables
+// may give to the endpoint. An endpoint with a busy fraction of 0 is left out, because 0 may mean that it reports none.
 func (r *RemoteSummary) Add(busyFraction, usableWeight float64) {
 	if busyFraction > 0 {
 		r.weightedBusySum += busyFraction * usableWeight
@@ -86,13 +86,13 @@
 	}
 }
 
-// Spillover is the fraction of a zone's traffic that is sent to other zones. Its zero value means that all traffic
-// stays in the zone.
+// Spillover states which fraction of the traffic of a zone's proxies is sent to endpoints of other zones. Its zero
+// value means that all traffic stays in the zone.
 type Spillover struct {
 	// Fraction is the fraction of the zone's traffic that the tables send to other zones, 0 to maxSpillover.
 	Fraction float64
-	// ObservedFraction is an estimate of the fraction that the latest reports reflect. It follows Fraction with a delay
-	// and is therefore above Fraction while that decreases.
+	// ObservedFraction is an estimate of the spill-over that the latest load reports reflect. It follows Fraction with
+	// a delay and is therefore above Fraction while Fraction decreases.
 	ObservedFraction float64
 }
 
@@ -100,25 +100,27 @@
 type ZoneLoad struct {
 	Overloaded       bool          // whether the zone is overloaded
 	MeanBusyFraction float64       // mean busy fraction of the zone's ready and verified endpoints
-	ReadyWeight      float64       // listed weight of the zone's ready and verified endpoints
-	Remote           RemoteSummary // endpoints of other zones; read only while the zone is overloaded
+	ReadyWeight      float64       // sum of the listed weights of the zone's ready and verified endpoints
+	Remote           RemoteSummary // summary of the endpoints of other zones; read only while the zone is overloaded
 }
 
 const (
-	// spilloverGain is the fraction of the busy gap by which the spill-over changes per tick. It is below 1 because
-	// reports lag by several ticks.
+	// spilloverGain is the fraction of the busy gap (see Spillover.busyGap) by which the spill-over changes per tick.
+	// It is below 1 because load reports lag by several ticks.
 	spilloverGain = 0.6
 	// spilloverDecayGap replaces the busy gap while the zone is not overloaded, so that the spill-over decreases by a
 	// constant step per tick.
 	spilloverDecayGap = 0.1
-	// maxSpillover leaves one entry of a full table to the zone's own endpoints.
+	// maxSpillover is the highest spill-over. It leaves one entry of a full table to the zone's own endpoints.
 	maxSpillover = 1 - 1.0/subset.FullTableSize
 )
 
-// AdjustSpillover returns the spill-over after a tick. It changes by a fraction of the gap between the busy fractions
-// of the zone and of other zones, in the same way as the rate split moves unused quota between proxies. The decision
-// uses the busy fractions that the endpoints report, because they include the load from the proxies of all zones. An
-// assigner may have no reports of the proxies in other zones.
+// AdjustSpillover returns the spill-over after a tick. The spill-over of an overloaded zone changes by a fraction of
+// the gap between the busy fractions of the zone and of other zones, in the same way as package quota moves unused
+// quota between proxies. It increases by a constant step while too little is known about the load of other zones, and
+// decreases by a constant step while the zone is not overloaded. The decision uses the busy fractions that the
+// endpoints report, because they include the load from the proxies of all zones. An assigner may have no reports of the
+// proxies in other zones.
 func AdjustSpillover(spillover Spillover, zone ZoneLoad) Spillover {
 	change := spillover.fractionChange(zone)
 	spillover.ObservedFraction += (spillover.Fraction - spillover.ObservedFraction) *
@@ -129,7 +131,7 @@
 
 const (
 	// minKnownRemoteFraction is the least usable weight of the remote endpoints that report a busy fraction, as a
-	// fraction of the zone's own ready weight. With less weight, too little is known about the load of other zones.
+	// fraction of ZoneLoad.ReadyWeight. With less weight, too little is known about the load of other zones.
 	minKnownRemoteFraction = 0.1
 	// exploratoryEntriesPerTick is the number of entries of a full table by which the spill-over increases per tick
 	// while too little is known about other zones. The added traffic yields reports on them. The value is above one
@@ -137,7 +139,7 @@
 	exploratoryEntriesPerTick = 0.6
 )
 
-// fractionChange returns the change of Fraction in one tick.
+// fractionChange returns the amount by which Fraction changes in one tick, before it is limited to maxSpillover.
 func (s Spillover) fractionChange(zone ZoneLoad) float64 {
 	switch {
 	case !zone.Overloaded:
@@ -152,16 +154,18 @@
 // do not justify cross-zone traffic, which is charged for.
 const crossZoneCost = 0.1
 
-// busyGap returns the difference between the busy fractions of the zone's endpoints and those of other zones. Shifted
-// traffic becomes visible in reports only after several ticks. Until then, busyGap subtracts its load from the zone's
-// endpoints and adds it to the remote ones, so that the same load is not shifted twice.
+// busyGap returns the mean busy fraction of the zone's endpoints minus that of the endpoints of other zones, and minus
+// crossZoneCost. Traffic that is shifted to other zones becomes visible in load reports only after several ticks. Until
+// then, busyGap subtracts the load of this traffic from the zone's endpoints and adds it to the remote endpoints, so
+// that the same load is not shifted twice.
 func (s Spillover) busyGap(zone ZoneLoad) float64 {
-	// The reports reflect MeanBusyFraction for the traffic that stays in the zone, which is 1 - ObservedFraction of the
-	// whole. MeanBusyFraction / (1 - ObservedFraction) is therefore the busy fraction that the whole traffic would
-	// cause. The unreported load is the part of it that was shifted and is not yet visible in reports. It is negative
-	// while Fraction decreases.
+	// MeanBusyFraction is caused by the traffic that, according to the load reports, stays in the zone. This traffic is
+	// the fraction 1 - ObservedFraction of the zone's whole traffic. MeanBusyFraction / (1 - ObservedFraction) is
+	// therefore the busy fraction that the whole traffic would cause. The unreported load is the part of that busy
+	// fraction that was shifted to other zones and is not yet visible in load reports. It is negative while Fraction
+	// decreases.
 	unreportedLoad := (s.Fraction - s.ObservedFraction) * zone.MeanBusyFraction / (1 - s.ObservedFraction)
-	// The unreported load as a busy fraction of the remote endpoints.
+	// The unreported remote load is the same load as a fraction of the capacity of the remote endpoints.
 	unreportedRemoteLoad := unreportedLoad * zone.ReadyWeight / zone.Remote.knownWeight
 	adjustedBusy := zone.MeanBusyFraction - unreportedLoad - unreportedRemoteLoad - crossZoneCost
 	remoteBusy := zone.Remote.weightedBusySum / zone.Remote.knownWeight
--- a/assign/locality/locality_test.go
+++ b/assign/locality/locality_test.go
@@ -9,13 +9,13 @@
 	"madderhollow/internal/quickcheck"
 )
 
-const tolerance = 1e-6
+const tolerance = 1e-6 // allowed absolute error of fractions
 
 func TestIsOverloaded(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		meanBusyFraction float64
-		wasOverloaded    bool
+		meanBusyFraction float64 // mean busy fraction of the zone's endpoints
+		wasOverloaded    bool    // whether the zone was overloaded before
 		want             bool
 	}{
 		{"at three quarters", 0.75, false, false},
@@ -36,7 +36,7 @@
 	healthy := locality.Endpoint{Local: true, Ready: true, ListedWeight: 2, BusyFraction: 0.6}
 	for _, test := range []struct {
 		name                 string
-		change               func(e *locality.Endpoint) // modifies the second endpoint
+		change               func(e *locality.Endpoint) // modifies the second of two endpoints in the summary
 		wantReadyWeight      float64
 		wantMeanBusyFraction float64
 	}{
@@ -69,7 +69,7 @@
 func TestMostWarmAttemptsFail(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		endpoints []locality.Endpoint
+		endpoints []locality.Endpoint // endpoints that are added to the summary
 		want      bool
 	}{
 		{"no endpoint", nil, false},
@@ -98,10 +98,10 @@
 	type spillover = locality.Spillover
 	for _, test := range []struct {
 		name                             string
-		before                           spillover
-		zone                             locality.ZoneLoad
-		remoteBusyFraction, remoteWeight float64
-		want                             spillover
+		before                           spillover         // spill-over before the tick
+		zone                             locality.ZoneLoad // load of the zone; the test sets its field Remote
+		remoteBusyFraction, remoteWeight float64           // busy fraction and usable weight of one endpoint of another zone
+		want                             spillover         // spill-over after the tick
 	}{
 		{name: "not overloaded: no spill-over", zone: locality.ZoneLoad{MeanBusyFraction: 0.7, ReadyWeight: 10}},
 		{name: "not overloaded: decreases by a constant step", before: spillover{Fraction: 0.3, ObservedFraction: 0.3}, zone: locality.ZoneLoad{ReadyWeight: 10},
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestSpilloverStaysInBounds checks that the spill-over and its observed fraction remain between 0 and nine tenths,
-// whatever the endpoints report.
+// TestSpilloverStaysInBounds checks that Fraction and ObservedFraction of the spill-over remain between 0 and nine
+// tenths, whatever the endpoints report.
 func TestSpilloverStaysInBounds(t *testing.T) {
 	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
--- a/assign/mailbox.go
+++ b/assign/mailbox.go
@@ -21,7 +21,7 @@
 	a.mailbox = a.mailbox[:0]
 }
 
-// Record messages to the record of an endpoint.
+// Messages within the Assigner to the record of an endpoint.
 type (
 	// endpointListed reports that an endpoint update names the endpoint.
 	endpointListed struct {
@@ -29,7 +29,8 @@
 		entry    Endpoint
 	}
 	// endpointRemoved reports that the endpoint list no longer contains the endpoint, or lists it as removed. It is
-	// enqueued again at each tick while the endpoint is delisted.
+	// enqueued again at each tick while the endpoint is delisted, that is, no longer listed but in use while it
+	// answers.
 	endpointRemoved struct{ endpoint *endpoint }
 	// loadReported carries a load report on the endpoint.
 	loadReported struct {
@@ -50,7 +51,7 @@
 	m.endpoint.decreaseHealthWeight(assigner, m.health)
 }
 
-// Record messages to the record of a proxy.
+// Messages within the Assigner to the record of a proxy.
 type (
 	// proxyConnected reports that the stream of the proxy is open.
 	proxyConnected struct {
@@ -72,10 +73,10 @@
 	// quotaAssigned sets the quota and the rate limit of the proxy.
 	quotaAssigned struct {
 		proxy     *proxy
-		quota     float64 // fraction of the total rate
-		rateLimit float64 // requests per second; 0: no rate limit
+		quota     float64 // fraction of the total rate of all proxies
+		rateLimit float64 // rate limit in requests per second; 0: no rate limit
 	}
-	// ordersSent reports that a message with these orders was sent to the proxy.
+	// ordersSent reports that a message was sent to the proxy, and which orders it contains.
 	ordersSent struct {
 		proxy   *proxy
 		orders  []Order
@@ -93,18 +94,19 @@
 func (m ordersSent) handle(assigner *Assigner)      { m.proxy.recordSent(assigner, m.orders, m.message) }
 func (m proxySilent) handle(assigner *Assigner)     { m.proxy.leaveSplit(assigner) }
 
-// Record messages to the Assigner itself and to the order scheduler.
+// Messages within the Assigner to the Assigner itself and to its order scheduler.
 type (
 	// tickDue starts a tick.
 	tickDue struct{}
-	// joinRequested asks for the proxy to join the rate split.
+	// joinRequested asks for a quota for the proxy, which makes it a member of the rate split.
 	joinRequested struct{ proxy *proxy }
-	// joinDue adds the queued proxies to the rate split.
+	// joinDue gives quotas to the proxies that wait to join the rate split.
 	joinDue struct{}
 	// tablesOutdated reports that the tables of the proxy have to be computed again. A nil proxy stands for all
 	// proxies.
 	tablesOutdated struct{ proxy *proxy }
-	// schedulingDue starts the computation of the tables of the pending proxies and sends their orders.
+	// schedulingDue starts the computation of the tables of all pending proxies, whose tables may be outdated, and
+	// sends the resulting orders.
 	schedulingDue struct{}
 )
 
--- a/assign/membership/membership.go
+++ b/assign/membership/membership.go
@@ -1,10 +1,11 @@
 // Package membership decides whether an endpoint is ready, draining or removed, from the endpoint list and from the
-// endpoint's own answers. It also decides when the record of a removed endpoint expires.
+// endpoint's answers to attempts. It also decides when the record of a removed endpoint expires.
 //
 // Its functions run for each entry of an endpoint update and for each endpoint that an update no longer lists. They
-// also run once a tick for each delisted endpoint, which is no longer listed but stays in use while it answers, because
-// removal is advisory. Times are in seconds. The result is the next Status of the endpoint. See docs/design.md, "What
-// was changed", 1.
+// also run once a tick for each delisted endpoint. Delisted endpoints exist only if removal is advisory, which means
+// that an endpoint that is no longer listed stays in use while it answers. If removal is binding, such an endpoint is
+// removed at once. Times are in seconds. The result is the next Status of the endpoint. See docs/design.md, "What was
+// changed", 1.
 //
 // The transitions are:
 //
@@ -24,10 +25,10 @@
 	"madderhollow/assign/timing"
 )
 
-// State is whether an endpoint takes requests.
+// State states whether an endpoint takes requests.
 type State int
 
-// The states of an endpoint.
+// States of an endpoint.
 const (
 	// Ready means that the endpoint takes requests.
 	Ready State = iota
@@ -42,21 +43,22 @@
 // Status is the state of an endpoint, and whether the endpoint's answers determine that state.
 type Status struct {
 	State State
-	// Delisted is whether the endpoint was ready when it disappeared from the list, and removal is advisory. A delisted
-	// endpoint is ready as long as it answers.
+	// Delisted states whether the endpoint was ready when it disappeared from the endpoint list, and removal is
+	// advisory. A delisted endpoint is ready as long as it answers attempts.
 	Delisted bool
 }
 
 // DropConditions holds the inputs that determine the status of an endpoint that is no longer listed.
 type DropConditions struct {
-	RemovalIsAdvisory bool    // whether an endpoint that is no longer listed may still serve
-	LastAnsweredAt    float64 // time of the last report of a successful attempt, in seconds; 0 if there was none
+	RemovalIsAdvisory bool    // whether an endpoint that is no longer listed may still be used
+	LastAnsweredAt    float64 // time of the last report of a successful attempt at the endpoint, in seconds; 0 if none
 	Now               float64 // current time, in seconds
 }
 
 // StatusAfterDrop returns the status of an endpoint that the endpoint list no longer contains. If removal is advisory,
-// the list is only one of two sources. An endpoint that still answers then stays in use, so that a wrong list cannot
-// remove all endpoints. Late reports of answers from a failed endpoint can delay its removal by one report interval.
+// the status also depends on the endpoint's answers. An endpoint that still answers then stays in use, so that a wrong
+// list cannot remove all endpoints. Late reports of answers from a failed endpoint can delay its removal by one report
+// interval.
 func StatusAfterDrop(status Status, conditions DropConditions) Status {
 	status.Delisted = status.Delisted || (conditions.RemovalIsAdvisory && status.State == Ready)
 	if !status.Delisted || timing.Silent(conditions.Now, conditions.LastAnsweredAt) {
@@ -78,7 +80,7 @@
 const RecordRetention = 60.0
 
 // RecordExpired reports whether the record of an endpoint may be deleted. Times are in seconds. Expired records are
-// deleted so that they do not accumulate where each endpoint name is used only once.
+// deleted so that records do not accumulate in deployments that use each endpoint name only once.
 func RecordExpired(state State, now, lastAnsweredAt, lastListedAt float64) bool {
 	lastSeenAt := math.Max(lastAnsweredAt, lastListedAt)
 	return state == Removed && now-lastSeenAt > RecordRetention
--- a/assign/membership/membership_test.go
+++ b/assign/membership/membership_test.go
@@ -13,10 +13,10 @@
 	type status = membership.Status
 	for _, test := range []struct {
 		name           string
-		before         status
-		advisory       bool
-		lastAnsweredAt float64 // time of the last answer, in seconds
-		want           status
+		before         status  // status before the update that no longer lists the endpoint
+		advisory       bool    // whether removal is advisory
+		lastAnsweredAt float64 // time of the last answer of the endpoint, in seconds
+		want           status  // status after the update
 	}{
 		{"ready, removal is binding", status{State: ready}, false, now, status{State: removed}},
 		{"ready, advisory", status{State: ready}, true, now, status{State: ready, Delisted: true}},
@@ -41,7 +41,7 @@
 	type status = membership.Status
 	for _, test := range []struct {
 		name         string
-		before, want status
+		before, want status // status before the answer, and the wanted status after it
 	}{
 		{"ready", status{State: membership.Ready}, status{State: membership.Ready}},
 		{"draining", status{State: membership.Draining}, status{State: membership.Draining}},
@@ -60,8 +60,8 @@
 	for _, test := range []struct {
 		name                         string
 		state                        membership.State
-		lastAnsweredAt, lastListedAt float64 // times of the last answer and of the last listing, in seconds
-		want                         bool
+		lastAnsweredAt, lastListedAt float64 // times, in seconds, at which the endpoint last answered and was last listed
+		want                         bool    // whether the record of the endpoint has expired
 	}{
 		{"removed, last seen one retention time ago", membership.Removed, 0, now - 60, false},
 		{"removed, last seen longer than the retention time ago", membership.Removed, 0, now - 60.001, true},
--- a/assign/model_guarantees_test.go
+++ b/assign/model_guarantees_test.go
@@ -8,7 +8,7 @@
 	"madderhollow/assign/timing"
 )
 
-// recordViolation records the description of a violated guarantee, unless one was violated before.
+// recordViolation records the description of a violated guarantee, unless a violation was recorded before.
 func (m *model) recordViolation(format string, values ...any) {
 	if m.firstViolation == "" {
 		m.firstViolation = fmt.Sprintf("at %.2f s: ", m.now-modelStartTime) + fmt.Sprintf(format, values...)
@@ -19,8 +19,8 @@
 // guarantees are extended by this factor.
 func (m *model) channelSlowdown() float64 { return modelConfiguredLineRate / m.channelLineRate }
 
-// checkOrder checks that a single order is valid, regardless of all others, and that it respects guarantee 2 on
-// retries.
+// checkOrder checks that a single order is valid, regardless of all other orders, and that it respects guarantee 2 of
+// docs/design.md on retries.
 func (m *model) checkOrder(order Order) {
 	switch order := order.(type) {
 	case SetWeight:
@@ -38,11 +38,11 @@
 	}
 }
 
-// checkChannelLimits checks guarantee 5: the number of lines queued in the channel, and the number of messages to
-// each proxy within the message window.
+// checkChannelLimits checks guarantee 5 of docs/design.md, which limits the number of lines queued in the order channel
+// and the number of messages to each proxy within the message window.
 func (m *model) checkChannelLimits() {
 	queuedLines := 0
-	for _, message := range m.inTransit {
+	for _, message := range m.messagesInTransit {
 		if message.sentAt > m.now {
 			queuedLines += message.lines
 		}
@@ -59,7 +59,7 @@
 }
 
 // checkGuarantees checks the sum of the quotas, and the tables of all connected proxies that have not been stalled
-// within the last second. The given number of seconds has passed since the last check.
+// within the last second. The parameter seconds is the time since the last check.
 func (m *model) checkGuarantees(seconds float64) {
 	quotaSum := 0.0
 	for _, p := range m.assigner.proxies {
@@ -83,8 +83,9 @@
 	}
 }
 
-// checkTableEntries checks guarantee 3, by which tables drop an endpoint in time after the notice that it drains or
-// is removed. It also checks that the table has only endpoints of zones that the request class may use.
+// checkTableEntries checks guarantee 3 of docs/design.md, by which tables drop an endpoint in time after the notice
+// that it drains or is removed. It also checks that the table has only endpoints of zones that the request class may
+// use.
 func (m *model) checkTableEntries(p *modelProxy, class int, weights map[string]float64) {
 	for _, e := range m.endpoints {
 		if weights[e.Name] <= 0 {
@@ -100,8 +101,9 @@
 	}
 }
 
-// checkPickableEndpoint checks guarantee 1: a proxy has an endpoint to pick, wherever the assigner knows of a ready
-// and warm endpoint that the request class may use. The time without a pick is limited.
+// checkPickableEndpoint checks guarantee 1 of docs/design.md: the table of a proxy has an endpoint to pick, wherever
+// the assigner knows of a ready and warm endpoint that the request class may use. The time for which a table has no
+// endpoint to pick must stay below a limit. The parameter seconds is the time since the last check.
 func (m *model) checkPickableEndpoint(proxy *modelProxy, class int, weights map[string]float64, seconds float64) {
 	hasPick, pickExists := false, false
 	for _, e := range m.endpoints {
@@ -119,9 +121,10 @@
 	}
 }
 
-// checkWarmingWeight checks guarantee 4, which limits the weight of warming endpoints. It compares the part of a
-// table's weight that a warming endpoint has with the part that the capacity of the endpoint justifies in the proxy's
-// zone. Capacity grows all the time, so only an excess that lasts for nearly the overload window is a violation.
+// checkWarmingWeight checks guarantee 4 of docs/design.md, which limits the weight of warming endpoints. It compares
+// the part of a table's weight that a warming endpoint has with the part that the capacity of the endpoint justifies in
+// the proxy's zone. Capacity grows all the time, so only an excess that lasts for nearly the overload window is a
+// violation. The parameter seconds is the time since the last check.
 func (m *model) checkWarmingWeight(proxy *modelProxy, class int, weights map[string]float64, seconds float64) {
 	tableWeight, zoneWeight, hasWarmEntry := 0.0, m.assigner.getOrCreateZone(proxy.zone).peakWeight, false
 	for _, e := range m.endpoints {
--- a/assign/model_test.go
+++ b/assign/model_test.go
@@ -11,44 +11,44 @@
 	"madderhollow/assign/subset"
 )
 
-// The constants describe the deployment that a model simulates. Each proxy has two tables for its three request
-// classes, see modelConfig.
+// The constants of this group describe the deployment that a model simulates. Each proxy has two tables for its three
+// request classes, see modelConfig.
 const (
 	modelStartTime          = 1000.0 // time at which a simulation starts, s
 	modelClassCount         = 3      // number of request classes
 	modelTableGroupCount    = 2      // number of assigned tables per proxy
 	modelDefaultTableSize   = 4      // number of endpoints in a default table
-	modelMinLocalEndpoints  = 3      // least number of local endpoints with which a default table has no remote ones
+	modelMinLocalEndpoints  = 3      // least number of local endpoints of a default table without remote ones
 	modelMessageLimit       = 20     // number of messages that a proxy may receive within modelMessageWindow
 	modelMessageWindow      = 10.0   // period over which messages to a proxy are counted, s
-	modelConfiguredLineRate = 1000.0 // number of lines per second that the channel should transmit
+	modelConfiguredLineRate = 1000.0 // number of lines per second that the order channel should transmit
 	defaultTableNumber      = -1     // number that stands for the default table of a proxy
 )
 
 // model simulates proxies, their tables and the channel. It checks the guarantees of docs/design.md that can be
 // checked from the orders alone. It does not simulate the load of endpoints.
 type model struct {
-	random          *rand.Rand // source of all random choices of the simulation
-	config          Config
-	assigner        *Assigner
-	now             float64 // simulated time, s
-	channelLineRate float64 // rate at which the channel transmits, lines per second; at most modelConfiguredLineRate
-	channelFreeAt   float64 // time at which the channel has transmitted all queued lines, s
-	endpoints       []*modelEndpoint
-	proxies         []*modelProxy
-	timers          []float64          // times at which the timers that the assigner set are due, s
-	inTransit       []modelMessage     // messages that no proxy has applied yet
-	acknowledgments []Event            // acknowledgments that the next batch passes to the assigner
-	notReadySince   map[string]float64 // time of the notice that an endpoint drains or is removed, s
-	orderLog        []string           // text of every order, for the comparison of two runs
-	digest          hash.Hash          // digest of every order, for the comparison with a recorded run
-	firstViolation  string             // description of the first violated guarantee; empty if there is none
+	random            *rand.Rand // source of all random choices of the simulation
+	config            Config
+	assigner          *Assigner
+	now               float64 // simulated time, s
+	channelLineRate   float64 // lines per second that the order channel transmits; at most modelConfiguredLineRate
+	channelFreeAt     float64 // time at which the order channel has transmitted all queued lines, s
+	endpoints         []*modelEndpoint
+	proxies           []*modelProxy
+	timers            []float64          // times at which the timers that the assigner set are due, s
+	messagesInTransit []modelMessage     // messages that were sent to proxies and that the proxies have not applied yet
+	acknowledgments   []Event            // acknowledgments that the next batch passes to the assigner
+	notReadySince     map[string]float64 // time of the notice of a drain or removal, by endpoint name, s
+	orderLog          []string           // text of every order, for the comparison of two runs
+	digest            hash.Hash          // digest of every order, for the comparison with a recorded run
+	firstViolation    string             // description of the first violated guarantee; empty if there is none
 }
 
-// modelEndpoint is a simulated endpoint with its current entry of the endpoint list.
+// modelEndpoint is a simulated endpoint with its current entry in the endpoint list.
 type modelEndpoint struct {
 	Endpoint
-	failing bool // every attempt at the endpoint fails
+	failing bool // whether every attempt at the endpoint fails
 }
 
 // modelProxy is a simulated proxy with the tables and entries that it has received.
@@ -56,13 +56,13 @@
 	id              int
 	zone            string
 	connected       bool
-	connectedAt     float64                    // time of the last connection, s
+	connectedAt     float64                    // time at which the proxy connected last, s
 	stalledUntil    float64                    // time until which the proxy applies no message, s
-	tables          map[int]int                // number of the table in use, by request class
+	tables          map[int]int                // number of the table that the proxy uses, by request class
 	defaultTables   [][]string                 // names of the endpoints in the default table, by request class
-	timeWithoutPick []float64                  // time for which the table has had no usable endpoint, by request class, s
+	timeWithoutPick []float64                  // time for which the table has had no endpoint, by request class, s
 	warmingExcess   []float64                  // time with too much weight of warming endpoints, by request class, s
-	messageTimes    []float64                  // times of the messages within the last message window, s
+	messageTimes    []float64                  // send times of messages to the proxy in the last message window, s
 	entries         map[int]map[string]float64 // entry weights, by table number and endpoint name
 }
 
@@ -70,8 +70,8 @@
 type modelMessage struct {
 	proxy     *modelProxy
 	orders    []Order
-	lines     int     // number of lines that the message occupies in the channel
-	sentAt    float64 // time at which the message leaves the channel, s
+	lines     int     // number of lines that the message occupies in the order channel
+	sentAt    float64 // time at which the message leaves the order channel, s
 	appliedAt float64 // time at which the proxy applies the message, s
 	sequence  int
 }
@@ -97,7 +97,8 @@
 	return config
 }
 
-// zoneByNumber returns the zone of the endpoint or proxy with a number. The numbers go through the three zones in turn.
+// zoneByNumber returns the zone of the endpoint or proxy with the given number. Consecutive numbers are in the zones x,
+// y and z in turn.
 func zoneByNumber(i int) string { return string("xyz"[i%3]) }
 
 // newModel returns a model of 15 endpoints and 8 proxies, none of which is connected yet. The channel transmits
@@ -116,7 +117,7 @@
 	return m
 }
 
-// newModelProxy returns the proxy with a number, which is not connected yet.
+// newModelProxy returns a proxy with the given number that is not connected yet.
 func newModelProxy(number int) *modelProxy {
 	return &modelProxy{id: number, zone: zoneByNumber(number), timeWithoutPick: make([]float64, modelClassCount), warmingExcess: make([]float64, modelClassCount)}
 }
@@ -125,7 +126,7 @@
 // are lost, and all proxies are disconnected.
 func (m *model) restartAssigner() {
 	m.assigner = New(m.random.Int63(), m.config)
-	m.inTransit, m.timers = nil, nil
+	m.messagesInTransit, m.timers = nil, nil
 	m.channelFreeAt = m.now
 	m.notReadySince = map[string]float64{}
 	for _, p := range m.proxies {
@@ -140,8 +141,8 @@
 	m.handle(EndpointUpdate{Full: true, Endpoints: listedEndpoints})
 }
 
-// connect opens the stream of a proxy. At its first connection, and at a third of the later ones at random, the proxy
-// has only its default tables.
+// connect opens the stream of a proxy. At its first connection, and at a random third of its later connections, the
+// proxy has only its default tables.
 func (m *model) connect(p *modelProxy) {
 	p.connected, p.connectedAt, p.messageTimes = true, m.now, nil
 	defaultTablesOnly := p.tables == nil || m.random.Intn(3) == 0
@@ -155,8 +156,8 @@
 	m.handle(ProxyConnected{Proxy: p.id, Zone: p.zone, TypicalRate: 10, DefaultTablesOnly: defaultTablesOnly})
 }
 
-// newDefaultTable returns up to modelDefaultTableSize random ready endpoints that a class may use in a zone. The
-// table has endpoints of other zones only if the zone has fewer than modelMinLocalEndpoints.
+// newDefaultTable returns up to modelDefaultTableSize random ready endpoints that a class may use in a zone. The table
+// has endpoints of other zones only if it would otherwise have fewer than modelMinLocalEndpoints endpoints.
 func (m *model) newDefaultTable(class int, zone string) (table []string) {
 	for _, isLocal := range []bool{true, false} {
 		for _, i := range m.random.Perm(len(m.endpoints)) {
@@ -215,8 +216,8 @@
 	m.checkChannelLimits()
 }
 
-// recordNotices records the time at which the assigner was notified that proxies must stop using an endpoint: one
-// that drains, or one that is removed where removal is not advisory.
+// recordNotices records the time at which the assigner was notified that proxies must stop using an endpoint. They must
+// stop using an endpoint that drains, and an endpoint that is removed if removal is not advisory.
 func (m *model) recordNotices(listedEndpoints []Endpoint) {
 	for _, e := range listedEndpoints {
 		mandatory := e.State == Draining || !m.config.RemovalIsAdvisory
@@ -233,18 +234,18 @@
 	message := modelMessage{proxy: proxy, orders: orders, lines: len(orders) + 6, sequence: sequence}
 	message.sentAt = math.Max(m.channelFreeAt, m.now) + float64(message.lines)/m.channelLineRate
 	message.appliedAt = message.sentAt + 0.1 + 0.4*m.random.Float64()
-	for _, earlierMessage := range m.inTransit {
+	for _, earlierMessage := range m.messagesInTransit {
 		if earlierMessage.proxy == proxy {
 			message.appliedAt = math.Max(message.appliedAt, earlierMessage.appliedAt)
 		}
 	}
 	m.channelFreeAt = message.sentAt
-	m.inTransit = append(m.inTransit, message)
+	m.messagesInTransit = append(m.messagesInTransit, message)
 	proxy.messageTimes = append(proxy.messageTimes, m.now)
 }
 
 // step advances the clock by a number of seconds, delivers the messages that have arrived, passes events to the
-// assigner and checks the guarantees. Acknowledgments come first in the batch, and timers last.
+// assigner and checks the guarantees. In the batch, acknowledgments come first and fired timers come last.
 func (m *model) step(seconds float64, events ...Event) {
 	m.now += seconds
 	m.deliver()
@@ -259,10 +260,10 @@
 
 // deliver applies the messages that have arrived at proxies that are not stalled, and queues their acknowledgments.
 func (m *model) deliver() {
-	remaining := m.inTransit[:0]
-	for _, message := range m.inTransit {
+	remainingMessages := m.messagesInTransit[:0]
+	for _, message := range m.messagesInTransit {
 		if message.appliedAt > m.now || message.proxy.stalledUntil > m.now {
-			remaining = append(remaining, message)
+			remainingMessages = append(remainingMessages, message)
 			continue
 		}
 		for _, order := range message.orders {
@@ -271,7 +272,7 @@
 		m.acknowledgments = append(m.acknowledgments,
 			Acknowledged{Proxy: message.proxy.id, Sequence: message.sequence, Latency: 0.3})
 	}
-	m.inTransit = remaining
+	m.messagesInTransit = remainingMessages
 }
 
 // apply applies an order to the tables of the proxy.
@@ -296,17 +297,17 @@
 }
 
 // dueTimers removes the timers that are due and returns an event for each of them.
-func (m *model) dueTimers() (fired []Event) {
-	remaining := m.timers[:0]
+func (m *model) dueTimers() (timerEvents []Event) {
+	remainingTimers := m.timers[:0]
 	for _, dueAt := range m.timers {
 		if dueAt <= m.now {
-			fired = append(fired, TimerFired{1})
+			timerEvents = append(timerEvents, TimerFired{1})
 		} else {
-			remaining = append(remaining, dueAt)
+			remainingTimers = append(remainingTimers, dueAt)
 		}
 	}
-	m.timers = remaining
-	return fired
+	m.timers = remainingTimers
+	return timerEvents
 }
 
 // tableWeights returns the entry weights of the table that a proxy uses for a request class.
@@ -321,8 +322,8 @@
 	return weights
 }
 
-// randomReports returns random load and traffic reports on one second. Attempts at failing or removed endpoints all
-// fail. All other endpoints report the given busy fraction, on which their latency and failures depend.
+// randomReports returns random load and traffic reports that cover one second. Attempts at failing or removed endpoints
+// all fail. All other endpoints report the busy fraction busy, on which their latency and failures depend.
 func (m *model) randomReports(busy float64) (reports []Event) {
 	for _, e := range m.endpoints {
 		for zone := range 3 {
@@ -365,16 +366,16 @@
 }
 
 // updateEndpoints passes an endpoint update with the current state of the changed endpoints to the assigner.
-func (m *model) updateEndpoints(changed ...*modelEndpoint) {
+func (m *model) updateEndpoints(changedEndpoints ...*modelEndpoint) {
 	var listedEndpoints []Endpoint
-	for _, e := range changed {
+	for _, e := range changedEndpoints {
 		listedEndpoints = append(listedEndpoints, e.Endpoint)
 	}
 	m.step(0.01, EndpointUpdate{Endpoints: listedEndpoints})
 }
 
 // reportFirst passes the same report on each of the first count endpoints to the assigner, from the zone of the
-// endpoint. It then advances the clock by a number of seconds.
+// endpoint. It then advances the clock by the parameter seconds.
 func (m *model) reportFirst(count int, seconds float64, report EndpointLoadReport) {
 	for _, e := range m.endpoints[:count] {
 		report.Zone, report.Endpoint, report.Interval = e.Zone, e.Name, 1
@@ -393,7 +394,7 @@
 	return count
 }
 
-// proxyRecord returns the assigner's record of the proxy with a number.
+// proxyRecord returns the assigner's record of the proxy with the given number.
 func (m *model) proxyRecord(id int) *proxy { return m.assigner.findProxy(id) }
 
 // recomputeZoneX makes the assigner recompute its record of zone x from the endpoint records.
--- a/assign/ordering/ordering.go
+++ b/assign/ordering/ordering.go
@@ -1,7 +1,10 @@
 // Package ordering decides in which order messages are sent to the proxies, and which messages have to wait because the
-// channel is full or their proxy has reached its message limit.
+// channel is full or their proxy has reached its message limit. The channel is the path on which the relay carries
+// messages to proxies. Its capacity is counted in lines; lines in flight are those of messages that were sent and are
+// not acknowledged yet. The message limit is the highest number of messages that a proxy may receive within a sliding
+// period of time, the message window.
 //
-// Its functions run in every batch in which tables are computed. Sizes are in lines of the channel, times in seconds.
+// Its functions run in every batch in which tables are computed. Sizes are in lines, times in seconds.
 // See docs/design.md, "What was changed", 4 (in-flight window).
 package ordering
 
@@ -23,25 +26,26 @@
 
 // Channel contains the properties of the channel to the proxies, as configured for the deployment.
 type Channel struct {
-	QueueLimit        float64 // maximum number of lines in the channel's queue
-	LinesPerSecond    float64 // throughput of the channel, in lines per second; 0 if not stated
+	QueueLimit        float64 // maximum number of lines in the queue of the channel
+	LinesPerSecond    float64 // number of lines that the channel carries per second; 0 if not stated
 	MaxTransitTime    float64 // longest time from a message's departure from the channel to its arrival, in seconds
 	UrgentGracePeriod float64 // time within which urgent orders have to be in force, in seconds; 0 if not stated
 }
 
 const (
-	// queueTimeFraction is the fraction of the time available for urgent orders that messages may spend in the queue.
-	// Queued messages cannot be overtaken, so the rest is reserved for orders that become urgent while the queue is
-	// full.
+	// queueTimeFraction is the fraction of the time available for urgent orders that messages may spend in the queue of
+	// the channel. Urgent messages cannot overtake queued messages, so the rest of the time is reserved for orders that
+	// become urgent while the queue is full.
 	queueTimeFraction = 0.5
-	// minQueueTime is the least time, in seconds, that messages may spend in the queue. Acknowledgments arrive some
-	// time after their messages leave the queue, and the channel has to be kept busy until then.
+	// minQueueTime is the lower bound of the time, in seconds, that messages may spend in the queue of the channel.
+	// Acknowledgments arrive some time after their messages leave the queue, and the channel has to be kept busy until
+	// then.
 	minQueueTime = 1.0
 )
 
-// InFlightLimit returns the maximum number of lines that the assigner keeps in flight. It is the platform's queue
-// limit or, if that is less, the number of lines that the channel carries in a fraction of the time within which
-// urgent orders have to be in force.
+// InFlightLimit returns the maximum number of lines that the assigner keeps in flight, which means sent but not yet
+// acknowledged. It is the queue limit of the channel or, if that is less, the number of lines that the channel carries
+// in a fraction of the time within which urgent orders have to be in force.
 func (c Channel) InFlightLimit() float64 {
 	if c.LinesPerSecond == 0 || c.UrgentGracePeriod == 0 {
 		return c.QueueLimit
@@ -54,7 +58,7 @@
 type Message struct {
 	Lines       float64 // number of lines that the message occupies in the channel
 	Urgent      bool    // whether a guarantee (see docs/design.md) depends on the orders of the message
-	UrgentSince float64 // start of the time limit of that guarantee, in seconds; read only if Urgent is set
+	UrgentSince float64 // time at which the time limit of the guarantee started, in seconds; read only if Urgent is set
 	// LastMessageAt is the time of the last message to the same proxy, in seconds. It is 0 if no message was sent since
 	// the proxy was last disconnected.
 	LastMessageAt float64
@@ -64,7 +68,7 @@
 const acknowledgmentRequestLines = 1
 
 // MessageLines returns the number of lines that a message with the given number of orders occupies in the channel. The
-// argument overheadLines is the number of lines that the channel itself adds to each message.
+// parameter overheadLines is the number of lines that the channel itself adds to each message.
 func MessageLines(orderCount int, overheadLines float64) float64 {
 	return float64(orderCount) + overheadLines + acknowledgmentRequestLines
 }
@@ -78,8 +82,9 @@
 }
 
 // Compare is a comparison function for slices.SortStableFunc that sorts messages in the order in which they are sent.
-// Urgent messages come first, those whose time limit started earliest before the others. Messages that are equal by
-// these criteria are sorted by the time of the last message to their proxy, oldest first, so that no proxy starves.
+// Urgent messages come before ordinary messages, and are sorted by UrgentSince, earliest first. Messages that are equal
+// by these criteria are sorted by the time of the last message to their proxy, earliest first, so that no proxy
+// starves.
 func Compare(x, y Message) int {
 	switch {
 	case x.Urgent && !y.Urgent:
@@ -92,14 +97,15 @@
 	return cmp.Compare(x.LastMessageAt, y.LastMessageAt)
 }
 
-// Fits reports whether the channel has room for the message. The argument inFlight is the number of lines that have
-// not been acknowledged yet. The argument inFlightLimit is the result of Channel.InFlightLimit.
+// Fits reports whether the channel has room for the message. The parameter inFlight is the number of lines that
+// were sent and are not acknowledged yet. The parameter inFlightLimit is the result of Channel.InFlightLimit.
 func Fits(message Message, inFlight, inFlightLimit float64) bool {
 	return inFlight+message.Lines <= message.inFlightFraction()*inFlightLimit
 }
 
-// IsCongested reports whether the channel has no room for all urgent messages together, which occupy urgentLines. The
-// assigner then reduces each urgent message to its essential orders, so that more of the messages are sent in time.
+// IsCongested reports whether the channel has no room for all urgent messages together. The parameter urgentLines is
+// the number of lines that these messages occupy. In a congested channel, the assigner reduces each urgent message to
+// its essential orders (see assignment.EntryChangeIsEssential), so that more of the messages are sent in time.
 func IsCongested(urgentLines, inFlight, inFlightLimit float64) bool {
 	return !Fits(Message{Lines: urgentLines, Urgent: true}, inFlight, inFlightLimit)
 }
@@ -109,26 +115,27 @@
 const minMessageInterval = timing.TickInterval / 2
 
 // Ordinary messages may use the fraction ordinaryLimitNumerator / ordinaryLimitDenominator of a proxy's message limit.
-// The rest is reserved for urgent messages.
+// The rest of the limit is reserved for urgent messages.
 const (
 	ordinaryLimitNumerator   = 2
 	ordinaryLimitDenominator = 3
 )
 
-// MessageHistory contains the messages that were recently sent to a proxy.
+// MessageHistory describes the messages that were recently sent to a proxy.
 type MessageHistory struct {
-	RecentMessages int     // number of messages sent within the message window
-	LastMessageAt  float64 // time of the last message, in seconds; read only if RecentMessages is above 0
+	RecentMessages int     // number of messages sent to the proxy within the message window
+	LastMessageAt  float64 // time of the last message to the proxy, in seconds; read only if RecentMessages is above 0
 	Now            float64 // current time, in seconds
 }
 
-// minUrgentMessages is the number of urgent messages that any message limit allows within the message window. It
-// matters for a limit of one message: that message does not remain unused, but is reserved for an urgent one.
+// minUrgentMessages is the least number of urgent messages that MessageAllowed allows a proxy within the message
+// window. It matters for a message limit of 1: the only message is then reserved for urgent orders instead of remaining
+// unused.
 const minUrgentMessages = 1
 
-// MessageAllowed reports whether another message may be sent to a proxy. The argument messageLimit is the message limit
-// within the message window; 0 means that there is none. If the limit is above one, one message of it remains unused,
-// to allow for messages that the assigner does not know of.
+// MessageAllowed reports whether another message may be sent to a proxy. The parameter messageLimit is the highest
+// number of messages that the proxy may receive within the message window; 0 means that there is no limit. If the limit
+// is above 1, one message of it remains unused, to allow for messages that the assigner does not know of.
 func MessageAllowed(history MessageHistory, urgent bool, messageLimit int) bool {
 	unlimited := messageLimit == 0
 	if urgent && (unlimited || history.RecentMessages < max(minUrgentMessages, messageLimit-1)) {
@@ -139,12 +146,12 @@
 		(unlimited || history.RecentMessages < messageLimit*ordinaryLimitNumerator/ordinaryLimitDenominator)
 }
 
-// CountRecent returns the number of times that are at or after now minus the window. All arguments are in seconds, and
-// the times are in ascending order.
+// CountRecent returns how many of the given times lie within the window, which ends at the time now. A time at the
+// start of the window counts. All parameters are in seconds, and the times are in ascending order.
 func CountRecent(times []float64, now, window float64) int {
 	expired, _ := slices.BinarySearch(times, now-window)
 	return len(times) - expired
 }
 
-// DeferredMessageDelay is the time, in seconds, after which the assigner tries again to send deferred messages.
+// DeferredMessageDelay is the time, in seconds, after which the assigner tries again to send messages that had to wait.
 const DeferredMessageDelay = timing.TickInterval / 10
--- a/assign/ordering/ordering_test.go
+++ b/assign/ordering/ordering_test.go
@@ -14,9 +14,9 @@
 func TestMessageLines(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		orders   int
-		overhead float64
-		want     float64
+		orders   int     // number of orders in the message
+		overhead float64 // number of lines that the channel itself adds to the message
+		want     float64 // number of lines that the message occupies in the channel
 	}{
 		{"one order", 1, 1, 3},
 		{"many orders, large overhead", 12, 5, 18},
@@ -33,9 +33,9 @@
 func TestFits(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		urgent   bool
-		inFlight float64
-		want     bool
+		urgent   bool    // whether the message of 10 lines is urgent
+		inFlight float64 // number of unacknowledged lines in the channel, whose in-flight limit is 100 lines
+		want     bool    // whether the channel has room for the message
 	}{
 		{"ordinary, fills half of the limit", false, 40, true},
 		{"ordinary, over half of the limit", false, 40.5, false},
@@ -58,7 +58,7 @@
 	for _, test := range []struct {
 		name    string
 		channel ordering.Channel
-		want    float64
+		want    float64 // maximum number of lines in flight
 	}{
 		{"only the queue limit stated", ordering.Channel{QueueLimit: 1000}, 1000},
 		{"no throughput stated", ordering.Channel{QueueLimit: 1000, UrgentGracePeriod: 3}, 1000},
@@ -78,9 +78,9 @@
 func TestIsCongested(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		urgentLines float64
-		inFlight    float64
-		want        bool
+		urgentLines float64 // number of lines of all urgent messages together
+		inFlight    float64 // number of unacknowledged lines in the channel, whose in-flight limit is 100 lines
+		want        bool    // whether the channel has no room for all urgent messages
 	}{
 		{"all urgent messages fit", 50, 40, false},
 		{"one line too many", 51, 40, true},
@@ -134,11 +134,11 @@
 func TestMessageAllowed(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		recentMessages   int
-		sinceLastMessage float64 // time since the last message, in seconds
-		urgent           bool
-		maxMessages      int
-		want             bool
+		recentMessages   int     // number of messages sent to the proxy within the message window
+		sinceLastMessage float64 // time since the last message to the proxy, in seconds
+		urgent           bool    // whether the next message is urgent
+		maxMessages      int     // message limit of the proxy within the message window; 0 if there is no limit
+		want             bool    // whether the next message may be sent
 	}{
 		{"ordinary, one below two thirds of the limit", 12, 1, false, 20, true},
 		{"ordinary, two thirds of the limit", 13, 1, false, 20, false},
@@ -168,7 +168,7 @@
 	for _, test := range []struct {
 		name  string
 		times []float64 // times of messages, in seconds
-		want  int
+		want  int       // number of the times within the last 10 s
 	}{
 		{"no times", nil, 0},
 		{"at the start of the window", []float64{90}, 1},
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestLimitsHoldForAnyMessages checks that the two limits hold for any number of ordinary and urgent messages. Within
-// the message window, a proxy receives at least one message less than its limit, or one message for a limit of one. The
-// lines in flight never exceed nine tenths of the in-flight limit.
+// TestLimitsHoldForAnyMessages checks that the message limit and the in-flight limit hold for any number of ordinary
+// and urgent messages. Within the message window, the number of messages to a proxy is at least one below its message
+// limit, or one if the limit is one. The lines in flight never exceed nine tenths of the in-flight limit.
 func TestLimitsHoldForAnyMessages(t *testing.T) {
 	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -195,7 +195,7 @@
 		time, inFlight, times := now, 0.0, []float64(nil)
 		for range 200 {
 			time += random.ExpFloat64() / 10
-			inFlight *= quickcheck.Fraction(random) // some lines were acknowledged
+			inFlight *= quickcheck.Fraction(random) // some of the lines in flight are acknowledged
 			history := ordering.MessageHistory{RecentMessages: ordering.CountRecent(times, time, window), Now: time}
 			if len(times) > 0 {
 				history.LastMessageAt = times[len(times)-1]
@@ -219,7 +219,7 @@
 
 // TestMessageAllowedAdmitsUrgentMessageAtAnyLimit guards against a message limit that blocks all urgent messages, so
 // that the entries of a draining endpoint could never be removed. One urgent message must be allowed if no message was
-// sent within the message window.
+// sent to the proxy within the message window.
 func TestMessageAllowedAdmitsUrgentMessageAtAnyLimit(t *testing.T) {
 	for _, limit := range []int{0, 1, 2, 3, 20} {
 		if !ordering.MessageAllowed(ordering.MessageHistory{Now: 100}, true, limit) {
--- a/assign/orders.go
+++ b/assign/orders.go
@@ -27,47 +27,47 @@
 type AttachTable struct {
 	Proxy          int   // number of the proxy
 	Table          int   // table number, see SetWeight
-	RequestClasses []int // indexes of the request classes; an empty list stands for all request classes
+	RequestClasses []int // indexes of the request classes that use the table; an empty list stands for all
 }
 
 // SetRateLimit sets the rate limit of some request classes at the proxies that use a table, and the number of retries
 // that these proxies make.
 type SetRateLimit struct {
-	Table          int     // table number, see SetWeight, or AllProxyTables
-	RequestClasses []int   // indexes of the request classes
+	Table          int     // table number, see SetWeight; AllProxyTables stands for the tables of all proxies
+	RequestClasses []int   // indexes of the request classes that the limit applies to
 	Limit          float64 // rate limit in requests per second, or the admitted fraction of requests with AdmitByRatio
-	Retries        int     // number of retries for each request
+	Retries        int     // number of retries that the proxies make for each request
 }
 
 // EjectEndpoint removes an endpoint from all tables of connected proxies, or restores its entries. The decision module
 // never emits this order, but both wire protocols carry it.
 type EjectEndpoint struct {
 	Endpoint string // name of the endpoint
-	Ejected  bool   // true removes the endpoint, false restores it
+	Ejected  bool   // whether the endpoint is removed from the tables; if false, its entries are restored
 }
 
 // AcknowledgmentRequest asks the proxies that receive a message in this batch to acknowledge the message.
 type AcknowledgmentRequest struct {
-	Sequence   int  // sequence number that the acknowledgments refer to, 0 to 65535
+	Sequence   int  // sequence number that the acknowledgments of the message refer to, 0 to 65535
 	AllProxies bool // whether proxies that receive no other order in this batch acknowledge too
 }
 
 // SetTimer asks the host for a TimerFired event after a delay.
 type SetTimer struct {
 	Delay float64 // time until the timer fires, in seconds
-	ID    int     // value of TimerFired.ID
+	ID    int     // ID of the TimerFired event that reports the end of the delay
 }
 
 // Log asks the host to write a line to its log.
 type Log struct {
-	Message string     // constant text without values
-	Fields  []LogField // values that belong to the message
+	Message string     // constant text of the log line, without values
+	Fields  []LogField // named values that follow the message in the log line
 }
 
 // LogField is one named value of a log line.
 type LogField struct {
 	Name  string
-	Value any // a string, an int or a float64
+	Value any // value of the field: a string, an int or a float64
 }
 
 // String returns the line as text: the message, followed by each field as name=value.
@@ -87,8 +87,8 @@
 // SendPeerMessage sends a message to another assigner or to all other assigners. The decision module never emits this
 // order, but both wire protocols carry it.
 type SendPeerMessage struct {
-	To   int    // number of the receiving assigner; -1 stands for all other assigners
-	Data []byte // content of the message
+	Destination int    // number of the assigner that receives the message; -1: all other assigners
+	Data        []byte // content of the message
 }
 
 // WatchEndpoints subscribes to endpoint updates if Enabled is set, and ends the subscription otherwise.
--- a/assign/outlier/failuremean.go
+++ b/assign/outlier/failuremean.go
@@ -2,11 +2,11 @@
 
 import "madderhollow/assign/numeric"
 
-// FailureRatioMean accumulates the mean failure ratio of all current assessments. NewFailureRatioMean returns its
-// initial value.
+// FailureRatioMean accumulates the mean failure ratio of all valid assessments (see Health.AssessmentValid).
+// NewFailureRatioMean returns its initial value.
 type FailureRatioMean struct {
-	sum   float64
-	count float64
+	sum   float64 // sum of the failure ratios of the added assessments
+	count float64 // number of the added assessments, plus numeric.MinDivisor so that a division by it is possible
 }
 
 // NewFailureRatioMean returns a mean over no assessments. Its value is 0.
--- a/assign/outlier/latency.go
+++ b/assign/outlier/latency.go
@@ -3,12 +3,12 @@
 import "math"
 
 // lateThresholdFraction is the highest acceptable mean latency, as a fraction of the latency objective. If the mean
-// is higher, the answers that are slower than the mean miss the objective.
+// latency is higher, the answers that are slower than the mean miss the objective.
 const lateThresholdFraction = 0.4
 
-// LateThreshold returns the mean latency in seconds above which answers count as late. The objective is the latency
-// objective in seconds. An objective of 0 means that there is no objective: the threshold is then infinite, so that
-// no answer is late.
+// LateThreshold returns the mean latency in seconds above which answers count as late. The parameter objective is the
+// latency objective in seconds. An objective of 0 means that there is no objective: the threshold is then infinite, so
+// that no answer is late.
 func LateThreshold(objective float64) float64 {
 	if objective == 0 {
 		return math.Inf(1)
@@ -19,14 +19,15 @@
 // LatencyObjectiveMean accumulates the mean latency objective of the request classes that state an objective, weighted
 // by the request rate of each class. Its zero value is the mean over no request classes.
 type LatencyObjectiveMean struct {
-	weightedSum          float64 // sum of each class's objective, in seconds, times its rate fraction
-	fractionSum          float64 // sum of the rate fractions of the classes that state an objective
-	someWithoutObjective bool    // whether at least one class states no objective; otherwise fractionSum is 1
+	weightedSum          float64 // sum of each class's objective, in seconds, times its fraction of the request rate
+	fractionSum          float64 // sum of the fractions of the request rate, over the classes that state an objective
+	someWithoutObjective bool    // whether at least one class states no objective; otherwise fractionSum counts as 1
 }
 
-// Add adds a request class to the mean. The objective is in seconds, or 0 if the class states none. The trafficFraction
-// is the class's fraction of the request rate of all classes and must be above 0. A class without an objective is left
-// out of the mean, because it sets no bound on the latency of the other classes.
+// Add adds a request class to the mean. The parameter objective is the latency objective of the class in seconds, or 0
+// if the class states none. The parameter trafficFraction is the class's fraction of the request rate of all classes
+// and must be above 0. A class without an objective is left out of the mean, because it sets no bound on the latency of
+// the other classes.
 func (m *LatencyObjectiveMean) Add(objective, trafficFraction float64) {
 	if objective == 0 {
 		m.someWithoutObjective = true
@@ -44,11 +45,13 @@
 	return m.weightedSum / m.fractionSum
 }
 
-// MinInTimeFraction is the lower bound of InTimeFraction. It is above 0 because a late endpoint still serves requests.
+// MinInTimeFraction is the lower bound of the results of the function InTimeFraction. It is above 0 because a late
+// endpoint still serves requests.
 const MinInTimeFraction = 0.8
 
 // InTimeFraction returns the fraction of the successful attempts in a load report that counts as answered in time,
-// from MinInTimeFraction to 1. Both inputs are in seconds; meanLatency is the mean latency of the successful attempts.
+// from MinInTimeFraction to 1. The parameter meanLatency is the mean latency of the successful attempts. The parameter
+// lateThreshold is the mean latency above which answers count as late. Both parameters are in seconds.
 func InTimeFraction(meanLatency, lateThreshold float64) float64 {
 	return math.Min(1, math.Max(MinInTimeFraction, lateThreshold/meanLatency))
 }
--- a/assign/outlier/outlier.go
+++ b/assign/outlier/outlier.go
@@ -1,10 +1,10 @@
 // Package outlier assesses endpoints by the attempts that the proxies of one zone report, and decides the health
 // weight of each endpoint. The health weight is a factor from ProbationWeight to 1 that multiplies the endpoint's
-// listed weight.
+// listed weight. An endpoint with the health weight ProbationWeight is on probation.
 //
 // Assess is called once per tick for every endpoint. DecreaseWeight is called once per tick for unhealthy endpoints
-// while there is no overload. Unverified is called whenever tables are computed, and InTimeFraction (latency.go) for
-// each load report. Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Assess and
+// while there is no overload. Unverified is called whenever tables are computed, and InTimeFraction for each load
+// report. Inputs are counts of attempts, latencies and times in seconds, and ratios from 0 to 1. Assess and
 // DecreaseWeight return the next Health. An endpoint has a separate Health for each zone, because a network partition
 // between zones is not a fault of the endpoint. See docs/design.md, "What was changed", 1 (health weights).
 package outlier
@@ -21,15 +21,15 @@
 
 // Health is the health of one endpoint as observed by the proxies of one zone. NewHealth returns its initial value.
 type Health struct {
-	// Sums over the load reports since the last assessment.
-	Attempts       float64 // number of attempts
-	FailedAttempts float64 // number of failed attempts
-	LatencySum     float64 // sum of the latencies of the successful attempts, in seconds
+	// Attempts, FailedAttempts and LatencySum are sums over the load reports since the last assessment of the endpoint.
+	Attempts       float64 // number of attempts since the last assessment
+	FailedAttempts float64 // number of failed attempts since the last assessment
+	LatencySum     float64 // sum of the latencies of the successful attempts since the last assessment, in seconds
 
-	// Results of the last assessment.
-	AssessedAt   float64 // time of the assessment, in seconds
-	FailureRatio float64 // failed attempts divided by all attempts, from 0 to 1
-	Late         bool    // the mean latency of the successful attempts was above the late threshold
+	// AssessedAt, FailureRatio and Late are results of the last assessment of the endpoint.
+	AssessedAt   float64 // time of the last assessment, in seconds; neverAssessedAt before the first assessment
+	FailureRatio float64 // failed attempts divided by all attempts at the last assessment, from 0 to 1
+	Late         bool    // whether the last assessment found the mean latency above the late threshold
 
 	Weight       float64 // health weight: factor on the listed weight, from ProbationWeight to 1
 	NextChangeAt float64 // earliest time at which Weight may change again, except to ProbationWeight, in seconds
@@ -38,7 +38,7 @@
 // NewHealth returns the health of an endpoint for which there are no load reports yet.
 func NewHealth() Health { return Health{Weight: 1, AssessedAt: neverAssessedAt} }
 
-// RecordAttempts adds the attempts of one load report to the sums. The meanLatency is the mean latency of the
+// RecordAttempts adds the attempts of one load report to the sums. The parameter meanLatency is the mean latency of the
 // successful attempts in seconds.
 func (h *Health) RecordAttempts(attempts, failed int, meanLatency float64) {
 	h.Attempts += float64(attempts)
@@ -59,9 +59,10 @@
 	weightRecoveryStep = 0.1
 )
 
-// Assess assesses an endpoint at the time now, in seconds, and returns its next health. The lateThreshold is the mean
-// latency in seconds above which answers count as late. The assessment resets the sums and raises the health weight
-// of a healthy endpoint. While there are too few attempts for an assessment, Assess returns the health unchanged.
+// Assess assesses an endpoint at the time now, in seconds, and returns its next health. The parameter lateThreshold is
+// the mean latency in seconds above which answers count as late. The assessment resets the sums and raises the health
+// weight of a healthy endpoint. While there are too few attempts for an assessment, Assess returns the health
+// unchanged.
 func Assess(health Health, lateThreshold, now float64) Health {
 	requiredAttempts := minAttempts
 	if health.Weight < lowWeightThreshold {
@@ -71,7 +72,7 @@
 		return health
 	}
 	successfulAttempts := math.Max(health.Attempts-health.FailedAttempts, 1)
-	meanLatency := health.LatencySum / successfulAttempts // 0 if every attempt failed, so that the endpoint is not late
+	meanLatency := health.LatencySum / successfulAttempts // 0 if all attempts failed; such an endpoint is not late
 	health.FailureRatio = health.FailedAttempts / health.Attempts
 	health.Late = meanLatency > lateThreshold
 	health.AssessedAt = now
@@ -92,8 +93,8 @@
 	return health
 }
 
-// FailureThreshold is the lowest failure ratio at which an endpoint is unhealthy. It is above the fraction of attempts
-// that an endpoint rejects merely because it is busy.
+// FailureThreshold is the lowest failure ratio at which an endpoint is failing, and therefore unhealthy. It is above
+// the fraction of attempts that an endpoint rejects merely because it is busy.
 const FailureThreshold = 0.4
 
 // Failing reports whether the failure ratio of the last assessment reached FailureThreshold.
@@ -102,7 +103,8 @@
 // Unhealthy reports whether the endpoint was failing or late at the last assessment.
 func (h *Health) Unhealthy() bool { return h.Late || h.Failing() }
 
-// assessmentValidity is how long an assessment is included in the sums over all endpoints, in seconds.
+// assessmentValidity is the time, in seconds, for which an assessment of an endpoint is included in the sums over all
+// endpoints.
 const assessmentValidity = 2 * timing.TickInterval
 
 // AssessmentValid reports whether the last assessment is recent enough at the time now, in seconds, to be included in
@@ -110,7 +112,7 @@
 func (h *Health) AssessmentValid(now float64) bool { return now-h.AssessedAt <= assessmentValidity }
 
 // AssessedWithinTick reports whether the last assessment is at most one tick interval old at the time now, in seconds.
-// If ticks are exactly on time, the assessment made at the previous tick satisfies this, too.
+// If ticks are exactly on time, the assessment made at the previous tick counts as well.
 func (h *Health) AssessedWithinTick(now float64) bool { return now-h.AssessedAt <= timing.TickInterval }
 
 const (
@@ -125,14 +127,15 @@
 )
 
 // DecreaseWeight decreases the health weight of an endpoint that was unhealthy at its last assessment. It returns the
-// next health, and whether this call put the endpoint on probation. The meanFailureRatio is the mean over the current
-// assessments of all ready endpoints. Now is in seconds.
+// next health, and whether this call put the endpoint on probation. The parameter meanFailureRatio is the mean over the
+// valid assessments (see AssessmentValid) of all ready endpoints. The parameter now is the current time in seconds.
 //
 // An endpoint is an outlier if it is failing, its answers are not late, and its failure ratio is above outlierFactor
 // times the mean. Such an endpoint is down or partitioned from the network, so it is put on probation at once. Any
-// other unhealthy endpoint, which is late or fails about as much as the rest, counts as overloaded. Its weight decays
-// step by step, because moving all its load at once would overload other endpoints. DecreaseWeight waits for the
-// feedback delay between two steps of the decay. Its decision is wrong if the fault lies with the reporting proxies.
+// other unhealthy endpoint, which is late or fails about as many attempts as the rest, counts as overloaded. Its health
+// weight decays step by step, because moving all its load at once would overload other endpoints. DecreaseWeight waits
+// for timing.FeedbackDelay between two steps of the decay. Its decision is wrong if the reporting proxies themselves
+// cause the failures.
 func DecreaseWeight(health Health, meanFailureRatio, now float64) (next Health, putOnProbation bool) {
 	isOutlier := health.Failing() && !health.Late && health.FailureRatio > outlierFactor*meanFailureRatio
 	switch {
--- a/assign/outlier/outlier_test.go
+++ b/assign/outlier/outlier_test.go
@@ -12,11 +12,11 @@
 const (
 	now           = 100.0 // time of the calls under test, in seconds
 	lateThreshold = 0.4   // mean latency above which answers count as late, in seconds
-	tolerance     = 1e-12
+	tolerance     = 1e-12 // allowed absolute error of weights, fractions and latencies
 )
 
-// healthOf returns a health with the given attempts since the last assessment. The meanLatency is the mean latency of
-// the successful attempts in seconds.
+// healthOf returns the health of an endpoint with the given health weight and the given attempts since its last
+// assessment. The parameter meanLatency is the mean latency of the successful attempts in seconds.
 func healthOf(attempts, failed int, meanLatency, weight float64) outlier.Health {
 	health := outlier.NewHealth()
 	health.Weight = weight
@@ -27,9 +27,9 @@
 func TestAssessRequiresMinimumAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		attempts int
-		weight   float64
-		assessed bool
+		attempts int     // number of attempts since the last assessment
+		weight   float64 // health weight of the endpoint
+		assessed bool    // whether Assess makes an assessment
 	}{
 		{"three at full weight", 3, 1, false},
 		{"four at full weight", 4, 1, true},
@@ -55,9 +55,9 @@
 func TestAssessDetectsUnhealthy(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		attempts, failed int
-		meanLatency      float64
-		failing, late    bool
+		attempts, failed int     // numbers of all attempts and of failed attempts
+		meanLatency      float64 // mean latency of the successful attempts, in seconds
+		failing, late    bool    // wanted results of the assessment
 	}{
 		{"failure ratio below the threshold", 100, 39, 0.1, false, false},
 		{"failure ratio at the threshold", 100, 40, 0.1, true, false},
@@ -85,11 +85,11 @@
 func TestAssessRecoversWeight(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		weight           float64
-		failed           int
-		nextChangeAt     float64
-		want             float64
-		wantNextChangeAt float64
+		weight           float64 // health weight before the assessment
+		failed           int     // number of failed attempts, out of 10 attempts
+		nextChangeAt     float64 // Health.NextChangeAt before the assessment, in seconds
+		want             float64 // health weight after the assessment
+		wantNextChangeAt float64 // Health.NextChangeAt after the assessment, in seconds
 	}{
 		{"healthy", 0.5, 0, 0, 0.6, now + 1},
 		{"healthy, almost full weight", 0.95, 0, 0, 1, now + 1},
@@ -114,8 +114,8 @@
 		name             string
 		health           outlier.Health
 		meanFailureRatio float64 // mean failure ratio of all endpoints
-		wantWeight       float64
-		wantProbation    bool
+		wantWeight       float64 // health weight after the call
+		wantProbation    bool    // whether the call puts the endpoint on probation
 	}{
 		{"outlier", outlier.Health{FailureRatio: 0.4, Weight: 1}, 0.19, 0.1, true},
 		{"outlier before the next change", outlier.Health{FailureRatio: 0.4, Weight: 1, NextChangeAt: now + 1}, 0.19, 0.1, true},
@@ -147,7 +147,7 @@
 	for _, test := range []struct {
 		name                string
 		age                 float64 // time since the assessment, in seconds
-		current, withinTick bool
+		current, withinTick bool    // wanted results of AssessmentValid and AssessedWithinTick
 	}{
 		{"now", 0, true, true},
 		{"one tick", 1, true, true},
@@ -199,8 +199,8 @@
 func TestFailureRatioMean(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		ratios []float64
-		want   float64
+		ratios []float64 // failure ratios that are added to the mean
+		want   float64   // mean of the failure ratios
 	}{
 		{"no assessment", nil, 0},
 		{"one", []float64{0.5}, 0.5},
@@ -225,8 +225,8 @@
 	}
 	for _, test := range []struct {
 		name        string
-		meanLatency float64
-		want        float64
+		meanLatency float64 // mean latency of the successful attempts, in seconds
+		want        float64 // fraction of the successful attempts that counts as answered in time
 	}{
 		{"no answers", 0, 1},
 		{"in time", 0.2, 1},
@@ -243,8 +243,8 @@
 	}
 }
 
-// A request class without a latency objective has an objective of 0. Its answers are never late, so all of them count
-// as answered in time.
+// A request class without a latency objective has an objective of 0. The answers to its requests are never late, so all
+// of them count as answered in time.
 func TestAnswersWithoutObjectiveAreNeverLate(t *testing.T) {
 	threshold := outlier.LateThreshold(0)
 	for name, meanLatency := range map[string]float64{"no answers": 0, "answers": 0.2} {
@@ -261,11 +261,12 @@
 
 // A request class without a latency objective must not lower the mean latency objective of the other classes.
 func TestLatencyObjectiveMeanLeavesOutClassesWithoutObjective(t *testing.T) {
+	// A class has a latency objective in seconds and a fraction of the request rate of all classes.
 	type class struct{ objective, fraction float64 }
 	for _, test := range []struct {
 		name    string
 		classes []class
-		want    float64
+		want    float64 // mean latency objective, in seconds
 	}{
 		{"no class", nil, 0},
 		{"no class states an objective", []class{{0, 0.5}, {0, 0.5}}, 0},
@@ -286,8 +287,8 @@
 	}
 }
 
-// Whatever is reported, the health weight stays between ProbationWeight and 1, the failure ratio between 0 and 1, and
-// all results are finite.
+// Whatever the load reports state, the health weight stays between ProbationWeight and 1, the failure ratio between 0
+// and 1, and the in-time fraction between MinInTimeFraction and 1.
 func TestHealthStaysInBounds(t *testing.T) {
 	quickcheck.CheckSeeds(t, 500, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
--- a/assign/overload/overload.go
+++ b/assign/overload/overload.go
@@ -1,10 +1,11 @@
 // Package overload decides whether the endpoints as a whole are overloaded, which total request rate the proxies may
 // admit during and after an overload, and how many entries tables hold while connections are scarce.
 //
-// The decisions are made once per tick from the sums of the last period. Inputs are attempts per second, busy
-// fractions (1 means fully busy) and rates in requests per second. The results are a total rate, where 0 means that
-// no total rate is set, and a table size in entries. See docs/design.md, "How the page was read where it is open" and
-// "What was changed", 5 (narrow tables).
+// The decisions are made once per tick from sums over the last period, which is the time between two ticks. Inputs are
+// attempts per second, busy fractions (1 means fully busy) and rates in requests per second. The results are a total
+// rate, where 0 means that no total rate is set, and a table size in entries. Connections are scarce while many
+// attempts fail although endpoints have spare capacity. See docs/design.md, "How the page was read where it is open"
+// and "What was changed", 5 (narrow tables).
 package overload
 
 import (
@@ -17,12 +18,12 @@
 // AttemptStats holds sums of attempts over a period, or attempts per second if it was returned by PerSecond. Each
 // variable or field of this type documents which of the two it holds.
 type AttemptStats struct {
-	Total  float64 // all attempts
-	Failed float64 // failed attempts
-	InTime float64 // successful attempts answered in time; late attempts count in part, see outlier.InTimeFraction
+	Total  float64 // number or rate of all attempts
+	Failed float64 // number or rate of failed attempts
+	InTime float64 // attempts answered in time; a late answer counts as a fraction of one, see outlier.InTimeFraction
 }
 
-// Add adds the other attempts to a, field by field.
+// Add adds each field of other to the same field of a.
 func (a *AttemptStats) Add(other AttemptStats) {
 	a.Total += other.Total
 	a.Failed += other.Failed
@@ -36,25 +37,25 @@
 
 // EndpointStats describes what one endpoint contributes to the sums of a period.
 type EndpointStats struct {
-	Ready          bool         // the endpoint accepts requests
-	Assessed       bool         // the proxies of at least one zone have a current assessment of the endpoint
-	Unhealthy      bool         // the endpoint was unhealthy in at least one of its current assessments
-	Attempts       AttemptStats // attempts per second during the period
-	BusyFraction   float64      // reported fraction of its capacity in use, 1 is full; 0 if not reported
-	ListedWeight   float64      // weight in the endpoint list
-	LastAnsweredAt float64      // time of the last report of a successful attempt, in seconds
+	Ready          bool         // whether the endpoint takes requests
+	Assessed       bool         // whether the endpoint has a valid assessment by the proxies of at least one zone
+	Unhealthy      bool         // whether the endpoint was unhealthy in at least one of its valid assessments
+	Attempts       AttemptStats // attempts per second at the endpoint during the period
+	BusyFraction   float64      // fraction of its capacity that the endpoint reports as in use; 0 if it reports none
+	ListedWeight   float64      // weight of the endpoint in the endpoint list
+	LastAnsweredAt float64      // time of the last report of a successful attempt at the endpoint, in seconds
 }
 
 // PeriodStats holds sums over all endpoints, from the load reports of one period. Use NewPeriodStats to create it.
 type PeriodStats struct {
-	AssessedEndpoints  int // number of endpoints with a current assessment
+	AssessedEndpoints  int // number of endpoints with a valid assessment, see EndpointStats.Assessed
 	UnhealthyEndpoints int // number of the assessed endpoints that are unhealthy
 
 	now                float64      // end of the period, in seconds
-	readyAttempts      AttemptStats // attempts per second at ready endpoints
-	attemptRate        float64      // attempts per second at all endpoints
-	successfulRate     float64      // successful attempts per second at all endpoints
-	weightedBusySum    float64      // sum of busy fraction times listed weight, over recently answering ready endpoints
+	readyAttempts      AttemptStats // attempts per second at all ready endpoints together
+	attemptRate        float64      // attempts per second at all endpoints together
+	successfulRate     float64      // successful attempts per second at all endpoints together
+	weightedBusySum    float64      // sum of busy fraction times listed weight over ready endpoints; see Add
 	busyReportedWeight float64      // sum of the listed weights of the endpoints included in weightedBusySum
 }
 
@@ -70,8 +71,9 @@
 	}
 }
 
-// Add adds an endpoint to the sums. Its busy fraction is included only if the endpoint answered within the feedback
-// delay, because an older busy fraction may describe an overload that is over.
+// Add adds an endpoint to the sums. The busy fraction of a ready endpoint is included only if it is above 0 and the
+// endpoint answered within the last timing.FeedbackDelay, because an older busy fraction may describe an overload that
+// is over.
 func (p *PeriodStats) Add(endpoint EndpointStats) {
 	if endpoint.Assessed {
 		p.AssessedEndpoints++
@@ -79,8 +81,8 @@
 	if endpoint.Unhealthy {
 		p.UnhealthyEndpoints++
 	}
-	// The subtraction is a separate step because the order of the floating-point operations affects the decisions
-	// recorded as test data.
+	// The attempts are added and the failed attempts are subtracted in two steps, because the order of the
+	// floating-point operations affects the decisions recorded as test data.
 	p.successfulRate += endpoint.Attempts.Total
 	p.successfulRate -= endpoint.Attempts.Failed
 	p.attemptRate += endpoint.Attempts.Total
@@ -100,23 +102,23 @@
 
 // Traffic describes the requests that the proxies receive and may admit.
 type Traffic struct {
-	ObservedRate         float64 // rate of requests that arrive at the proxies, per second
-	TotalRate            float64 // rate of requests that the proxies may admit, per second; 0 if no total rate is set
-	BusyFractionReported bool    // the configured load report of the endpoints includes a busy fraction
+	ObservedRate         float64 // rate of the requests that arrive at all proxies, in requests per second
+	TotalRate            float64 // rate that all proxies together may admit, in requests per second; 0 if none is set
+	BusyFractionReported bool    // whether the endpoints, as configured, include a busy fraction in their load reports
 }
 
-// nearCapacity reports whether the mean busy fraction of the endpoints is above BusyThreshold, or endpoints do not
-// report busy fractions. Late or failed answers of idle endpoints are caused by unbalanced tables, connection
-// problems or errors. A lower request rate would not remedy any of these causes, and would leave fewer attempts from
-// which to determine a total rate.
+// nearCapacity reports whether the mean busy fraction of the endpoints is above BusyThreshold. It returns true if the
+// endpoints do not report busy fractions. Late or failed answers of idle endpoints are caused by unbalanced tables,
+// connection problems or errors. A lower request rate would not remedy any of these causes, and would leave fewer
+// attempts from which to determine a total rate.
 func (p *PeriodStats) nearCapacity(busyFractionReported bool) bool {
 	return p.weightedBusySum > BusyThreshold*p.busyReportedWeight || !busyFractionReported
 }
 
 // OverloadDetected reports whether the endpoints as a whole are overloaded. That is the case if the endpoints are
 // near capacity, most of the assessed endpoints are unhealthy, and the reported attempts exceed half of the rate that
-// the proxies admit. The last condition prevents false detection by an assigner that has just started and has
-// received few reports.
+// the proxies admit. The condition on the reported attempts prevents false detection by an assigner that has
+// just started and has received few load reports.
 func (p *PeriodStats) OverloadDetected(traffic Traffic) bool {
 	admittedRate := traffic.ObservedRate
 	if traffic.TotalRate != 0 {
@@ -128,10 +130,10 @@
 }
 
 const (
-	// minTotalRate is the lowest total rate set during an overload, in requests per second. A total rate of 0 would
-	// mean that none is set.
+	// minTotalRate is the lowest total rate set during an overload, in requests per second. It is above 0 because a
+	// total rate of 0 means that none is set.
 	minTotalRate = 0.1
-	// totalRateGrowth is the factor by which the total rate grows at least in each period without an overload.
+	// totalRateGrowth is the least factor by which the total rate grows in each period without an overload.
 	totalRateGrowth = 1.1
 	// limitRemovalFactor is the multiple of the observed rate above which a total rate is no longer needed and the
 	// rate limits are removed.
@@ -144,11 +146,11 @@
 	return math.Max(p.readyAttempts.InTime, minTotalRate)
 }
 
-// Decision is the outcome of one period.
+// Decision is the decision of PeriodStats.Decide after one period.
 type Decision struct {
-	Overloaded        bool    // an overload was detected
-	TotalRate         float64 // total rate that the proxies may admit, in requests per second; 0 if none is set
-	RateLimitsRemoved bool    // TotalRate exceeds the observed rate so far that it is logged but not applied
+	Overloaded        bool    // whether an overload was detected
+	TotalRate         float64 // rate that all proxies together may admit, in requests per second; 0 if none is set
+	RateLimitsRemoved bool    // whether the rate limits are removed; TotalRate is then logged but not applied
 }
 
 // Decide returns the decision for a period. An overload sets the total rate. A period without an overload raises the
@@ -164,8 +166,8 @@
 }
 
 // DecideWithoutOverload returns the decision for a period without an overload while a total rate is set. The total
-// rate rises by totalRateGrowth at least. Because the rate set during an overload can be far too low to recover in
-// such steps, it rises further at once if the busy fraction of the endpoints leaves room for it.
+// rate rises at least by the factor totalRateGrowth. Because the rate set during an overload can be far too low to
+// recover in such steps, it rises further at once if the busy fraction of the endpoints leaves room for it.
 func (p *PeriodStats) DecideWithoutOverload(traffic Traffic) Decision {
 	totalByBusyFraction := p.successfulRate * BusyThreshold * p.busyReportedWeight / p.weightedBusySum
 	totalRate := math.Max(traffic.TotalRate*totalRateGrowth, totalByBusyFraction)
--- a/assign/overload/overload_test.go
+++ b/assign/overload/overload_test.go
@@ -11,11 +11,11 @@
 
 const (
 	now       = 100.0 // end of the period, in seconds
-	tolerance = 1e-6  // relative error; some sums start from numeric.MinDivisor instead of 0
+	tolerance = 1e-6  // allowed error of results, since some sums start from numeric.MinDivisor instead of 0
 )
 
-// periodStatsOf returns the sums over the given number of identical endpoints, except that only the first ones are
-// unhealthy.
+// periodStatsOf returns the sums over copies of an endpoint. The parameter count is the number of copies, and unhealthy
+// is the number of these copies that are unhealthy.
 func periodStatsOf(count, unhealthy int, endpoint overload.EndpointStats) *overload.PeriodStats {
 	period := overload.NewPeriodStats(now)
 	for i := range count {
@@ -25,8 +25,8 @@
 	return period
 }
 
-// busyEndpoint returns a ready, assessed endpoint that is 90 % busy and answers three of four attempts per second in
-// time.
+// busyEndpoint returns a ready, assessed endpoint that has 90 % of its capacity in use. It receives four attempts per
+// second, of which one fails and three are answered in time.
 func busyEndpoint() overload.EndpointStats {
 	return overload.EndpointStats{
 		Ready:          true,
@@ -52,10 +52,10 @@
 func TestOverloadDetected(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		unhealthy int // number of unhealthy endpoints among ten
-		change    func(e *overload.EndpointStats)
-		traffic   overload.Traffic
-		want      bool
+		unhealthy int                             // number of unhealthy endpoints among ten
+		change    func(e *overload.EndpointStats) // modifies each of the ten endpoints; nil if they are not modified
+		traffic   overload.Traffic                // zero for 79 requests per second without a total rate
+		want      bool                            // whether an overload is detected
 	}{
 		{name: "all conditions hold", unhealthy: 6, want: true},
 		{name: "half of the endpoints are unhealthy", unhealthy: 5},
@@ -100,8 +100,8 @@
 func TestTotalRateDuringOverload(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		change func(e *overload.EndpointStats)
-		want   float64
+		change func(e *overload.EndpointStats) // modifies each of ten endpoints
+		want   float64                         // total rate, in requests per second
 	}{
 		{"answers in time", func(*overload.EndpointStats) {}, 30},
 		{"no answers in time", func(e *overload.EndpointStats) { e.Attempts.InTime = 0 }, 0.1},
@@ -122,10 +122,10 @@
 func TestDecideWithoutOverload(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		busyFraction float64
+		busyFraction float64 // busy fraction of each of ten endpoints; 0 if they report none
 		traffic      overload.Traffic
-		want         float64
-		removed      bool
+		want         float64 // total rate of the decision, in requests per second
+		removed      bool    // whether the rate limits are removed
 	}{
 		{"rises by a tenth while endpoints are busy", 0.9, overload.Traffic{ObservedRate: 100, TotalRate: 50}, 55, false},
 		{"rises to what the busy fraction allows", 0.25, overload.Traffic{ObservedRate: 100, TotalRate: 50}, 30 * 0.75 / 0.25, false},
@@ -147,13 +147,13 @@
 func TestTableSizeAdjust(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		entries         float64
+		entries         float64 // number of entries before the period
 		failed          float64 // failed attempts per second, out of 100 attempts per second
 		inTime          float64 // fraction of the successful attempts that is answered in time
-		busyFraction    float64
-		nextChangeAt    float64 // earliest time of a change, in seconds
-		want            float64
-		wantNewChangeAt bool
+		busyFraction    float64 // busy fraction of the only endpoint
+		nextChangeAt    float64 // earliest time at which the table size may change, in seconds
+		want            float64 // number of entries after the period
+		wantNewChangeAt bool    // whether NextChangeAt moves to 3 s after now
 	}{
 		{"failures at the threshold", 10, 40, 1, 0.3, 0, 10, false},
 		{"failures above the threshold", 10, 41, 1, 0.3, 0, 5.9, true},
@@ -190,8 +190,9 @@
 	}
 }
 
-// Whatever endpoints report, total rates are finite and at least the minimum total rate, and tables have 2 to 10
-// entries.
+// Whatever endpoints report, total rates are finite and not below their lower bounds, and tables have 2 to 10 entries.
+// The lower bound of the total rate is 0.1 requests per second during an overload, and the previous total rate
+// otherwise.
 func TestTotalRateAndTableSizeStayInBounds(t *testing.T) {
 	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -204,9 +205,9 @@
 			TotalRate:            quickcheck.LogUniform(random, 0.1, 1e9),
 			BusyFractionReported: random.Intn(2) == 0,
 		}
-		during, after := period.TotalRateDuringOverload(), period.DecideWithoutOverload(traffic).TotalRate
-		if !(during >= 0.1) || math.IsInf(during, 0) || !(after >= traffic.TotalRate) || math.IsInf(after, 0) {
-			t.Errorf("seed %d: got total rates %g/s and %g/s, want finite ones of 0.1/s and %g/s at least", seed, during, after, traffic.TotalRate)
+		rateDuringOverload, rateAfterOverload := period.TotalRateDuringOverload(), period.DecideWithoutOverload(traffic).TotalRate
+		if !(rateDuringOverload >= 0.1) || math.IsInf(rateDuringOverload, 0) || !(rateAfterOverload >= traffic.TotalRate) || math.IsInf(rateAfterOverload, 0) {
+			t.Errorf("seed %d: got total rates %g/s and %g/s, want finite ones of 0.1/s and %g/s at least", seed, rateDuringOverload, rateAfterOverload, traffic.TotalRate)
 			return false
 		}
 		size := overload.TableSize{Entries: 2 + 8*quickcheck.Fraction(random)}.Adjust(period, traffic.BusyFractionReported)
@@ -218,7 +219,7 @@
 	})
 }
 
-// drawEndpoint draws random statistics of one endpoint, including extreme rates and weights.
+// drawEndpoint draws random statistics of one endpoint. Its rates and weights may be extremely low or high.
 func drawEndpoint(random *rand.Rand) overload.EndpointStats {
 	attempts := quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-3, 1e9)
 	failed := attempts * quickcheck.Fraction(random)
--- a/assign/overload/tablesize.go
+++ b/assign/overload/tablesize.go
@@ -11,13 +11,13 @@
 const (
 	// minTableSize is the minimum number of entries of a table, however scarce connections are.
 	minTableSize = 2
-	// recoveredFailureRatio is the failure ratio below which tables grow again.
+	// recoveredFailureRatio is the failure ratio of the attempts at ready endpoints below which tables grow again.
 	recoveredFailureRatio = 0.1
 )
 
 // TableSize is the number of entries that assigned tables hold. NewTableSize returns its initial value.
 type TableSize struct {
-	Entries      float64 // number of entries, from minTableSize to subset.FullTableSize; rounded when a table is built
+	Entries      float64 // number of entries, from minTableSize to subset.FullTableSize; Plan.Build rounds it
 	NextChangeAt float64 // earliest time at which Entries may change again, in seconds
 }
 
@@ -25,9 +25,9 @@
 func NewTableSize() TableSize { return TableSize{Entries: subset.FullTableSize} }
 
 // Adjust returns the table size after a period. It shrinks tables in proportion to the failure ratio while
-// connections are scarce, which shows in endpoints that have spare capacity, fail many attempts and answer the others
-// quickly. It grows tables by one entry at a time once few attempts fail. The size changes at most once per feedback
-// delay.
+// connections are scarce, which is the case if the endpoints have spare capacity, fail many attempts and answer the
+// other attempts quickly. It grows tables by one entry at a time once few attempts fail. The size changes at most once
+// per timing.FeedbackDelay.
 func (s TableSize) Adjust(period *PeriodStats, busyFractionReported bool) TableSize {
 	if period.now < s.NextChangeAt {
 		return s
@@ -36,8 +36,9 @@
 	successfulRate := period.readyAttempts.Total - period.readyAttempts.Failed
 	// Answers are quick if the mean in-time fraction of the successful attempts is above the midpoint between
 	// MinInTimeFraction and 1.
-	quick := 2*period.readyAttempts.InTime > (1+outlier.MinInTimeFraction)*successfulRate
-	connectionsScarce := failureRatio > outlier.FailureThreshold && quick && !period.nearCapacity(busyFractionReported)
+	answersQuick := 2*period.readyAttempts.InTime > (1+outlier.MinInTimeFraction)*successfulRate
+	connectionsScarce := failureRatio > outlier.FailureThreshold && answersQuick &&
+		!period.nearCapacity(busyFractionReported)
 	switch {
 	case connectionsScarce:
 		s.Entries = math.Max(s.Entries*(1-failureRatio), minTableSize)
--- a/assign/overload_test.go
+++ b/assign/overload_test.go
@@ -8,14 +8,14 @@
 )
 
 // TestTotalRateStaysUnsetForIdleOrFewEndpoints checks that failed or late answers do not count as an overload while the
-// endpoints as a whole are idle. It also checks that the answers of a few endpoints set no total rate for all: such a
-// total would shrink together with the reported attempts, down to nothing.
+// endpoints as a whole are idle. It also checks that reports on only a few endpoints set no total rate for all
+// endpoints: such a total rate would shrink together with the reported attempts, down to nothing.
 func TestTotalRateStaysUnsetForIdleOrFewEndpoints(t *testing.T) {
 	for _, test := range []struct {
 		endpoints, attempts, failed int
 		meanLatency, busy           float64
-		outdatedBusy                float64 // outdated busy fraction that the other endpoints reported 5 s ago
-		want                        bool
+		outdatedBusy                float64 // busy fraction that endpoints without a new report reported 5 s ago
+		want                        bool    // whether a total rate must be set
 	}{
 		{endpoints: 15, attempts: 9, failed: 6, meanLatency: 0.1, busy: 0.4},
 		{endpoints: 15, attempts: 9, failed: 1, meanLatency: 2, busy: 0.4},
@@ -50,15 +50,17 @@
 }
 
 // TestTablesShrinkWhileConnectionsAreScarce covers a shortage of connections, which shows as idle endpoints at which
-// most attempts fail while the others are answered quickly. Tables must have fewer entries then, and their full size
-// again afterwards.
+// most attempts fail while the other attempts are answered quickly. Tables must have fewer entries during the shortage,
+// and their full size again after it.
 func TestTablesShrinkWhileConnectionsAreScarce(t *testing.T) {
 	sim := newFaultFreeModel(t)
 	tableSizeAfter := func(failed int) int {
 		for range 40 {
 			sim.reportFirst(15, 0.8, EndpointLoadReport{MeanLatency: 0.1, Attempts: 9, Failed: failed, Load: []float64{0.3}})
 		}
-		sim.endpoints[0].StartedAt = sim.now - 4 // warming; gets all load if proxies avoid the other of two entries
+		// Endpoint t0 warms up. In a table with two entries, t0 would get all load if proxies avoided the other
+		// endpoint.
+		sim.endpoints[0].StartedAt = sim.now - 4
 		sim.updateEndpoints(sim.endpoints[0])
 		for _, e := range sim.assigner.endpointList { // resets the health that the proxies of each zone observed
 			e.healthByZone = nil
@@ -81,7 +83,7 @@
 // ready endpoints answer in time.
 func TestLargeDeploymentOverloadIsDetectedWithinSeconds(t *testing.T) {
 	const overloadStart = 24 // time at which the overload starts, s
-	for _, draining := range []int{0, 32} {
+	for _, drainingCount := range []int{0, 32} {
 		config := DefaultConfig()
 		config.ProxyCount = 11
 		config.RequestClasses = []RequestClassConfig{{Name: "read", LatencyObjective: 1}}
@@ -95,19 +97,19 @@
 		for second := range overloadStart + 4 {
 			events = append(events, largeDeploymentReports(second, second >= overloadStart)...)
 			if second == overloadStart {
-				for i := range listedEndpoints[:draining] {
+				for i := range listedEndpoints[:drainingCount] {
 					listedEndpoints[i].State = Draining
 				}
-				events = append(events, EndpointUpdate{Endpoints: listedEndpoints[:draining]})
+				events = append(events, EndpointUpdate{Endpoints: listedEndpoints[:drainingCount]})
 			}
 			assigner.Handle(1000+float64(second), events)
 			events = nil
 			if second < overloadStart && assigner.totalRate > 0 {
-				t.Fatalf("%d endpoints drain: got a total rate at %d s, want none before the overload", draining, second)
+				t.Fatalf("%d endpoints drain: got a total rate at %d s, want none before the overload", drainingCount, second)
 			}
 		}
-		if total, ready := assigner.totalRate, float64(48-draining); total < ready/2 || total > ready {
-			t.Errorf("%d endpoints drain: got a total rate of %g/s after 4 s of late answers, want %g to %g/s", draining, total, ready/2, ready)
+		if total, ready := assigner.totalRate, float64(48-drainingCount); total < ready/2 || total > ready {
+			t.Errorf("%d endpoints drain: got a total rate of %g/s after 4 s of late answers, want %g to %g/s", drainingCount, total, ready/2, ready)
 		}
 	}
 }
--- a/assign/proxy.go
+++ b/assign/proxy.go
@@ -22,15 +22,15 @@
 
 // inFlightMessage is a message that was sent to a proxy and has not been acknowledged.
 type inFlightMessage struct {
-	sequence int     // sequence number of the acknowledgment request
-	lines    float64 // lines that the message occupies in the channel
+	sequence int     // sequence number of the acknowledgment request for the message
+	lines    float64 // number of lines that the message occupies in the order channel
 }
 
 // urgentWait records how long urgent orders for a proxy have been waiting to be sent. Orders are urgent if one of the
 // guarantees in docs/design.md depends on them. The zero value means that no urgent orders are waiting.
 type urgentWait struct {
 	waiting bool    // whether urgent orders are waiting
-	since   float64 // time in seconds at which the guarantee's time limit began; read only if waiting is set
+	since   float64 // time in seconds at which the time limit for urgent orders began; read only if waiting is set
 }
 
 // update returns the wait after the orders for the proxy have been computed again. The parameter due holds these
@@ -49,41 +49,48 @@
 type proxy struct {
 	id int // proxy number; set by Assigner.getOrCreateProxy and not changed afterwards
 
-	// Written by connect.
+	// The fields of this group are written by connect.
 	zone              string
 	connectedAt       float64                  // time at which the proxy connected last, in seconds
 	typicalRate       float64                  // requests per second that the proxy receives on a typical day
 	contentsAtConnect assignment.TableContents // knowledge about the tables that the proxy held when it connected
 
-	connected         bool // whether the stream of the proxy is open; written by connect and disconnect
-	hasAssignedTables bool // whether the proxy uses assigned tables; set by recordSentOrder, cleared by connect
+	connected bool // whether the stream of the proxy is open; written by connect and disconnect
+	// Whether an order made the proxy use tables of the Assigner. Set by recordSentOrder, cleared by connect.
+	hasAssignedTables bool
 
-	// Requests per second of each request class that reach the proxy. Written by connect, recordTrafficReport and
-	// leaveSplit.
+	// Requests per second that reach the proxy, by the index of their request class. Written by connect,
+	// recordTrafficReport and leaveSplit.
 	classRates []float64
 	// Time of the last traffic report or of the last connection, whichever is later, in seconds. Written by connect and
 	// recordTrafficReport.
 	lastReportAt float64
 
-	// Written by assignQuota.
-	quota     float64 // fraction of the total rate, called share on the design page
-	rateLimit float64 // requests per second, called level on the design page; 0: no rate limit
+	// The fields quota and rateLimit are written by assignQuota.
+	quota     float64 // fraction of the total rate of all proxies; the design page calls it share
+	rateLimit float64 // rate limit in requests per second, 0: none; the design page calls it level
 
-	// Tables and limits that the proxy holds, according to the orders that were sent to it. Written by recordSentOrder
-	// and reset by connect.
-	heldTables [][]tableEntry // assigned tables by the index of their table group
-	// Limits by the index of their request class. Until an order sets a limit, the class has no rate limit and the
-	// configured number of retries.
+	// The fields heldTables and heldLimits are the tables and limits that the proxy holds, according to the orders that
+	// were sent to it. They are written by recordSentOrder and reset by connect.
+	heldTables [][]tableEntry // entries of the assigned tables, by the index of their table group
+	// Rate limits and numbers of retries, by the index of their request class. Until an order sets them, a class has no
+	// rate limit and the configured number of retries.
 	heldLimits []assignment.ClassLimit
 
-	urgentWait urgentWait // written by orderScheduler.takePendingMessages; reset by recordSent and connect
+	// How long urgent orders for the proxy have been waiting. Written by orderScheduler.takePendingMessages, and reset
+	// by recordSent and connect.
+	urgentWait urgentWait
 
-	// Written by recordSent and reset by disconnect.
-	recentMessageTimes []float64         // send times of recent messages, in seconds; recordSent removes old times
-	inFlight           []inFlightMessage // messages that the proxy has not acknowledged; also written by acknowledge
+	// The fields recentMessageTimes and messagesInFlight are written by recordSent and reset by disconnect.
+
+	// Send times of the recent messages to the proxy, in seconds. recordSent removes times that are too old to count
+	// towards the message limit.
+	recentMessageTimes []float64
+	// Messages that the proxy has not acknowledged. Also written by acknowledge.
+	messagesInFlight []inFlightMessage
 }
 
-// findProxy returns the record of the proxy with a number, or nil if this proxy has never connected.
+// findProxy returns the record of the proxy with the given number, or nil if this proxy has never connected.
 func (a *Assigner) findProxy(id int) *proxy {
 	i, known := a.searchProxy(id)
 	if !known {
@@ -103,8 +110,8 @@
 	return a.proxies[i]
 }
 
-// searchProxy returns the index of the record of the proxy with a number in Assigner.proxies. If there is no such
-// record, it returns the index at which to insert one, and false.
+// searchProxy returns the index in Assigner.proxies of the record of the proxy with the given number. If there is no
+// such record, it returns the index at which to insert one, and false.
 func (a *Assigner) searchProxy(id int) (position int, known bool) {
 	return slices.BinarySearchFunc(a.proxies, id, func(p *proxy, id int) int { return cmp.Compare(p.id, id) })
 }
@@ -148,10 +155,10 @@
 	p.heldTables = make([][]tableEntry, len(assigner.tableGroups))
 	unlimited := assignment.ClassLimit{Rate: admission.Unlimited, Retries: assigner.config.Retries}
 	p.heldLimits = slices.Repeat([]assignment.ClassLimit{unlimited}, len(assigner.classes))
-	assigner.getOrCreateZone(p.zone) // the zone has no record yet if no endpoint was listed in the zone
+	assigner.getOrCreateZone(p.zone) // creates the record of a zone in which no endpoint was listed
 	p.contentsAtConnect = assignment.ContentsAtConnect(event.DefaultTablesOnly, p.tableSupplies(assigner))
-	// The typical rate is used until the rates of the classes are reported. Its division among the classes is unknown,
-	// so each class gets an equal part.
+	// The typical rate of the proxy is used until the proxy reports the rates of its request classes. How the typical
+	// rate divides among the classes is unknown, so each class gets an equal part.
 	for i, rate := range p.classRates {
 		p.classRates[i] = cmp.Or(rate, p.typicalRate/float64(len(p.classRates)))
 	}
@@ -177,7 +184,7 @@
 // disconnect records that the stream of the proxy has ended. Messages in flight on the stream are lost.
 func (p *proxy) disconnect() {
 	p.connected = false
-	p.inFlight = nil
+	p.messagesInFlight = nil
 	p.recentMessageTimes = nil
 }
 
@@ -196,11 +203,11 @@
 	}
 }
 
-// acknowledge removes the message with a sequence number and all earlier messages from the messages in flight. An
-// unknown sequence number removes no message.
+// acknowledge removes the message with the given sequence number and all earlier messages from the messages in flight.
+// An unknown sequence number removes no message.
 func (p *proxy) acknowledge(sequence int) {
-	i := slices.IndexFunc(p.inFlight, func(m inFlightMessage) bool { return m.sequence == sequence })
-	p.inFlight = p.inFlight[i+1:]
+	i := slices.IndexFunc(p.messagesInFlight, func(m inFlightMessage) bool { return m.sequence == sequence })
+	p.messagesInFlight = p.messagesInFlight[i+1:]
 }
 
 // assignQuota sets the quota of the proxy as a fraction of the total rate, and its rate limit in requests per second. A
@@ -225,23 +232,28 @@
 	}
 	p.urgentWait = urgentWait{}
 	window := assigner.config.Channel.MessageWindow
-	p.recentMessageTimes = slices.DeleteFunc(p.recentMessageTimes, func(at float64) bool { return assigner.now-at > window })
+	p.recentMessageTimes = slices.DeleteFunc(p.recentMessageTimes, func(at float64) bool {
+		return assigner.now-at > window
+	})
 	p.recentMessageTimes = append(p.recentMessageTimes, assigner.now)
-	p.inFlight = append(p.inFlight, message)
+	p.messagesInFlight = append(p.messagesInFlight, message)
 }
 
 // recordSentOrder applies one order that was sent to the proxy to the recorded tables and limits.
 func (p *proxy) recordSentOrder(assigner *Assigner, order Order) {
-	switch o := order.(type) {
+	switch order := order.(type) {
 	case SetWeight:
-		group := o.Table % len(assigner.tableGroups) // inverse of the computation in tableNumber
+		// A table number is a multiple of the number of table groups plus the index of the table group; see
+		// tableNumber.
+		group := order.Table % len(assigner.tableGroups)
 		table := &p.heldTables[group]
-		*table = slices.DeleteFunc(*table, func(entry tableEntry) bool { return entry.Endpoint.name == o.Endpoint })
-		if o.Weight > 0 {
-			*table = append(*table, tableEntry{Endpoint: assigner.endpointsByName[o.Endpoint], Weight: o.Weight})
+		*table = slices.DeleteFunc(*table, func(entry tableEntry) bool { return entry.Endpoint.name == order.Endpoint })
+		if order.Weight > 0 {
+			*table = append(*table,
+				tableEntry{Endpoint: assigner.endpointsByName[order.Endpoint], Weight: order.Weight})
 		}
 	case SetRateLimit:
-		p.heldLimits[o.RequestClasses[0]] = assignment.ClassLimit{Rate: o.Limit, Retries: o.Retries}
+		p.heldLimits[order.RequestClasses[0]] = assignment.ClassLimit{Rate: order.Limit, Retries: order.Retries}
 	case AttachTable:
 		p.hasAssignedTables = true
 	}
--- a/assign/proxy_test.go
+++ b/assign/proxy_test.go
@@ -37,7 +37,8 @@
 // has endpoints of other zones, so a drain in another zone must change the table in time.
 func TestDrainReachesRemoteDefaultTables(t *testing.T) {
 	sim := newFaultFreeModel(t)
-	sim.endpoints[0].State = Draining // endpoint 0 is in zone x; the class "sign" of proxies in zone z uses zones x and y
+	// Endpoint 0 is in zone x. The class "sign" of proxies in zone z uses the zones x and y.
+	sim.endpoints[0].State = Draining
 	sim.updateEndpoints(sim.endpoints[0])
 	if sim.runWithoutReports(3); sim.firstViolation != "" {
 		t.Error(sim.firstViolation)
@@ -45,7 +46,8 @@
 }
 
 // TestReconnectedProxyKeepsMessageCount covers a host that lost its event stream. The host reports connected proxies
-// again without ProxyDisconnected, and the messages sent before must still count toward the message limit.
+// again without ProxyDisconnected, and the messages that were sent before must still count toward the message limit of
+// the proxy.
 func TestReconnectedProxyKeepsMessageCount(t *testing.T) {
 	assigner := New(1, modelConfig())
 	assigner.Handle(1000, []Event{EndpointUpdate{Full: true, Endpoints: newEndpoints("x", 12)}})
@@ -133,7 +135,8 @@
 		t.Errorf("got part %.2f of the table's weight for the first endpoint, want above 0 and at most 0.1", fraction)
 	}
 	limits := sim.proxyRecord(0).heldLimits
-	maxRate := 1.25*(10/3+2*math.Sqrt(10.0/3)) + 1 // a burst that no report shows yet must not overload the endpoint
+	// The limit must protect the endpoint from a burst that no report shows yet.
+	maxRate := 1.25*(10/3+2*math.Sqrt(10.0/3)) + 1
 	if limits == nil || limits[0].Rate > maxRate {
 		t.Errorf("got rate limits %v, want a limit of at most %g/s for class 0", limits, maxRate)
 	}
--- a/assign/quota/quota.go
+++ b/assign/quota/quota.go
@@ -1,10 +1,11 @@
 // Package quota splits one total rate among the proxies. Each proxy has a stored fraction of the total rate, called its
-// quota. This is the mechanism of the design page, "Surplus-shifting rate shares".
+// quota. The design page calls the mechanism "Surplus-shifting rate shares".
 //
-// Join is called when proxies join the split, and Redistribute once a tick. The inputs are quotas and rates in requests
-// per second. The quotas that Redistribute returns sum to 1, and Join preserves such a sum. After proxies have left the
-// split, the sum is below 1 until the next tick, and a join before that tick raises it. A proxy leaves the split when
-// timing.Silent reports that it is silent. See docs/design.md, "What was kept".
+// Join is called when proxies join the split, which is the set of proxies with a quota, and Redistribute once a tick.
+// The inputs are quotas and rates in requests per second. The quotas that Redistribute returns sum to 1, and Join
+// preserves such a sum. After proxies have left the split, the sum is below 1 until the next tick, and a join before
+// that tick raises it. A proxy leaves the split when timing.Silent reports that it is silent. See docs/design.md,
+// "What was kept".
 package quota
 
 import (
@@ -13,14 +14,14 @@
 	"madderhollow/assign/timing"
 )
 
-// JoinResult is the split after proxies have joined.
+// JoinResult determines the quotas after proxies have joined the split.
 type JoinResult struct {
 	MemberScale  float64 // factor on the quota of each proxy that was already in the split
 	JoiningQuota float64 // quota of each joining proxy, a fraction of the total rate
 }
 
-// Join gives each of the joining proxies the same quota and scales down the quotas of the members to make room. The
-// number of joining proxies must be at least 1.
+// Join gives each of the joining proxies the same quota and scales down the quotas of the members, which are the
+// proxies already in the split, to make room. The number of joining proxies must be at least 1.
 func Join(memberCount, joiningCount int) JoinResult {
 	total := float64(memberCount) + float64(joiningCount)
 	return JoinResult{MemberScale: 1 - float64(joiningCount)/total, JoiningQuota: 1 / total}
@@ -28,21 +29,22 @@
 
 // Member is a proxy in the split.
 type Member struct {
-	Quota        float64 // fraction of the total rate, 0 to 1
-	ObservedRate float64 // rate of all requests that reach the proxy, also rejected ones, in requests per second
+	Quota        float64 // the proxy's fraction of the total rate, from 0 to 1
+	ObservedRate float64 // rate of all requests that reach the proxy, rejected ones included, in requests per second
 }
 
 // Split is the total rate that the members share.
 type Split struct {
 	// TotalRate is the rate that the members may admit together, in requests per second. It is 0 if no total rate is
-	// set; no member counts as using its full quota then.
+	// set. In this case, no member counts as using its full quota.
 	TotalRate float64
 	// ObservedRate is the sum of the members' observed rates, in requests per second. It must be above 0.
 	ObservedRate float64
 }
 
 const (
-	// fullUseThreshold is the fraction of its rate limit from which on a proxy counts as using its full quota.
+	// fullUseThreshold is the least observed rate of a proxy, as a fraction of its rate limit, at which the proxy
+	// counts as using its full quota.
 	fullUseThreshold = 0.95
 	// minQuota is the quota that a proxy without traffic keeps, so that it remains in the split.
 	minQuota = 1e-6
@@ -60,12 +62,12 @@
 			quotaSum += m.Quota
 			continue
 		}
-		used := split.usedQuota(m)
-		// These are two statements because the order of floating-point operations must not change: the decisions that
-		// the tests compare with recorded ones depend on it.
+		quotaInUse := split.usedQuota(m)
+		// The quota is added and the quota in use is subtracted in two statements, because the order of the
+		// floating-point operations affects the decisions that tests compare with recorded ones.
 		freedQuota += m.Quota
-		freedQuota -= used
-		quotaSum += used
+		freedQuota -= quotaInUse
+		quotaSum += quotaInUse
 	}
 	if fullUserCount > 0 {
 		quotaSum += freedQuota
@@ -81,13 +83,13 @@
 	return quotas
 }
 
-// usesFullQuota reports whether a member uses its full quota.
+// usesFullQuota reports whether the observed rate of a member reaches fullUseThreshold of its rate limit.
 func (s Split) usesFullQuota(m Member) bool {
 	return s.TotalRate > 0 && m.ObservedRate >= fullUseThreshold*m.Quota*s.TotalRate
 }
 
 // usedQuota returns the member's observed rate as a fraction of the total rate, but at least minQuota. If no total rate
-// is set, it is a fraction of the observed rate of all members.
+// is set, the result is a fraction of the observed rate of all members.
 func (s Split) usedQuota(m Member) float64 {
 	total := s.TotalRate
 	if total == 0 {
@@ -96,9 +98,10 @@
 	return math.Max(m.ObservedRate/total, minQuota)
 }
 
-// SmoothRate returns the smoothed rate of a request class at a proxy after a report, in requests per second. The
-// reported rate is weighted by the fraction of a tick interval that the report covers, at most 1. The interval of the
-// report is in seconds.
+// SmoothRate returns the smoothed rate of a request class at a proxy after a load report, in requests per second. The
+// parameter previous is the smoothed rate before the report, reported is the rate in the report, and interval is the
+// time in seconds that the report covers. The weight of the reported rate is that interval as a fraction of the tick
+// interval, but at most 1.
 func SmoothRate(previous, reported, interval float64) float64 {
 	weight := math.Min(1, interval/timing.TickInterval)
 	return previous + (reported-previous)*weight
--- a/assign/quota/quota_test.go
+++ b/assign/quota/quota_test.go
@@ -16,7 +16,7 @@
 func TestJoin(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		members, joining int
+		members, joining int // numbers of proxies that are already in the split, and of proxies that join it
 		want             quota.JoinResult
 	}{
 		{"the first proxy", 0, 1, quota.JoinResult{MemberScale: 0, JoiningQuota: 1}},
@@ -37,7 +37,7 @@
 		name      string
 		totalRate float64 // total rate, in requests per second; 0 if none is set
 		members   []quota.Member
-		want      []float64
+		want      []float64 // new quota of each member
 	}{
 		{"no members", 100, nil, []float64{}},
 		{"no total rate: quotas proportional to the rates", 0, []quota.Member{{0.5, 30}, {0.5, 10}}, []float64{0.75, 0.25}},
@@ -66,7 +66,7 @@
 		result := quota.Join(members, joining)
 		sum := float64(joining) * result.JoiningQuota
 		if members > 0 {
-			sum += result.MemberScale // the members' quotas summed to 1 before
+			sum += result.MemberScale // the quotas of the members had a sum of 1 before the join
 		}
 		if result.MemberScale < 0 || math.Abs(sum-1) > tolerance {
 			t.Errorf("%d members, %d joining: got %+v, which sums to %g, want 1", members, joining, result, sum)
--- a/assign/requestclass.go
+++ b/assign/requestclass.go
@@ -10,15 +10,17 @@
 // requestClass is the record of one request class. The fields rate and trafficFraction are written by updateClassRates.
 type requestClass struct {
 	RequestClassConfig
-	index           int     // index of the class in Config.RequestClasses
-	rate            float64 // requests per second that reach all members of the rate split together
-	trafficFraction float64 // fraction of the rate of all classes; the same for every class before the first tick
+	index int     // index of the class in Config.RequestClasses
+	rate  float64 // requests per second of the class at all members of the rate split together
+	// Fraction of the requests of all classes that belong to this class. It is the same for every class before the
+	// first tick.
+	trafficFraction float64
 }
 
 // tableGroup is a group of request classes that may use the same endpoints and therefore share a table.
 type tableGroup struct {
 	index        int               // index of the group in Assigner.tableGroups
-	classIndexes []int             // indexes of the classes in Config.RequestClasses
+	classIndexes []int             // indexes of the classes of the group in Config.RequestClasses
 	zonePolicy   subset.ZonePolicy // zone policy of every class in the group
 }
 
--- a/assign/roughday_test.go
+++ b/assign/roughday_test.go
@@ -13,15 +13,15 @@
 // endpoints that do not run. Reports are delayed and lost. The assigner restarts and is overloaded.
 type randomFaultRun struct {
 	*model
-	busy          float64 // busy fraction that the endpoints report
-	randomReports []Event // reports not passed yet, since each batch passes only some
-	step          int     // number of batches so far
+	busy          float64 // busy fraction that the endpoints report, which random changes may raise above 1
+	randomReports []Event // reports not yet passed to the assigner, which gets at most 15 reports per batch
+	batchCount    int     // number of batches that the run has passed to the assigner so far
 }
 
 // runRandomFaults runs a model with random faults. One seed in five has more than the usual eight proxies.
 func runRandomFaults(seed int64) *model { return runRandomFaultsWith(seed, func(*Config) {}) }
 
-// runRandomFaultsWith is like runRandomFaults with a configuration that the function changeConfig modifies. It stops
+// runRandomFaultsWith is like runRandomFaults, but the function changeConfig modifies the configuration first. It stops
 // at the first violation of a guarantee.
 func runRandomFaultsWith(seed int64, changeConfig func(*Config)) *model {
 	sim := newModel(seed)
@@ -33,7 +33,7 @@
 	}
 	sim.restartAssigner()
 	run := &randomFaultRun{model: sim, busy: 0.5}
-	for run.step = 0; run.step < 400 && sim.firstViolation == ""; run.step++ {
+	for run.batchCount = 0; run.batchCount < 400 && sim.firstViolation == ""; run.batchCount++ {
 		events := run.nextEvents()
 		reportCount := min(len(run.randomReports), 15)
 		sim.step(0.02+0.2*sim.random.Float64(), append(events, run.randomReports[:reportCount]...)...)
@@ -90,7 +90,7 @@
 // disconnect closes the stream of a proxy. Messages in transit to the proxy are lost.
 func (r *randomFaultRun) disconnect(p *modelProxy) []Event {
 	p.connected = false
-	r.inTransit = slices.DeleteFunc(r.inTransit, func(message modelMessage) bool { return message.proxy == p })
+	r.messagesInTransit = slices.DeleteFunc(r.messagesInTransit, func(message modelMessage) bool { return message.proxy == p })
 	return []Event{ProxyDisconnected{p.id}}
 }
 
@@ -114,15 +114,15 @@
 		}
 	}
 	if r.random.Intn(2) == 0 {
-		name := fmt.Sprint("s", r.step)
+		name := fmt.Sprint("s", r.batchCount)
 		r.endpoints = append(r.endpoints, &modelEndpoint{Endpoint{Zone: zone, Name: name, Weight: 1, State: Removed}, true})
 		listedEndpoints = append(listedEndpoints[:0], Endpoint{Zone: zone, Name: name, Weight: 1})
 	}
 	return []Event{EndpointUpdate{Endpoints: listedEndpoints}}
 }
 
-// forEachSeed runs a test for each of a hundred random seeds in parallel. The number keeps the test short, because a
-// run takes a tenth of a second of CPU time under the race detector.
+// forEachSeed runs a test for each of a hundred random seeds in parallel. A hundred seeds keep the test short, because
+// the run of one seed takes a tenth of a second of CPU time under the race detector.
 func forEachSeed(t *testing.T, test func(t *testing.T, seed int64)) {
 	t.Helper()
 	random := rand.New(rand.NewSource(7))
--- a/assign/scheduler.go
+++ b/assign/scheduler.go
@@ -10,12 +10,12 @@
 const sequenceModulus = 65536
 
 // orderScheduler is the record of the proxies whose tables have to be computed, and sends the resulting orders. It
-// limits the number of lines that have been sent and not acknowledged, so that the queue of the channel stays short
-// even while the channel is slower than configured.
+// limits the number of lines of the order channel that belong to messages that were sent and not acknowledged, so that
+// the queue of the channel stays short even while the channel is slower than configured.
 type orderScheduler struct {
-	// Set by newOrderScheduler and not changed afterwards.
-	messageOverhead float64 // lines that a message occupies in addition to its orders
-	inFlightLimit   float64 // maximum number of lines in flight; see ordering.Channel.InFlightLimit
+	// The fields of this group are set by newOrderScheduler and not changed afterwards.
+	messageOverhead float64 // lines of the order channel that a message occupies in addition to its orders
+	inFlightLimit   float64 // maximum number of lines in unacknowledged messages; see ordering.Channel.InFlightLimit
 	messageLimit    int     // maximum number of messages to one proxy within the message window; 0: no limit
 
 	// Sequence number of the last batch that requested acknowledgments. Written by sendPending.
@@ -23,7 +23,8 @@
 	// Proxies whose tables have to be computed, because their tables may have changed or their message was deferred.
 	// Written by markPending, sendPending and takePendingMessages.
 	pendingProxies []*proxy
-	// Time before which deferred messages are not tried again, in seconds. Written by markPending and sendPending.
+	// Time before which the scheduler does not try again to send the messages that it deferred, in seconds. Written by
+	// markPending and sendPending.
 	deferredUntil float64
 }
 
@@ -62,8 +63,8 @@
 type proxyMessage struct {
 	proxy           *proxy
 	orders          []Order
-	essentialOrders []Order          // see tableOrders
-	attributes      ordering.Message // properties that decide when the message is sent
+	essentialOrders []Order          // orders to keep if the channel has no room for all; see tableOrders
+	attributes      ordering.Message // properties of the message that decide when it is sent
 }
 
 // keepEssentialOrders removes the orders that are not essential from the message and updates its number of lines.
@@ -79,21 +80,22 @@
 		z.recompute(assigner)
 	}
 	messages := s.takePendingMessages(assigner)
-	inFlight := linesInFlight(assigner.proxies)
+	unacknowledgedLines := linesInFlight(assigner.proxies)
 	sequence := (s.lastSequence + 1) % sequenceModulus
 	sent := false
-	crowded := ordering.IsCongested(urgentLines(messages), inFlight, s.inFlightLimit)
+	congested := ordering.IsCongested(urgentLines(messages), unacknowledgedLines, s.inFlightLimit)
 	for _, message := range messages {
-		if crowded && message.attributes.Urgent {
+		if congested && message.attributes.Urgent {
 			message.keepEssentialOrders(s.messageOverhead)
 		}
-		fits := ordering.Fits(message.attributes, inFlight, s.inFlightLimit)
-		if !fits || !ordering.MessageAllowed(message.proxy.messageHistory(assigner), message.attributes.Urgent, s.messageLimit) {
+		fits := ordering.Fits(message.attributes, unacknowledgedLines, s.inFlightLimit)
+		if !fits || !ordering.MessageAllowed(message.proxy.messageHistory(assigner),
+			message.attributes.Urgent, s.messageLimit) {
 			s.pendingProxies = append(s.pendingProxies, message.proxy)
 			continue
 		}
 		sent = true
-		inFlight += message.attributes.Lines
+		unacknowledgedLines += message.attributes.Lines
 		assigner.emit(message.orders...)
 		assigner.enqueue(ordersSent{message.proxy, message.orders, inFlightMessage{sequence, message.attributes.Lines}})
 	}
@@ -108,25 +110,27 @@
 }
 
 // takePendingMessages returns the messages for the pending proxies in the order in which they are to be sent, and
-// clears pendingProxies. It builds the tables in the order of pendingProxies. This order affects the result, because
-// each table that is built adds to the load in the table plan of its zone.
+// clears pendingProxies. It builds the tables in the order of pendingProxies. The order of building affects the tables,
+// because each table that is built adds to the load in the table plan of its zone.
 func (s *orderScheduler) takePendingMessages(assigner *Assigner) (messages []*proxyMessage) {
-	for _, pending := range s.pendingProxies {
-		result := pending.tableOrders(assigner)
-		pending.urgentWait = pending.urgentWait.update(result)
+	for _, pendingProxy := range s.pendingProxies {
+		result := pendingProxy.tableOrders(assigner)
+		pendingProxy.urgentWait = pendingProxy.urgentWait.update(result)
 		if len(result.orders) == 0 {
 			continue
 		}
 		attributes := ordering.Message{
 			Lines:         ordering.MessageLines(len(result.orders), s.messageOverhead),
 			Urgent:        result.urgent,
-			UrgentSince:   pending.urgentWait.since,
-			LastMessageAt: pending.lastMessageAt(),
+			UrgentSince:   pendingProxy.urgentWait.since,
+			LastMessageAt: pendingProxy.lastMessageAt(),
 		}
-		messages = append(messages, &proxyMessage{pending, result.orders, result.essentialOrders, attributes})
+		messages = append(messages, &proxyMessage{pendingProxy, result.orders, result.essentialOrders, attributes})
 	}
 	s.pendingProxies = nil
-	slices.SortStableFunc(messages, func(x, y *proxyMessage) int { return ordering.Compare(x.attributes, y.attributes) })
+	slices.SortStableFunc(messages, func(x, y *proxyMessage) int {
+		return ordering.Compare(x.attributes, y.attributes)
+	})
 	return messages
 }
 
@@ -144,7 +148,7 @@
 // these lines.
 func linesInFlight(proxies []*proxy) (lines float64) {
 	for _, p := range proxies {
-		for _, message := range p.inFlight {
+		for _, message := range p.messagesInFlight {
 			lines += message.lines
 		}
 	}
--- a/assign/scheduler_test.go
+++ b/assign/scheduler_test.go
@@ -54,8 +54,9 @@
 	return events
 }
 
-// releaseEvents returns the events of one batch during a release with 200 endpoints. They are load and traffic
-// reports, one endpoint that drains and one that starts.
+// releaseEvents returns the events of one batch during a release, in which 200 endpoints drain and start one after
+// another. The events are load and traffic reports and an update with one endpoint that drains and one that is ready
+// again.
 func releaseEvents(step, proxies int) []Event {
 	var events []Event
 	for i := range 40 {
@@ -65,10 +66,10 @@
 	for proxy := range proxies / 10 {
 		events = append(events, ProxyTrafficReport{Proxy: (step*proxies/10 + proxy) % proxies, RequestClass: "read", Interval: 1, Requests: 10})
 	}
-	draining, starting := step%200, (step+100)%200
+	drainingNumber, startingNumber := step%200, (step+100)%200
 	return append(events, EndpointUpdate{Endpoints: []Endpoint{
-		{Zone: zoneByNumber(draining), Name: fmt.Sprint("t", draining), Weight: 1, State: Draining},
-		{Zone: zoneByNumber(starting), Name: fmt.Sprint("t", starting), Weight: 1, State: Ready},
+		{Zone: zoneByNumber(drainingNumber), Name: fmt.Sprint("t", drainingNumber), Weight: 1, State: Draining},
+		{Zone: zoneByNumber(startingNumber), Name: fmt.Sprint("t", startingNumber), Weight: 1, State: Ready},
 	}})
 }
 
@@ -98,7 +99,7 @@
 	assigner := New(1, config)
 	listedEndpoints := newEndpoints("t", 200)
 	events := []Event{EndpointUpdate{Full: true, Endpoints: listedEndpoints}}
-	for i := range 20 { // the tables that these proxies hold are unknown to the assigner
+	for i := range 20 { // the assigner does not know the tables that the proxies hold when they connect
 		events = append(events, ProxyConnected{Proxy: i, Zone: "x", TypicalRate: 10})
 	}
 	now := 1000.0
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestUrgentWaitKeepsEarliestTime covers urgent orders that cannot be sent yet, that become due again at another
-// time, and that are no longer due.
+// TestUrgentWaitKeepsEarliestTime covers urgent orders that cannot be sent yet, that become due again with another
+// beginning of their time limit, and that are no longer due.
 func TestUrgentWaitKeepsEarliestTime(t *testing.T) {
 	var wait urgentWait
 	for _, step := range []struct {
