--- a/assign/slowstart/slowstart.go
+++ b/assign/slowstart/slowstart.go
@@ -10,33 +10,33 @@
 
 // Config describes how the capacity of an endpoint grows after its start.
 type Config struct {
-	// InitialCapacityFraction is the fraction of its capacity that an endpoint has right after its start. The default
-	// is 1.
+	// InitialCapacityFraction is the fraction of its full capacity that an endpoint has right after its start. The
+	// default is 1.
 	InitialCapacityFraction float64
-	// Duration is the time from the start to full capacity, in seconds. The default is 0, which means that there is no
-	// warm-up.
+	// Duration is the time from the start of an endpoint until it has its full capacity, in seconds. The default is 0,
+	// which means that there is no warm-up.
 	Duration float64
 	// OverloadWindow is the window, in seconds, over which an overload of a warming endpoint is measured. The default
 	// is 0.
 	OverloadWindow float64
-	// OverloadMultiple is the load within OverloadWindow, as a multiple of the capacity, above which a warming endpoint
-	// is overloaded. The default is 2.
+	// OverloadMultiple is the load within OverloadWindow, as a multiple of the endpoint's capacity, above which a
+	// warming endpoint is overloaded. The default is 2.
 	OverloadMultiple float64
 }
 
 // WarmUpState holds the inputs that determine the capacity of a starting endpoint.
 type WarmUpState struct {
-	StartedAt         float64 // start of the endpoint's process, in seconds; 0 means long ago
+	StartedAt         float64 // start time of the endpoint's process, in seconds; 0 means that it started long ago
 	Now               float64 // current time, in seconds
-	RateLimitsIgnored bool    // whether proxies admit all requests regardless of their rate limit
+	RateLimitsIgnored bool    // whether the proxies admit all requests regardless of their rate limits
 }
 
 // CapacityFraction returns the fraction of its capacity that an endpoint certainly has. It is between 0 and 1, or above
-// 1 during the warm-up if InitialCapacityFraction is above 1. After the first overload window it changes linearly with
-// the endpoint's age, from the initial fraction at the start to 1 at the end of the warm-up. Within the first overload
-// window it is 0, because proxies with outdated tables may already have used up the load that the endpoint tolerates in
-// that window before the assigner learned of the start. If rate limits are ignored, it is 0 until the end of the
-// warm-up, because nothing else protects the endpoint from a burst.
+// 1 during the warm-up if InitialCapacityFraction is above 1. After the first overload window (Config.OverloadWindow)
+// it changes linearly with the endpoint's age, from the initial fraction at the start to 1 at the end of the warm-up.
+// Within the first overload window it is 0, because proxies with outdated tables may already have used up the load that
+// the endpoint tolerates in that window before the assigner learned of the start. If rate limits are ignored, it is 0
+// until the end of the warm-up, because nothing else protects the endpoint from a burst.
 func CapacityFraction(config Config, state WarmUpState) float64 {
 	age := state.Now - state.StartedAt
 	if state.StartedAt == 0 || age >= config.Duration {
@@ -50,19 +50,19 @@
 }
 
 const (
-	// overloadMultipleFraction is the fraction of the overload multiple that a rate cap uses. It is below 1 because
-	// proxies receive more requests before a report shows the increase.
+	// overloadMultipleFraction is the fraction of Config.OverloadMultiple that a slow-start rate cap uses. It is below
+	// 1 because proxies may receive more requests before a load report shows the increase.
 	overloadMultipleFraction = 0.5
-	// standardDeviations is the number of standard deviations above the expected rate that a rate cap allows for. The
-	// number of requests exceeds two standard deviations only in few seconds.
+	// standardDeviations is the number of standard deviations above the expected rate that a slow-start rate cap allows
+	// for. The number of requests in a second rarely exceeds the expected number by more than two standard deviations.
 	standardDeviations = 2
 )
 
 // ClassDemand describes the traffic of one request class at a proxy whose table holds warming endpoints.
 type ClassDemand struct {
-	ObservedRate          float64 // rate of the class in the proxy's reports, in requests per second
+	ObservedRate          float64 // rate of the class in load reports on the proxy, in requests per second
 	TypicalRate           float64 // rate of the class at the proxy on a typical day, in requests per second
-	TableCapacityFraction float64 // fraction of the table's usual weight that its endpoints can serve, 0 to 1
+	TableCapacityFraction float64 // fraction of the table's usual weight that its endpoints can serve, from 0 to 1
 }
 
 // RateCap returns the rate, in requests per second, that the proxy may admit of the class. It is proportional to
--- a/assign/slowstart/slowstart_test.go
+++ b/assign/slowstart/slowstart_test.go
@@ -18,7 +18,7 @@
 	for _, test := range []struct {
 		name  string
 		state slowstart.WarmUpState
-		want  float64
+		want  float64 // fraction of its capacity that the endpoint certainly has
 	}{
 		{name: "started long ago", state: slowstart.WarmUpState{StartedAt: 0, Now: 1}, want: 1},
 		{name: "start in the future", state: slowstart.WarmUpState{StartedAt: startedAt, Now: 99}, want: 0},
@@ -48,9 +48,9 @@
 func TestRateCap(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		overloadMultiple float64
+		overloadMultiple float64 // Config.OverloadMultiple
 		demand           slowstart.ClassDemand
-		want             float64
+		want             float64 // slow-start rate cap, in requests per second
 	}{
 		{"observed rate above typical rate", 2, slowstart.ClassDemand{ObservedRate: 4, TypicalRate: 1, TableCapacityFraction: 1}, 4 + 2*2},
 		{"typical rate above observed rate", 2, slowstart.ClassDemand{ObservedRate: 4, TypicalRate: 9, TableCapacityFraction: 1}, 9 + 2*3},
@@ -68,7 +68,8 @@
 	}
 }
 
-// TestCapacityFractionNeverDecreases checks that the fraction remains between 0 and 1 and never decreases over time.
+// TestCapacityFractionNeverDecreases checks that the capacity fraction of a warming endpoint remains between 0 and 1
+// and never decreases over time.
 func TestCapacityFractionNeverDecreases(t *testing.T) {
 	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -88,8 +89,8 @@
 	})
 }
 
-// TestRateCapKeepsItsBound checks that a cap is between 0 and half of the overload multiple times the expected rate
-// plus two standard deviations.
+// TestRateCapKeepsItsBound checks that a slow-start rate cap is at least 0 and has an upper bound. The bound is half of
+// the overload multiple times the sum of the expected rate and two standard deviations.
 func TestRateCapKeepsItsBound(t *testing.T) {
 	quickcheck.CheckSeeds(t, 2000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -110,6 +111,7 @@
 	})
 }
 
+// drawConfig draws a random slow-start configuration with an initial capacity fraction of at most 1.
 func drawConfig(random *rand.Rand) slowstart.Config {
 	duration := quickcheck.Fraction(random) * quickcheck.LogUniform(random, 1e-3, 1e5)
 	return slowstart.Config{
--- a/assign/subset/plan.go
+++ b/assign/subset/plan.go
@@ -14,32 +14,32 @@
 	"madderhollow/assign/numeric"
 )
 
-// FullTableSize is the number of entries of an assigned table unless connections are scarce.
+// FullTableSize is the number of entries of an assigned table unless connections are scarce (see overload.TableSize).
 const FullTableSize = 10
 
-// ZoneState is the input of a plan about the zone whose proxies the plan serves.
+// ZoneState describes the zone whose proxies a plan serves. It is an input of the plan.
 type ZoneState struct {
-	Overloaded        bool    // the endpoints of the zone are overloaded
+	Overloaded        bool    // whether the endpoints of the zone are overloaded
 	PeakWeight        float64 // highest sum so far of the listed weights of the zone's ready and verified endpoints
 	UsablePeakWeight  float64 // sum of PeakWeight over the zones whose endpoints the request classes may use
-	SpilloverFraction float64 // fraction of the zone's traffic that is sent to endpoints of other zones
-	TrafficFraction   float64 // the zone's fraction of the request rate of all reporting proxies
-	ReportingProxies  float64 // number of the zone's proxies that send load reports; above 0, because it is a divisor
-	ExcludeWarming    bool    // tables hold no warming endpoints, see the function ExcludeWarming
-	Disallowed        bool    // the request classes may use no endpoint of the zone
+	SpilloverFraction float64 // fraction of the traffic of the zone's proxies that is sent to endpoints of other zones
+	TrafficFraction   float64 // request rate of the zone's proxies divided by that of all reporting proxies
+	ReportingProxies  float64 // number of the zone's proxies with load reports; above 0, because it is a divisor
+	ExcludeWarming    bool    // whether tables hold no warming endpoints, see the function ExcludeWarming
+	Disallowed        bool    // whether the request classes may not use any endpoint of the zone
 }
 
-// DeploymentState is the input of a plan about all zones together.
+// DeploymentState describes all zones of the deployment together. It is an input of a plan.
 type DeploymentState struct {
-	PeakWeight        float64 // sum of ZoneState.PeakWeight over the zones
+	PeakWeight        float64 // sum of ZoneState.PeakWeight over all zones
 	ZoneCount         int     // number of zones
-	ReportingProxies  float64 // sum of ZoneState.ReportingProxies over the zones
+	ReportingProxies  float64 // sum of ZoneState.ReportingProxies over all zones
 	ConfiguredProxies float64 // number of proxies of the deployment according to the settings; negative if not stated
 }
 
 // ExcludeWarming reports whether the tables of a zone's proxies hold no warming endpoints. That is the case while the
-// warm endpoints fail most attempts, or while tables are narrower than a full table. In both cases, proxies avoid the
-// endpoints that fail, so that they would send all their load to the few warming endpoints.
+// warm endpoints fail most attempts, or while tables have fewer entries than a full table. In both cases, proxies avoid
+// the endpoints that fail attempts, so that they would send all their load to the few warming endpoints.
 func ExcludeWarming(mostWarmFail bool, tableSize float64) bool {
 	return mostWarmFail || tableSize < FullTableSize
 }
@@ -49,21 +49,21 @@
 // fleet.
 type Plan[E comparable] struct {
 	candidates                []*Candidate[E]     // candidates that tables may hold
-	byEndpoint                map[E]*Candidate[E] // the same candidates by endpoint
-	remoteCandidateCount      int                 // number of the candidates that are in other zones
-	remoteFraction            float64             // remote part of a table; below 1 if there are local candidates
-	remainingCapacityFraction float64             // usable weight divided by the deployment's peak weight
+	byEndpoint                map[E]*Candidate[E] // elements of the field candidates, by endpoint
+	remoteCandidateCount      int                 // number of the candidates in zones other than the proxies' zone
+	remoteFraction            float64             // part of a table for remote candidates; 1 without local candidates
+	remainingCapacityFraction float64             // weight of usable candidates divided by the deployment's peak weight
 	usualTableWeight          float64             // weight of a table in normal operation, see computeUsualTableWeight
 }
 
 // completeZoneFraction is the fraction of the mean peak weight of all zones above which a zone's own peak weight
-// counts as its usual weight. Below it, the zone has never been seen complete, because it is returning after a loss.
-// The mean peak weight of all zones then serves as its usual weight.
+// counts as its usual weight. If its peak weight is lower, the assigner has never seen the zone complete, because
+// the zone is returning after a loss. The mean peak weight of all zones then serves as the zone's usual weight.
 const completeZoneFraction = 0.5
 
-// maxRemoteFraction is the highest remote fraction of a table that holds local candidates. It is below 1 for two
-// reasons: the zone's own candidates keep a part of the table, however light they are, and remoteWeightScale, which
-// divides by 1 minus the remote fraction, stays finite.
+// maxRemoteFraction is the highest fraction of a table for remote candidates if there are local candidates. It is below
+// 1 for two reasons: the local candidates keep a part of the table, however low their weights are, and the result of
+// remoteWeightScale, which divides by 1 minus the remote fraction, stays finite.
 const maxRemoteFraction = 1 - numeric.MinDivisor
 
 // NewPlan returns the plan for the candidates that the request classes may use. The order of the candidates must not
@@ -91,18 +91,18 @@
 	return plan
 }
 
-// supply is the weight of the candidates that a zone's proxies can use.
+// supply sums up the candidates that a zone's proxies can use.
 type supply struct {
-	totalWeight  float64 // weight of all usable candidates
-	localWeight  float64 // weight of the zone's own candidates that tables may hold
+	totalWeight  float64 // sum of the weights of all usable candidates
+	localWeight  float64 // sum of the weights of the zone's own candidates that tables may hold
 	localWarming bool    // whether one or more of the zone's own candidates that tables may hold are warming up
 }
 
-// selectCandidates sets the candidates that tables may hold, and returns their supply. Warming endpoints are subject
-// to two restrictions. A warming endpoint is used only by proxies of its own zone, because these proxies know the
-// load that they send to it; this does not apply if the request classes may use no endpoint of the proxies' zone. No
-// warming endpoint is used if ZoneState.ExcludeWarming is set. If these restrictions leave no candidate, the
-// candidates that they rule out are used after all.
+// selectCandidates sets the candidates that tables may hold, and returns the supply of the usable candidates. Warming
+// endpoints are subject to two restrictions. First, only proxies of its own zone use a warming endpoint, because the
+// load that these proxies send to it is known; this does not apply if the request classes may not use any endpoint of
+// the proxies' zone. Second, no proxy uses a warming endpoint if ZoneState.ExcludeWarming is set. If the restrictions
+// leave no candidate, tables may hold the candidates that the restrictions rule out.
 func (plan *Plan[E]) selectCandidates(zone ZoneState, usableCandidates []Candidate[E]) (available supply) {
 	var fallbackCandidates []*Candidate[E]
 	for i := range usableCandidates {
@@ -128,14 +128,14 @@
 	return available
 }
 
-// demand returns the weight that the zone's proxies need. It starts from the usual weight of the zone, reduced by the
-// fraction of weight that is lost in the zones whose endpoints the request classes may use. While the zone's own
-// candidates include warming endpoints, it is not reduced, because the warm endpoints, however unhealthy, have to carry
-// the load that the warming endpoints cannot take yet. In an overloaded zone, the demand is at least the weight that
-// the zone's traffic needs.
+// demand returns the sum of endpoint weights that the zone's proxies need. It is the usual weight of the zone, reduced
+// by the fraction of weight that is lost in the zones whose endpoints the request classes may use. While the zone's own
+// candidates include warming endpoints, the usual weight is not reduced, because the warm endpoints, however unhealthy,
+// have to carry the load that the warming endpoints cannot take yet. In an overloaded zone, the demand is at least the
+// weight that the zone's traffic needs.
 //
-// The calculation for an overloaded zone assumes that proxies which do not report to this assigner send as much load
-// as those which do, and that all zones have equally many proxies.
+// The calculation for an overloaded zone assumes that a proxy without load reports to this assigner sends as much load
+// as a proxy with load reports, and that all zones have equally many proxies.
 func (plan *Plan[E]) demand(zone ZoneState, deployment DeploymentState, available supply, usualWeight float64) float64 {
 	demand := usualWeight
 	if !available.localWarming {
@@ -152,8 +152,8 @@
 }
 
 // computeUsualTableWeight returns the weight that a table has in normal operation, which is also the most that a
-// table carries. It is the lower of two weights: the usual weight of the zone, and the weight of a full table of
-// candidates with average listed weight.
+// table carries. It is the lower of two weights: the usual weight of the zone, which is the parameter usualWeight,
+// and the weight of a full table of candidates with average listed weight.
 func (plan *Plan[E]) computeUsualTableWeight(usualWeight float64) float64 {
 	fullTableWeight := 0.0
 	for _, c := range plan.candidates {
@@ -162,8 +162,9 @@
 	return math.Min(usualWeight, fullTableWeight)
 }
 
-// AddLoad adds the load that a proxy with the given table and rate, in requests per second, sends to the endpoints of
-// the table. A negative rate removes load that was added before.
+// AddLoad adds the load that a proxy with the given table sends to the endpoints of the table to the load that the plan
+// tracks. The parameter rate is the rate of the proxy's requests in requests per second. A negative rate removes load
+// that was added before.
 func (plan *Plan[E]) AddLoad(table []Entry[E], rate float64) {
 	sum := 0.0
 	for _, entry := range table {
@@ -171,7 +172,7 @@
 	}
 	for _, entry := range table {
 		if c := plan.byEndpoint[entry.Endpoint]; c != nil {
-			c.loadPerWeight += rate / sum // rate of the entry divided by the weight of the entry
+			c.loadPerWeight += rate / sum // request rate of the entry divided by the weight of the entry
 		}
 	}
 }
--- a/assign/subset/property_test.go
+++ b/assign/subset/property_test.go
@@ -11,15 +11,15 @@
 	"madderhollow/internal/quickcheck"
 )
 
-// scenario is the input from which the tables of a zone are built.
+// scenario is the input from which the tables of a zone's proxies are built.
 type scenario struct {
 	zone       subset.ZoneState
 	deployment subset.DeploymentState
-	candidates []candidate
+	candidates []candidate // candidates that the request classes may use
 }
 
-// drawScenario draws a random zone with a random mix of endpoints. Their listed weights range from the lowest to the
-// highest that an endpoint list allows, and some of the endpoints fail every attempt.
+// drawScenario draws a random zone and random endpoints. The listed weights of the endpoints range from the lowest to
+// the highest weight that an endpoint list allows, and some of the endpoints fail every attempt.
 func drawScenario(random *rand.Rand) scenario {
 	input := scenario{zone: subset.ZoneState{Disallowed: random.Intn(5) == 0}}
 	peakWeight := 0.0
@@ -49,8 +49,8 @@
 	return input
 }
 
-// drawCandidate draws a random candidate with the given name. It is always remote if the request classes may use no
-// endpoint of the zone.
+// drawCandidate draws a random candidate with the given name. The parameter zoneDisallowed states whether the request
+// classes may not use any endpoint of the zone; if it is set, the candidate is remote.
 func drawCandidate(random *rand.Rand, name string, zoneDisallowed bool) candidate {
 	capacityFraction := 1.0
 	if random.Intn(3) == 0 {
@@ -76,21 +76,21 @@
 
 // warmingFraction returns the fraction of a table's weight that warming endpoints have, or 0 for an empty table.
 func (s *scenario) warmingFraction(table subset.Table[string]) float64 {
-	sum, warming := 0.0, 0.0
+	totalWeight, warmingWeight := 0.0, 0.0
 	for _, entry := range table.Entries {
-		sum += entry.Weight
+		totalWeight += entry.Weight
 		if s.isWarming(entry) {
-			warming += entry.Weight
+			warmingWeight += entry.Weight
 		}
 	}
-	if sum == 0 {
+	if totalWeight == 0 {
 		return 0
 	}
-	return warming / sum
+	return warmingWeight / totalWeight
 }
 
-// invariantViolation describes the first invariant that a table of the zone violates. It returns an empty string if
-// the table keeps all invariants.
+// invariantViolation describes the first invariant that a table of the scenario violates. It returns an empty string if
+// the table violates no invariant. The parameter size is the table size with which the table was built.
 func (s *scenario) invariantViolation(table subset.Table[string], size float64) string {
 	if len(table.Entries) == 0 && len(s.candidates) > 0 {
 		return "no entry although there are candidates"
@@ -106,7 +106,8 @@
 		names[entry.Endpoint] = true
 	}
 	fraction := s.warmingFraction(table)
-	hasWarm := fraction < 1-1e-6 // warm entries below a millionth of the weight cannot carry a tenth of the load
+	// Warm entries with less than a millionth of the table's weight cannot carry a tenth of its load.
+	hasWarm := fraction < 1-1e-6
 	if hasWarm && fraction > 0.9*(1+tolerance) {
 		return "over nine tenths for warming endpoints next to warm ones"
 	}
@@ -116,8 +117,8 @@
 	return ""
 }
 
-// Every table has at least one entry while there is a candidate, and all its weights are finite. It has a warming
-// capacity exactly while entries are warming up.
+// Every table has at least one entry if there is a candidate, and all its weights are finite. Its warming capacity is
+// above 0 if and only if it holds warming endpoints.
 func TestTablesKeepInvariants(t *testing.T) {
 	quickcheck.CheckSeeds(t, 5000, func(seed int64) bool {
 		random := rand.New(rand.NewSource(seed))
@@ -148,8 +149,8 @@
 	}
 }
 
-// If warming endpoints are excluded but there are no others, local and remote warming endpoints share the table. Its
-// weights must be finite.
+// If ZoneState.ExcludeWarming is set but all candidates are warming up, local and remote warming endpoints share the
+// table. The weights of the table must be finite.
 func TestTableOfExcludedWarmingEndpointsIsFinite(t *testing.T) {
 	candidates := slices.Concat(localCandidates(4), remoteCandidates(8))
 	for i := range candidates {
@@ -164,8 +165,8 @@
 	}
 }
 
-// The endpoint list allows any positive weight up to 1e9. A zone whose usual weight is the highest may be left with a
-// single endpoint of weight 1e-9. The table that this endpoint shares with remote endpoints must have finite weights.
+// The endpoint list allows any positive weight up to 1e9. A zone whose usual weight is 1e9 may be left with a single
+// endpoint of weight 1e-9. The table that this endpoint shares with remote endpoints must have finite weights.
 func TestTableOfLightestEndpointIsFinite(t *testing.T) {
 	candidates := slices.Concat(localCandidates(1), remoteCandidates(8))
 	candidates[0].Weight, candidates[0].ListedWeight = 1e-9, 1e-9
@@ -178,8 +179,8 @@
 	checkFinite(t, table)
 }
 
-// A table may hold warming endpoints next to warm ones that fail every attempt. Its warming capacity must stay above
-// 0, because a rate cap is computed from it, and 0 stands for a table without warming entries.
+// A table may hold warming endpoints together with warm endpoints that fail every attempt. The warming capacity of such
+// a table must stay above 0, because a rate cap is computed from it, and 0 means that the table has no warming entries.
 func TestWarmingCapacityNextToFailingEndpointsIsAboveZero(t *testing.T) {
 	candidates := localCandidates(4)
 	for i := range candidates {
--- a/assign/subset/subset_test.go
+++ b/assign/subset/subset_test.go
@@ -9,12 +9,12 @@
 	"madderhollow/assign/subset"
 )
 
-const tolerance = 1e-9
+const tolerance = 1e-9 // allowed error of weights and fractions
 
 type candidate = subset.Candidate[string]
 
-// localCandidates returns the given number of warm candidates of the zone, with weight 1 and the names local0, local1
-// and so on. Their tie breaks make tables prefer those with lower numbers.
+// localCandidates returns the given number of warm candidates in the zone of the proxies, with weight 1 and the names
+// local0, local1 and so on. Among candidates of equal rank, tables prefer the candidates with lower numbers.
 func localCandidates(count int) (candidates []candidate) {
 	for i := range count {
 		candidates = append(candidates, candidate{Endpoint: fmt.Sprint("local", i), Weight: 1, ListedWeight: 1, TieBreak: float64(i)})
@@ -32,7 +32,7 @@
 	return candidates
 }
 
-// defaultZone returns a zone whose usual weight is 10, and its deployment of three such zones.
+// defaultZone returns a zone whose usual weight is 10, and a deployment of three such zones.
 func defaultZone() (subset.ZoneState, subset.DeploymentState) {
 	return subset.ZoneState{PeakWeight: 10, UsablePeakWeight: 30, TrafficFraction: 1.0 / 3, ReportingProxies: 4},
 		subset.DeploymentState{PeakWeight: 30, ZoneCount: 3, ReportingProxies: 12, ConfiguredProxies: -1}
@@ -52,7 +52,7 @@
 func TestUsableWeight(t *testing.T) {
 	for _, test := range []struct {
 		name                           string
-		listed, health, capacity, want float64
+		listed, health, capacity, want float64 // listed weight, health weight, capacity fraction and wanted usable weight
 	}{
 		{"warm and healthy", 4, 1, 1, 4},
 		{"health is lower", 4, 0.1, 0.5, 0.4},
@@ -70,9 +70,9 @@
 func TestExcludeWarming(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		mostWarmFail bool
-		tableSize    float64
-		want         bool
+		mostWarmFail bool    // whether the warm endpoints fail most attempts
+		tableSize    float64 // number of entries; a full table has 10 entries
+		want         bool    // whether tables hold no warming endpoints
 	}{
 		{"full tables", false, 10, false},
 		{"slightly narrow tables", false, 9.9, true},
@@ -87,23 +87,23 @@
 }
 
 func TestZonePolicy(t *testing.T) {
-	all := subset.ZonePolicy{}
-	own := subset.ZonePolicy{OwnZoneOnly: true}
-	two := subset.ZonePolicy{AllowedZones: []string{"x", "y"}}
+	anyZone := subset.ZonePolicy{}
+	ownZoneOnly := subset.ZonePolicy{OwnZoneOnly: true}
+	twoZones := subset.ZonePolicy{AllowedZones: []string{"x", "y"}}
 	for _, test := range []struct {
 		name                    string
 		policy                  subset.ZonePolicy
 		endpointZone, proxyZone string
-		allows, disallowed      bool // disallowed: the policy disallows the proxy's zone
+		allows, disallowed      bool // whether the policy allows the endpoint, and whether it disallows the proxy's zone
 	}{
-		{"all zones, the same", all, "x", "x", true, false},
-		{"all zones, another", all, "y", "x", true, false},
-		{"own zone only, the same", own, "x", "x", true, false},
-		{"own zone only, another", own, "y", "x", false, false},
-		{"allowed zone, the same", two, "x", "x", true, false},
-		{"allowed zone, another", two, "y", "x", true, false},
-		{"other zone, the same", two, "z", "z", false, true},
-		{"allowed zone from a disallowed one", two, "y", "z", true, true},
+		{"all zones, the same", anyZone, "x", "x", true, false},
+		{"all zones, another", anyZone, "y", "x", true, false},
+		{"own zone only, the same", ownZoneOnly, "x", "x", true, false},
+		{"own zone only, another", ownZoneOnly, "y", "x", false, false},
+		{"allowed zone, the same", twoZones, "x", "x", true, false},
+		{"allowed zone, another", twoZones, "y", "x", true, false},
+		{"other zone, the same", twoZones, "z", "z", false, true},
+		{"allowed zone from a disallowed one", twoZones, "y", "z", true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.policy.Allows(test.endpointZone, test.proxyZone); got != test.allows {
@@ -114,13 +114,13 @@
 			}
 		})
 	}
-	if all.Equal(own) {
+	if anyZone.Equal(ownZoneOnly) {
 		t.Error("own zone only: got equal to all zones, want not")
 	}
-	if all.Equal(two) {
+	if anyZone.Equal(twoZones) {
 		t.Error("two zones: got equal to all zones, want not")
 	}
-	if !two.Equal(subset.ZonePolicy{AllowedZones: []string{"x", "y"}}) {
+	if !twoZones.Equal(subset.ZonePolicy{AllowedZones: []string{"x", "y"}}) {
 		t.Error("two zones: got unequal to the same zones, want equal")
 	}
 }
@@ -128,16 +128,16 @@
 func TestBuildTakesLocalEndpointsFirst(t *testing.T) {
 	for _, test := range []struct {
 		name           string
-		local, remote  int
-		size           float64
+		local, remote  int     // numbers of local candidates and of remote candidates
+		size           float64 // table size in entries
 		change         func(zone *subset.ZoneState, deployment *subset.DeploymentState)
-		wantLocal      int
-		wantRemote     int
-		remoteFraction float64 // remote part of the table's weight
+		wantLocal      int     // number of local entries in the table
+		wantRemote     int     // number of remote entries in the table
+		remoteFraction float64 // wanted fraction of the table's weight that remote entries have
 	}{
 		{name: "the zone has its usual weight", local: 10, remote: 20, size: 10, wantLocal: 10},
 		{name: "the zone has more", local: 14, remote: 20, size: 10, wantLocal: 10},
-		{name: "the zone lost half", local: 5, remote: 20, size: 10, // 25 of 30 remain, so the demand is 8.33
+		{name: "the zone lost half", local: 5, remote: 20, size: 10, // a weight of 25 out of 30 remains, so the zone needs 8.33
 			wantLocal: 5, wantRemote: 4, remoteFraction: 0.4},
 		{name: "all zones lost half", local: 5, remote: 10, size: 10, wantLocal: 5},
 		{name: "the zone has none", local: 0, remote: 20, size: 10, wantRemote: 9, remoteFraction: 1},
@@ -152,12 +152,12 @@
 			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) { zone.SpilloverFraction = 0.9 }},
 		{name: "size is rounded", local: 10, remote: 20, size: 4.5, wantLocal: 5},
 		{name: "overloaded: weight for the zone's traffic", local: 10, remote: 20, size: 10,
-			wantLocal: 7, wantRemote: 3, remoteFraction: 1.0 / 3, // half of the traffic needs a weight of 15 out of 30
+			wantLocal: 7, wantRemote: 3, remoteFraction: 1.0 / 3, // half of all traffic needs a weight of 15 out of 30
 			change: func(zone *subset.ZoneState, _ *subset.DeploymentState) {
 				zone.Overloaded, zone.TrafficFraction = true, 0.5
 			}},
 		{name: "overloaded: as much for proxies that do not report", local: 10, remote: 20, size: 10,
-			wantLocal: 5, wantRemote: 5, remoteFraction: 0.5, // half of the zone's proxies send a third of the traffic
+			wantLocal: 5, wantRemote: 5, remoteFraction: 0.5, // 2 of the zone's 4 proxies send a third of the traffic
 			change: func(zone *subset.ZoneState, deployment *subset.DeploymentState) {
 				zone.Overloaded, zone.ReportingProxies = true, 2
 				deployment.ReportingProxies = 12
@@ -214,8 +214,8 @@
 func TestBuildKeepsEntryUntilThreeTimesTheLoad(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		load float64 // load of the held endpoint from other proxies; local2 has a load of 10
-		want []string
+		load float64  // load on the held endpoint local0 from other proxies; local2 has a load of 10
+		want []string // names of the endpoints in the new table
 	}{
 		{"just below three times", 29.9, []string{"local0", "local1"}},
 		{"just above three times", 30.1, []string{"local1", "local2"}},
@@ -234,14 +234,15 @@
 	}
 }
 
-// The penalty for an unverified endpoint is split in two equal factors. Its weight is multiplied by the square root
-// of the probation weight of 0.1, and its rank is divided by the same number, so that fewer tables hold the endpoint.
+// The penalty for an unverified endpoint is split into two equal factors. The weight of the endpoint is multiplied by
+// the square root of the probation weight of 0.1, and its rank is divided by the same number, so that fewer tables hold
+// it.
 func TestBuildPenalizesUnverified(t *testing.T) {
 	penalty := math.Sqrt(0.1)
 	for _, test := range []struct {
 		name string
 		load float64 // load of each verified endpoint; the unverified endpoint has a load of 10
-		want bool    // the table holds the unverified endpoint
+		want bool    // whether the table holds the unverified endpoint
 	}{
 		{"others just below the penalty", 10/penalty - 0.1, false},
 		{"others just above the penalty", 10/penalty + 0.1, true},
@@ -269,11 +270,11 @@
 func TestBuildPlacesWarmingEndpoints(t *testing.T) {
 	for _, test := range []struct {
 		name                    string
-		zone                    func(zone *subset.ZoneState)
-		localWarming            bool // the endpoint local0 is warming up
-		remoteWarming           bool // the endpoint remote0 is warming up
-		allWarming              bool
-		wantLocal0, wantRemote0 bool
+		zone                    func(zone *subset.ZoneState) // modifies the zone; nil if it is not modified
+		localWarming            bool                         // whether the endpoint local0 is warming up
+		remoteWarming           bool                         // whether the endpoint remote0 is warming up
+		allWarming              bool                         // whether all local and remote endpoints are warming up
+		wantLocal0, wantRemote0 bool                         // whether the table holds the endpoints local0 and remote0
 	}{
 		{name: "local", localWarming: true, wantLocal0: true, wantRemote0: true},
 		{name: "remote", remoteWarming: true, wantLocal0: true},
@@ -312,19 +313,19 @@
 		warming        int     // number of warming endpoints among eleven local ones
 		weight         float64 // weight of each warming endpoint
 		failureRatio   float64 // failure ratio of each warm endpoint
-		wantFraction   float64
-		wantCapacity   float64
+		wantFraction   float64 // fraction of the table's weight that warming endpoints have
+		wantCapacity   float64 // warming capacity of the table
 		deploymentPeak float64 // peak weight of the deployment
 	}{
-		// A full table weighs 10. Next to nine warm endpoints, a warming endpoint at half its listed weight may have a
-		// twentieth of the table.
+		// A full table has a weight of 10. Besides nine warm endpoints, a warming endpoint at half its listed weight
+		// may have a twentieth of the table's weight.
 		{"one warming", 1, 0.5, 0, 0.05, 9 / 0.95 / 10, 30},
 		{"one warming, the others fail half", 1, 0.5, 0.5, 0.05, 4.5 / 0.95 / 10, 30},
 		{"one warming, below its limit", 1, 0.01, 0, 0.001, 9 / 0.999 / 10, 30},
 		{"nine warming at full weight", 9, 1, 0, 0.9, 1, 30},
 		{"none", 0, 0, 0, 0, 0, 30},
-		// All eleven endpoints are at nine tenths of their listed weight. The ten in the table weigh 9 out of 10. All
-		// endpoints of the deployment weigh 9.9 out of 30 or out of 10.
+		// All eleven endpoints have nine tenths of their listed weight. The ten endpoints in the table have a weight of
+		// 9 out of 10. All endpoints together have a weight of 9.9 out of a peak weight of 30 or 10.
 		{"all warming, little remains of the deployment", 11, 0.9, 0, 1, 0.33, 30},
 		{"all warming, most remains of the deployment", 11, 0.9, 0, 1, 0.9, 10},
 	} {
@@ -355,7 +356,7 @@
 func TestBuildFillsTableWithoutRemoteCandidates(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		warming bool // whether one of the endpoints is warming up; all five have half of the zone's usual weight
+		warming bool // whether one of the five endpoints, which have half of the zone's usual weight, is warming up
 		change  func(zone *subset.ZoneState)
 	}{
 		{"spill-over", false, func(zone *subset.ZoneState) { zone.Overloaded, zone.SpilloverFraction = true, 0.9 }},
@@ -374,13 +375,13 @@
 	}
 }
 
-// If there are fewer remote candidates than the spill-over calls for, the zone's own endpoints take the other entries
-// up to the table size.
+// If there are fewer remote candidates than the spill-over requires, the zone's own endpoints fill the remaining
+// entries up to the table size.
 func TestBuildFillsTableWithFewRemoteCandidates(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		local, remote int
-		want          int // number of entries
+		local, remote int // numbers of local candidates and of remote candidates
+		want          int // number of entries in the table
 	}{
 		{"one remote", 5, 1, 5},
 		{"two remote", 2, 2, 4},
--- a/assign/subset/zonepolicy.go
+++ b/assign/subset/zonepolicy.go
@@ -4,8 +4,8 @@
 
 // ZonePolicy states the zones whose endpoints a request class may use.
 type ZonePolicy struct {
-	AllowedZones []string // zones whose endpoints may be used; empty if all zones are allowed
-	OwnZoneOnly  bool     // a proxy may use only endpoints of its own zone
+	AllowedZones []string // zones whose endpoints the request class may use; empty if all zones are allowed
+	OwnZoneOnly  bool     // whether a proxy may use only endpoints of its own zone for the request class
 }
 
 // DisallowsZone reports whether the request class may not use endpoints of the given zone, whatever the zone of the
--- a/assign/tables.go
+++ b/assign/tables.go
@@ -14,14 +14,14 @@
 // if one of the guarantees in docs/design.md depends on them.
 type tableOrders struct {
 	orders []Order
-	// Essential orders are the subset of the orders that is sent if the orders are urgent and the channel has no room
-	// for all urgent messages.
+	// Subset of the field orders. It is sent in place of all orders if the orders are urgent and the order channel has
+	// no room for all urgent messages.
 	essentialOrders []Order
 	urgent          bool
-	urgentSince     float64 // time in seconds at which the guarantee's time limit began; read only if urgent is set
+	urgentSince     float64 // time in seconds at which the time limit for the orders began; read only if urgent is set
 }
 
-// add appends an order. If essential is set, the order is also added to the essential orders.
+// add appends an order. The parameter essential states whether the order is also added to the essential orders.
 func (o *tableOrders) add(order Order, essential bool) {
 	o.orders = append(o.orders, order)
 	if essential {
@@ -81,7 +81,7 @@
 }
 
 // addEntryOrders adds an order for each changed entry in the table of a table group. All of these orders are essential
-// if the essential orders alone would leave the table empty.
+// if the proxy has no assigned tables yet, or if the essential orders alone would leave the table empty.
 func (p *proxy) addEntryOrders(assigner *Assigner, group *tableGroup, desired desiredTable, result *tableOrders) {
 	table := p.tableNumber(assigner, group)
 	held := p.heldTables[group.index]
@@ -100,7 +100,8 @@
 		if assignment.EntryChangeIsUrgent(entries[i]) {
 			result.markUrgent(p.urgentSince(assigner, change.Endpoint))
 		}
-		result.add(SetWeight{table, change.Endpoint.name, change.Weight}, allEssential || assignment.EntryChangeIsEssential(entries[i]))
+		result.add(SetWeight{table, change.Endpoint.name, change.Weight},
+			allEssential || assignment.EntryChangeIsEssential(entries[i]))
 	}
 }
 
--- a/assign/tables_test.go
+++ b/assign/tables_test.go
@@ -8,7 +8,8 @@
 )
 
 // newSingleZoneAssigner returns an assigner with 60 proxies and 40 endpoints in one zone, where all proxies have
-// assigned tables. The function loads returns the request rate of each endpoint per unit of its listed weight.
+// assigned tables. The result loads is a function that returns the request rate of each endpoint per unit of its listed
+// weight.
 func newSingleZoneAssigner() (assigner *Assigner, loads func() map[*endpoint]float64) {
 	config := DefaultConfig()
 	config.ProxyCount = 60
@@ -34,9 +35,9 @@
 	}
 }
 
-// TestEntriesAreAssignedByLeastLoad checks that tables spread the load by listed weight. Random entries would give
-// some endpoints half as much load again as others, and these would fail first in a deployment near its capacity.
-// Another tick must change no entry.
+// TestEntriesAreAssignedByLeastLoad checks that tables spread the load by listed weight. Random entries would give some
+// endpoints half as much load again as others, and the endpoints with the higher load would fail first in a deployment
+// near its capacity. Another tick must change no entry.
 func TestEntriesAreAssignedByLeastLoad(t *testing.T) {
 	assigner, loads := newSingleZoneAssigner()
 	lowest, highest := 1e9, 0.0
--- a/assign/tick.go
+++ b/assign/tick.go
@@ -44,7 +44,8 @@
 	a.scheduler.markPending(a, nil)
 }
 
-// removeSilentProxies enqueues the removal of each silent proxy from the rate split.
+// removeSilentProxies enqueues the removal of each silent proxy, which has sent no report for timing.SilenceTimeout,
+// from the rate split.
 func (a *Assigner) removeSilentProxies() {
 	for _, p := range a.proxies {
 		if timing.Silent(a.now, p.lastReportAt) {
@@ -129,7 +130,9 @@
 func (a *Assigner) updateTotalRate(observedRate float64) (overloaded bool) {
 	period, meanFailureRatio := a.summarizePeriod()
 	a.meanFailureRatio = meanFailureRatio
-	traffic := overload.Traffic{ObservedRate: observedRate, TotalRate: a.totalRate, BusyFractionReported: a.busyFractionColumn >= 0}
+	traffic := overload.Traffic{
+		ObservedRate: observedRate, TotalRate: a.totalRate, BusyFractionReported: a.busyFractionColumn >= 0,
+	}
 	a.tableSize = a.tableSize.Adjust(period, traffic.BusyFractionReported)
 	next := period.Decide(traffic)
 	a.logTotalRateChange(period, traffic, next)
@@ -194,9 +197,9 @@
 	}
 }
 
-// addJoiningProxies adds the queued proxies to the rate split and enqueues the new quotas of these proxies and of the
-// members. The joining proxies have no rate limit until the next tick: a rate limit that a proxy kept from before it
-// became silent is removed.
+// addJoiningProxies adds the proxies that queueJoin collected to the rate split and enqueues the new quotas of these
+// proxies and of the members. The joining proxies have no rate limit until the next tick: a rate limit that a proxy
+// kept from before it became silent is removed.
 func (a *Assigner) addJoiningProxies() {
 	a.removeSilentProxies()
 	members := a.splitMembers()
--- a/assign/tick_test.go
+++ b/assign/tick_test.go
@@ -38,7 +38,7 @@
 }
 
 // TestUnusedQuotaIsSplitEquallyAmongFullUsers covers six proxies that use little of their quotas and two that use all
-// of theirs. The unused quota must go to these two in equal parts.
+// of their quotas. The unused quota must go to the two full users in equal parts.
 func TestUnusedQuotaIsSplitEquallyAmongFullUsers(t *testing.T) {
 	sim := newFaultFreeModel(t)
 	members := sim.assigner.splitMembers()
--- a/assign/timing/timing.go
+++ b/assign/timing/timing.go
@@ -2,13 +2,15 @@
 package timing
 
 const (
-	// TickInterval is the time between two ticks, in seconds. Each tick updates the rate split and assesses the health
-	// of the endpoints. The design page calls this interval the period.
+	// TickInterval is the time between two ticks, in seconds. Each tick updates the split of the total rate among the
+	// proxies (see package quota) and assesses the health of the endpoints. The design page calls this interval the
+	// period.
 	TickInterval = 1.0
-	// FeedbackDelay is the time after a change, in seconds, for which reports may still describe the state before it.
+	// FeedbackDelay is the time after a change, in seconds, during which load reports may still describe the state
+	// before the change.
 	FeedbackDelay = 3.0
-	// SilenceTimeout is the time, in seconds, without a report from a proxy or a successful answer from an endpoint
-	// after which the proxy or endpoint counts as silent.
+	// SilenceTimeout is the time in seconds after which a proxy without load reports, or an endpoint without a
+	// successful answer, counts as silent.
 	SilenceTimeout = 10.0
 )
 
--- a/assign/timing/timing_test.go
+++ b/assign/timing/timing_test.go
@@ -10,7 +10,7 @@
 	for _, test := range []struct {
 		name          string
 		sinceLastSeen float64 // time since the proxy or endpoint was last seen, in seconds
-		want          bool
+		want          bool    // whether the proxy or endpoint counts as silent
 	}{
 		{"seen now", 0, false},
 		{"silent for the timeout", 10, false},
--- a/assign/warming_test.go
+++ b/assign/warming_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestWarmingEndpointsGetNoWeightWhenRateLimitsAreIgnored covers proxies that ignore rate limits. Nothing protects a
-// warming endpoint from a burst there, so tables must have an entry of the endpoint only after its warm-up.
+// warming endpoint from a burst of such proxies, so tables must have an entry of the endpoint only after its warm-up.
 func TestWarmingEndpointsGetNoWeightWhenRateLimitsAreIgnored(t *testing.T) {
 	for mode, want := range map[AdmissionMode]bool{AdmitByRate: true, AdmitByRatio: true, AdmitAll: false} {
 		config := DefaultConfig()
@@ -29,7 +29,7 @@
 	sim := newFaultFreeModel(t)
 	for i, e := range sim.endpoints {
 		e.State = Removed
-		if i == 1 || i == 4 { // endpoints 1 and 4 are in zone y
+		if i == 1 || i == 4 { // endpoints 1 and 4 are in zone y and warm up
 			e.State, e.StartedAt = Ready, sim.now-3.5
 		}
 	}
--- a/assign/zone.go
+++ b/assign/zone.go
@@ -12,16 +12,24 @@
 
 // zone is the record of a zone in which an endpoint was listed or a proxy connected.
 type zone struct {
-	name string // set by Assigner.getOrCreateZone and not changed afterwards
-
-	// Written by recompute.
-	overloaded         bool                       // whether the endpoints of the zone are overloaded; see locality.IsOverloaded
-	excludeWarming     bool                       // whether tables hold no warming endpoints; see subset.ExcludeWarming
-	busyFraction       float64                    // mean busy fraction of the zone's ready and verified endpoints; 1 means full
-	readyWeight        float64                    // sum of the listed weights of the zone's ready and verified endpoints
-	peakWeight         float64                    // maximum of readyWeight so far
-	defaultNeedAnyZone assignment.ReplacementNeed // whether default tables with endpoints of any zone have to be replaced
-	defaultNeedOwnZone assignment.ReplacementNeed // whether default tables with only endpoints of the zone have to be replaced
+	name string // name of the zone; set by Assigner.getOrCreateZone and not changed afterwards
+
+	// The fields from overloaded to defaultNeedOwnZone are written by recompute.
+
+	// Whether the endpoints of the zone are overloaded; see locality.IsOverloaded.
+	overloaded bool
+	// Whether tables hold no warming endpoints; see subset.ExcludeWarming.
+	excludeWarming bool
+	// Mean busy fraction of the zone's ready and verified endpoints; 1 means full.
+	busyFraction float64
+	// Sum of the listed weights of the zone's ready and verified endpoints.
+	readyWeight float64
+	// Highest value that readyWeight has had so far.
+	peakWeight float64
+	// Whether default tables with endpoints of any zone have to be replaced, and how urgently.
+	defaultNeedAnyZone assignment.ReplacementNeed
+	// Whether default tables with only endpoints of the zone have to be replaced, and how urgently.
+	defaultNeedOwnZone assignment.ReplacementNeed
 
 	tablePlans map[*tableGroup]*tablePlan // table plan of each table group; written by planFor, discarded by recompute
 
@@ -35,7 +43,7 @@
 	spillover locality.Spillover // spill-over of the zone's traffic to other zones; written by adjustSpillover
 }
 
-// getOrCreateZone returns the record of the zone with a name. It creates the record if there is none.
+// getOrCreateZone returns the record of the zone with the given name. It creates the record if there is none.
 func (a *Assigner) getOrCreateZone(name string) *zone {
 	i := slices.IndexFunc(a.zones, func(z *zone) bool { return z.name == name })
 	if i < 0 {
@@ -46,7 +54,7 @@
 }
 
 // recompute computes the state of the zone from the endpoints as the proxies of the zone observe them. It discards the
-// existing table plans.
+// table plans of the zone.
 func (z *zone) recompute(assigner *Assigner) {
 	z.tablePlans = map[*tableGroup]*tablePlan{}
 	z.defaultNeedAnyZone = assignment.KeepDefault
@@ -80,8 +88,8 @@
 	z.excludeWarming = subset.ExcludeWarming(summary.MostWarmAttemptsFail(), assigner.tableSize.Entries)
 }
 
-// defaultTableNeed returns whether a default table of a proxy in the zone has to be replaced, and how urgently. Local
-// is true if the table holds only endpoints of the zone.
+// defaultTableNeed returns whether a default table of a proxy in the zone has to be replaced, and how urgently. The
+// parameter local states whether the table holds only endpoints of the zone.
 func (z *zone) defaultTableNeed(local bool) assignment.ReplacementNeed {
 	if local {
 		return z.defaultNeedOwnZone
--- a/assign/zone_test.go
+++ b/assign/zone_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestSpilloverBalancesOverloadedZone covers a zone whose endpoints are full while those of other zones are not. The
-// assigner receives reports only from the proxies of this zone, and the reports are seconds old. Spill-over must move
-// just as much traffic to the other zones as balances the busy fractions, without oscillation.
+// TestSpilloverBalancesOverloadedZone covers a zone whose endpoints are full while the endpoints of other zones are
+// not. The assigner receives reports only from the proxies of this zone, and the reports are seconds old. Spill-over
+// must move just as much traffic to the other zones as balances the busy fractions, without oscillation.
 func TestSpilloverBalancesOverloadedZone(t *testing.T) {
 	sim := newFaultFreeModel(t)
 	zone, traffic, spillovers := sim.assigner.getOrCreateZone("x"), 1.6, []float64{0, 0, 0, 0}
--- a/cmd/madderhollow/assigner.go
+++ b/cmd/madderhollow/assigner.go
@@ -46,7 +46,7 @@
 // assigner holds the components of the program. Each component owns its connections and goroutines.
 type assigner struct {
 	config           *config.Config
-	baseLog          zerolog.Logger // base logger; each component adds its own name
+	baseLog          zerolog.Logger // base logger, to which each component adds its own name
 	assignerLog      zerolog.Logger // logger of the messages about the start and the end of the process
 	seedSource       *rand.Rand     // source of the seeds that listen and the components receive
 	startedAt        time.Time
@@ -59,10 +59,10 @@
 	orderClient      *relay.OrderClient
 	eventReader      *relay.EventReader
 	reportServer     *reportserver.Server
-	peerSocket       *peer.Socket // nil if config.PeerMessagesEnabled returns false
+	peerSocket       *peer.Socket // nil unless the configuration enables datagrams between assigners
 	eventLoop        *eventloop.Loop
 	reloader         *configreload.Reloader
-	statusAddress    string // host:port of the status page; empty: no status page
+	statusAddress    string // host:port of the status page; empty if there is no status page
 }
 
 // runAssigner runs an assigner until the context ends. Each signal on reloadSignals makes the assigner read its
@@ -71,11 +71,11 @@
 func runAssigner(ctx context.Context, cfg *config.Config, reloadSignals <-chan os.Signal, statusAddress string, logOutput io.Writer) error {
 	startedAt := time.Now()
 	codec := wire.NewCodec(cfg.Settings, eventloop.ClockZero(startedAt))
-	initial, err := codec.ConvertEndpointList(cfg.InitialEndpoints)
+	initialUpdate, err := codec.ConvertEndpointList(cfg.InitialEndpoints)
 	if err != nil {
 		return fmt.Errorf("configuration: initial endpoints: %w", err)
 	}
-	writerOnly := struct{ io.Writer }{logOutput} // hides the method Close, which the diode would call
+	writerOnly := struct{ io.Writer }{logOutput} // hides the method Close of logOutput, which logWriter would call
 	logWriter := diode.NewWriter(writerOnly, maxLogBuffered, logPollInterval, ignoreDroppedLines)
 	defer func() { _ = logWriter.Close() }() // an error of Close cannot be reported, because the log is closed
 	log := newLogger(logWriter, cfg.Name)
@@ -96,12 +96,12 @@
 		return err
 	}
 	defer func() { _ = listener.Close() }() // Close fails if the report server has already closed the listener
-	if err := assigner.createComponents(initial.Version); err != nil {
+	if err := assigner.createComponents(initialUpdate.Version); err != nil {
 		return err
 	}
 	// The components are not running yet. The assigner becomes ready when the report server starts, see runComponents.
-	assigner.assignerLog.Info().Int("endpoints", len(initial.Endpoints)).Int("version", initial.Version).Msg("started")
-	assigner.runComponents(ctx, initial, listener, reloadSignals)
+	assigner.assignerLog.Info().Int("endpoints", len(initialUpdate.Endpoints)).Int("version", initialUpdate.Version).Msg("started")
+	assigner.runComponents(ctx, initialUpdate, listener, reloadSignals)
 	assigner.assignerLog.Info().EmbedObject(assigner.collectCounters()).Msg("ended")
 	return nil
 }
@@ -231,7 +231,7 @@
 // order client ends only when the event loop has returned, so that the order client can send the event loop's last
 // orders. The report server starts after the event loop's first batch, because a client takes the answer to its ping
 // as a sign that the assigner is ready.
-func (a *assigner) runComponents(ctx context.Context, initial assign.EndpointUpdate, listener net.Listener, reloadSignals <-chan os.Signal) {
+func (a *assigner) runComponents(ctx context.Context, initialUpdate assign.EndpointUpdate, listener net.Listener, reloadSignals <-chan os.Signal) {
 	orderClientCtx, stopOrderClient := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopOrderClient()
 	firstBatchHandled := make(chan struct{})
@@ -249,7 +249,7 @@
 	}
 	components.add("event loop", func(ctx context.Context) {
 		defer stopOrderClient()
-		a.eventLoop.Run(ctx, []assign.Event{initial}, func() { close(firstBatchHandled) })
+		a.eventLoop.Run(ctx, []assign.Event{initialUpdate}, func() { close(firstBatchHandled) })
 	})
 	components.add("report server", func(ctx context.Context) {
 		<-firstBatchHandled
--- a/cmd/madderhollow/assigner_test.go
+++ b/cmd/madderhollow/assigner_test.go
@@ -31,13 +31,13 @@
 	var callCount, requestCount atomic.Int32
 	faults := []relaytest.Fault{relaytest.AbortBeforeApplying, relaytest.MalformedResponse, relaytest.AbortAfterApplying, relaytest.HangBeforeApplying, relaytest.NoFault}
 	p.relay.SetFault(func([]string) relaytest.Fault { return faults[min(callCount.Add(1)-1, 4)] })
-	p.relay.AbortStreamsMidEvent(25) // the first 25 bytes of an event end within its data
+	p.relay.AbortStreamsMidEvent(25) // breaks the stream after 25 bytes of an event, within its data
 	p.agent.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
-		garbled := requestCount.Add(1) < 3
-		if garbled {
+		isGarbled := requestCount.Add(1) < 3
+		if isGarbled {
 			_, _ = io.WriteString(w, "}")
 		}
-		return garbled
+		return isGarbled
 	})
 }
 
@@ -65,18 +65,18 @@
 
 // hasRateLimit reports whether any table limits the rate of a request class. An order with the limit
 // 1000000000 requests/s removes the limit of a class.
-func (p *platform) hasRateLimit() (limited bool) {
+func (p *platform) hasRateLimit() (isLimited bool) {
 	p.relay.Inspect(func(state *relaytest.State) {
 		for _, limit := range state.RateLimits {
-			limited = limited || limit != "1000000000"
+			isLimited = isLimited || limit != "1000000000"
 		}
 	})
-	return limited
+	return isLimited
 }
 
 // An assigner must send correct orders throughout the life of its process. It attaches tables to new proxies, and
-// removes a draining endpoint from all tables even after calls, the event stream and discovery have failed. It sets
-// rate limits under overload and exits with status 0 at SIGTERM. Each line of its log is JSON.
+// removes a draining endpoint from all tables even after calls to the relay, the event stream and discovery have
+// failed. It sets rate limits under overload and exits with status 0 at SIGTERM. Each line of its log is JSON.
 func TestAssignerSendsOrdersDuringFaultsAndOverload(t *testing.T) {
 	platform, process := startWithAttachedProxies(t)
 	platform.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
@@ -113,7 +113,7 @@
 		}
 	})
 	reload := func() { process.signal(t, syscall.SIGHUP) }
-	reload() // the configuration file has not changed
+	reload() // reloads a configuration file that has not changed
 	for i := range 3 {
 		platform.moveRelayAndDiscovery(t, 200*time.Millisecond)
 		if i > 0 {
@@ -134,7 +134,7 @@
 	}
 	platform.relay.Inspect(func(state *relaytest.State) {
 		for id, proxy := range state.Proxies {
-			// The limit of 8 messages allows for three drains and for the changes of weights that follow them.
+			// The limit of 8 messages to a proxy allows for three drains and for the changes of weights after them.
 			if n := len(proxy.MessageTimes); n > 8 {
 				t.Errorf("proxy %d: got %d messages, want at most 8", id, n)
 			}
@@ -185,7 +185,9 @@
 	}
 	startAndStop()
 	goroutines, descriptors := 0, 0
-	eventually.True(testTimeout, func() bool { // waits because the fakes close their connections in the background
+	// The numbers of goroutines and file descriptors must be stable first, because the fakes close their connections in
+	// the background.
+	eventually.True(testTimeout, func() bool {
 		currentGoroutines, currentDescriptors := runtime.NumGoroutine(), countOpenDescriptors(t)
 		stable := currentGoroutines == goroutines && currentDescriptors == descriptors
 		goroutines, descriptors = currentGoroutines, currentDescriptors
@@ -203,11 +205,11 @@
 // of text that states the error.
 func TestUnusableConfigurationIsRefused(t *testing.T) {
 	platform := newPlatform(t)
-	valid, err := os.ReadFile(platform.configPath)
+	validText, err := os.ReadFile(platform.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	withReplacement := func(text, replacement string) string { return strings.Replace(string(valid), text, replacement, 1) }
+	withReplacement := func(text, replacement string) string { return strings.Replace(string(validText), text, replacement, 1) }
 	for name, content := range map[string]string{
 		"no JSON object":           "{",
 		"no relay":                 withReplacement(`"relay"`, `"x"`),
--- a/cmd/madderhollow/documents_test.go
+++ b/cmd/madderhollow/documents_test.go
@@ -45,10 +45,10 @@
 // A page of the documentation must not name a test that does not exist, for instance after the test has been renamed.
 func TestDocumentsNameExistingTests(t *testing.T) {
 	mention := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`)
-	existing := testNames(t)
+	existingTests := testNames(t)
 	for _, page := range []string{"docs/architecture.md", "docs/failures.md", "docs/on-call.md", "README.md", "CONTRIBUTING.md"} {
 		for _, name := range mention.FindAllString(readFile(t, filepath.Join(moduleRoot, page)), -1) {
-			if !existing[name] {
+			if !existingTests[name] {
 				t.Errorf("%s: got the test name %s, want the name of an existing test", page, name)
 			}
 		}
--- a/cmd/madderhollow/harness_test.go
+++ b/cmd/madderhollow/harness_test.go
@@ -57,13 +57,13 @@
 type assignerProcess struct {
 	*exec.Cmd
 	log     *logBuffer    // standard output and standard error of the process
-	exited  chan struct{} // closed once the process has exited and exitErr is set
+	exited  chan struct{} // channel that is closed once the process has exited and exitErr is set
 	exitErr error         // result of Cmd.Wait; may be read only after exited is closed
 }
 
 // logBuffer collects the log of a process. It is safe for concurrent use.
 type logBuffer struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards buffer
 	buffer bytes.Buffer
 }
 
@@ -103,7 +103,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { // ends when the process exits
+	go func() { // the goroutine ends when the process exits
 		p.exitErr = p.Wait()
 		close(p.exited)
 	}()
@@ -328,13 +328,13 @@
 	}
 }
 
-// mustAttachTables waits until every proxy has tables that do not contain the endpoint named without, and ends the
-// test if that takes longer than testTimeout. If without is empty, the tables may contain any endpoint. The failure
-// message begins with phase, which describes the point in the test.
-func (p *platform) mustAttachTables(t *testing.T, process *assignerProcess, without, phase string) {
+// mustAttachTables waits until every proxy has tables that do not contain the endpoint excludedEndpoint, and
+// ends the test if that takes longer than testTimeout. If excludedEndpoint is empty, the tables may contain any
+// endpoint. The failure message begins with the parameter phase, which describes the point in the test.
+func (p *platform) mustAttachTables(t *testing.T, process *assignerProcess, excludedEndpoint, phase string) {
 	t.Helper()
-	if !eventually.True(testTimeout, func() bool { return p.relay.AllProxiesAttached(without) }) {
-		t.Fatalf("%s: got proxies without tables, or with endpoint %q in their tables, after %v; want no such proxy\n%s", phase, without, testTimeout, process.killAndReadLog())
+	if !eventually.True(testTimeout, func() bool { return p.relay.AllProxiesAttached(excludedEndpoint) }) {
+		t.Fatalf("%s: got proxies without tables, or with endpoint %q in their tables, after %v; want no such proxy\n%s", phase, excludedEndpoint, testTimeout, process.killAndReadLog())
 	}
 }
 
--- a/cmd/madderhollow/main.go
+++ b/cmd/madderhollow/main.go
@@ -27,8 +27,8 @@
 // Exit codes of the process.
 const (
 	exitOK            = 0
-	exitFailure       = 1 // the listener could not be bound, or a component could not be created
-	exitConfiguration = 2 // invalid arguments or configuration; the Go runtime also uses it after a panic
+	exitFailure       = 1 // exit code if the listener could not be bound or a component could not be created
+	exitConfiguration = 2 // exit code for invalid arguments or configuration; the Go runtime also uses 2 after a panic
 )
 
 const (
@@ -57,7 +57,7 @@
 	signal.Notify(terminationSignals, syscall.SIGTERM, os.Interrupt)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { // runs until the first signal or the exit of the process
+	go func() { // the goroutine runs until the first termination signal or the exit of the process
 		<-terminationSignals
 		cancel()
 	}()
--- a/cmd/madderhollow/oncall_test.go
+++ b/cmd/madderhollow/oncall_test.go
@@ -21,8 +21,8 @@
 // sourceMessage is a log message in the source code.
 type sourceMessage struct {
 	text       string
-	level      string         // log level; empty if the expression that logs the message does not state it
-	components []string       // components of the package, one of which logs the message
+	level      string         // log level of the message; empty if the source code does not state it at the message
+	components []string       // log components of the package; the message belongs to one of them
 	location   token.Position // place of the message in the source code
 }
 
@@ -34,7 +34,7 @@
 type sourcePackage struct {
 	fileSet        *token.FileSet
 	decisionModule bool     // whether the directory belongs to the decision module
-	components     []string // arguments of Str("component", "...")
+	components     []string // names of the log components, from calls of Str("component", "...")
 	messages       []sourceMessage
 	errors         []string // places in the source code where a message cannot be read, each with the reason
 }
@@ -241,7 +241,7 @@
 // listedMessages returns the log messages that the on-call page lists.
 func listedMessages(t *testing.T) (messages []listedMessage) {
 	t.Helper()
-	const columns = 6 // the columns are component, level, message, fields, meaning and action
+	const columns = 6 // number of columns: component, level, message, fields, meaning and action
 	for _, row := range tableRows(t, "Log messages") {
 		if len(row) != columns {
 			t.Errorf("got a row with %d cells, want %d: %q", len(row), columns, row)
@@ -259,15 +259,15 @@
 // The on-call page must list exactly the log messages of the source code, each with its component and level. An
 // operator looks up messages on the page.
 func TestOnCallPageListsLogMessages(t *testing.T) {
-	onPage, inSource := listedMessages(t), sourceMessages(t)
-	for _, message := range inSource {
-		if !slices.ContainsFunc(onPage, func(entry listedMessage) bool { return entry.matches(message) }) {
+	messagesOnPage, messagesInSource := listedMessages(t), sourceMessages(t)
+	for _, message := range messagesInSource {
+		if !slices.ContainsFunc(messagesOnPage, func(entry listedMessage) bool { return entry.matches(message) }) {
 			t.Errorf("%v: got a message that is not on the page, want it listed: message %q, level %q, one of the components %q",
 				message.location, message.text, message.level, message.components)
 		}
 	}
-	for _, entry := range onPage {
-		if !slices.ContainsFunc(inSource, entry.matches) {
+	for _, entry := range messagesOnPage {
+		if !slices.ContainsFunc(messagesInSource, entry.matches) {
 			t.Errorf("got a listed message that is not in the source code, want only messages of the source code: %+v", entry)
 		}
 	}
@@ -279,7 +279,7 @@
 	for _, entry := range listedMessages(t) {
 		messages = append(messages, entry.text)
 	}
-	// Only messages contain spaces; names of counters and fields do not.
+	// Only quoted messages contain spaces; quoted names of counters and fields do not.
 	quotedMessage := regexp.MustCompile("`([^`]* [^`]*)`")
 	for _, row := range tableRows(t, "Symptoms") {
 		for _, match := range quotedMessage.FindAllStringSubmatch(row[0], -1) {
--- a/cmd/madderhollow/restart_soak_test.go
+++ b/cmd/madderhollow/restart_soak_test.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// killDelay is the shortest time from SIGTERM to SIGKILL that the platform allows. The process must exit within
-	// it.
+	// killDelay is the shortest time from SIGTERM to SIGKILL that the platform allows. The process must exit within this
+	// time.
 	killDelay = 700 * time.Millisecond
 	// maxReadyTime is the maximum time from the start of a process to the last pong to its collectors.
 	maxReadyTime = 10 * time.Second
@@ -36,8 +36,8 @@
 	// manyClients clients use most of the assigner's file descriptors.
 	fewClients  = 8
 	manyClients = 150
-	// resetDelay is the time to wait for a TCP reset after the end of a connection. It is
-	// long enough if both ends of the connection are on the same machine.
+	// resetDelay is the time to wait for a TCP reset after the end of a connection. It is long enough if both ends of
+	// the connection are on the same machine.
 	resetDelay = 20 * time.Millisecond
 )
 
@@ -50,15 +50,15 @@
 // restartSoak is an assigner that is restarted and killed while clients use it, and the platform on which it runs.
 type restartSoak struct {
 	*platform
-	random  *rand.Rand       // source of all random choices except the faults of calls
-	process *assignerProcess // the current process, set by startAndAwaitReady
+	random  *rand.Rand       // source of all random choices except the faults of calls to the relay
+	process *assignerProcess // current process of the assigner, set by startAndAwaitReady
 }
 
 // pinger is a client that sends pings over one connection for as long as the connection stays open.
 type pinger struct {
 	conn          *net.TCPConn
 	pongCount     int   // number of answered pings
-	unansweredErr error // describes the ping that the assigner read and did not answer; nil if there is none
+	unansweredErr error // error for a ping that the assigner read but did not answer; nil if there is no such ping
 }
 
 // pingUntilClosed sends a ping after each pong until the connection ends. It then determines whether the assigner has
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	var pingers []*pinger
-	var running sync.WaitGroup
+	var runningPingers sync.WaitGroup
 	for range count {
 		conn, err := net.DialTCP("tcp", nil, address)
 		if err != nil {
@@ -117,14 +117,14 @@
 		}
 		client := &pinger{conn: conn}
 		pingers = append(pingers, client)
-		running.Add(1)
-		go func() { // ends when the client's connection ends, at the latest when the process is killed
-			defer running.Done()
+		runningPingers.Add(1)
+		go func() { // the goroutine ends with the client's connection, at the latest when the process is killed
+			defer runningPingers.Done()
 			client.pingUntilClosed()
 		}()
 	}
 	return func() []*pinger {
-		running.Wait()
+		runningPingers.Wait()
 		return pingers
 	}
 }
@@ -149,7 +149,7 @@
 func (s *restartSoak) generateLoad(steps int) {
 	for step := range steps {
 		for _, collector := range s.collectors {
-			// Write errors are ignored, because a collector fails once its connection is closed.
+			// Write errors are ignored, because all writes of a collector fail once its connection is closed.
 			_ = collector.ReportEndpointLoad(fmt.Sprint("s-", step%12), 20, s.random.Intn(10), 200, 0.5)
 			_ = collector.ReportProxyTraffic(step%6, "read", 20)
 		}
@@ -157,7 +157,7 @@
 			state := []string{discoverytest.Ready, discoverytest.Draining}[s.random.Intn(2)]
 			s.agent.PutEndpoints(newEndpoint(fmt.Sprint("s-", 1+step%11), zoneOf(1+step%11), state))
 		}
-		time.Sleep(2 * time.Millisecond) // limits the rate of reports
+		time.Sleep(2 * time.Millisecond) // the pause limits the rate of reports
 	}
 }
 
@@ -168,8 +168,8 @@
 	t.Helper()
 	shutdown := []struct {
 		name    string
-		signals []os.Signal   // signals in the order in which they are sent; nil: SIGKILL
-		pause   time.Duration // pause between two signals
+		signals []os.Signal   // signals in the order in which they are sent; nil if SIGKILL is sent instead
+		pause   time.Duration // time between two signals of the sequence
 	}{
 		{"terminated", []os.Signal{terminationSignal}, 0},
 		{"terminated twice", []os.Signal{terminationSignal, terminationSignal}, 30 * time.Millisecond},
@@ -179,7 +179,7 @@
 	}[s.random.Intn(5)]
 	for i, signal := range shutdown.signals {
 		if i > 0 {
-			time.Sleep(shutdown.pause) // the process receives the signals of a sequence separately
+			time.Sleep(shutdown.pause) // the pause makes the process receive the signals separately
 		}
 		_ = s.process.Process.Signal(signal) // Signal fails if the process has already exited
 	}
@@ -247,7 +247,8 @@
 		restarts.generateLoad(50 + restarts.random.Intn(100))
 		shutdown := restarts.endProcess(t)
 		checkRequestsAnswered(t, shutdown, waitForClients())
-		for proxy := range 6 { // disconnects all proxies, because the event streams end with the process
+		// All proxies are disconnected, because the relay's event streams to the process have ended with it.
+		for proxy := range 6 {
 			restarts.relay.Disconnect(proxy)
 		}
 		restarts.startAndAwaitReady(t)
--- a/cmd/madderhollow/soak_test.go
+++ b/cmd/madderhollow/soak_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// connectUnidentified replaces a random connection of s.unidentified, and sends an incomplete line over the new
+// connectUnidentified replaces a random connection of unidentifiedConns, and sends an incomplete line over the new
 // connection.
 func (s *soak) connectUnidentified(t *testing.T) {
 	t.Helper()
@@ -73,7 +73,7 @@
 	if s.unidentifiedConns[i], err = net.Dial("tcp", s.listenAddress); err != nil {
 		t.Fatal(err)
 	}
-	// The write fails if the assigner has already closed the connection.
+	// Errors are ignored, because the write fails if the assigner has already closed the connection.
 	_, _ = io.WriteString(s.unidentifiedConns[i], strings.Repeat("{", s.randomInt(5000)))
 }
 
@@ -85,7 +85,7 @@
 	proxy := step % 6
 	switch s.randomInt(40) {
 	case 0:
-		s.relay.AbortStreamsMidEvent(9) // the first 9 bytes of an event end within its type
+		s.relay.AbortStreamsMidEvent(9) // breaks the streams after 9 bytes of an event, within its type
 	case 1:
 		s.relay.Disconnect(proxy)
 		s.relay.Connect(proxy, zoneOf(proxy), 20, s.randomInt(2) == 0)
@@ -106,7 +106,7 @@
 // process.
 type resourceUsage struct{ goroutines, heapKB, descriptors float64 }
 
-// max returns the larger value of each resource.
+// max returns, for each resource, the larger of the values in r and other.
 func (r resourceUsage) max(other resourceUsage) resourceUsage {
 	return resourceUsage{max(r.goroutines, other.goroutines), max(r.heapKB, other.heapKB), max(r.descriptors, other.descriptors)}
 }
@@ -134,7 +134,7 @@
 		s.sendReports(step)
 		s.connectUnidentified(t)
 		s.changePlatform(t, step)
-		time.Sleep(2 * time.Millisecond) // limits the rate of changes
+		time.Sleep(2 * time.Millisecond) // limits the rate of reports and of changes to the platform
 		if step%100 != 99 {
 			continue
 		}
@@ -179,7 +179,9 @@
 	}
 	platform.relay.SetFault(nil)
 	platform.agent.PutEndpoints(newEndpoint("s-0", "x", discoverytest.Draining))
-	for i := range 6 { // a proxy with only its default tables may keep them, so these proxies hold other tables
+	// A proxy that holds only its default tables may keep them. The proxies therefore reconnect with other tables, so
+	// that the assigner has to attach new tables to them.
+	for i := range 6 {
 		platform.relay.Disconnect(i)
 		platform.relay.Connect(i, zoneOf(i), 20, false)
 	}
--- a/cmd/madderhollow/start_test.go
+++ b/cmd/madderhollow/start_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("open pipe: %w", err)
 	}
-	// EPIPE means that the reader has stopped reading early, which is allowed.
+	// EPIPE means that the process has stopped reading the pipe early, which is allowed.
 	if _, err := pipe.Write(text); err != nil && !errors.Is(err, syscall.EPIPE) {
 		return nil, errors.Join(err, pipe.Close())
 	}
@@ -48,24 +48,24 @@
 // and must not wait for the status page and the peer socket.
 func TestStartWhileAddressesInUse(t *testing.T) {
 	platform := newPlatform(t)
-	occupied := map[string]io.Closer{}
+	occupiedSockets := map[string]io.Closer{}
 	for address, network := range map[string]string{platform.listenAddress: "tcp", platform.statusAddress: "tcp", platform.peerAddress: "udp"} {
 		socket, err := bindSocket(network, address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		occupied[address] = socket
+		occupiedSockets[address] = socket
 	}
 	process := startAssigner(t, platform.configPath, "-status", platform.statusAddress)
 	if !eventually.True(testTimeout, func() bool { return strings.Contains(process.log.String(), platform.listenAddress) }) {
 		t.Fatalf("got no log line about the occupied address %s within %v, want one\n%s", platform.listenAddress, testTimeout, process.killAndReadLog())
 	}
-	mustClose(t, occupied[platform.listenAddress])
+	mustClose(t, occupiedSockets[platform.listenAddress])
 	platform.connectCollectors(t)
 	platform.relay.Connect(1, "x", 20, false)
 	platform.mustAttachTables(t, process, "", "before status page and peer socket are bound")
-	mustClose(t, occupied[platform.peerAddress])
-	mustClose(t, occupied[platform.statusAddress])
+	mustClose(t, occupiedSockets[platform.peerAddress])
+	mustClose(t, occupiedSockets[platform.statusAddress])
 	bothBound := eventually.True(testTimeout, func() bool {
 		_, err := platform.statusCounters()
 		return err == nil && strings.Contains(process.log.String(), "peer socket bound")
@@ -81,7 +81,7 @@
 // with a fake clock. In this test the retries may take testTimeout, which is long enough for a busy machine.
 func TestStartWhileConfigurationIncomplete(t *testing.T) {
 	platform := newPlatform(t)
-	complete, err := os.ReadFile(platform.configPath)
+	completeText, err := os.ReadFile(platform.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,21 +89,21 @@
 	process := newProcess(path)
 	process.Env = append(process.Env, retryTimeoutVariable+"="+testTimeout.String())
 	startProcess(t, process)
-	firstHalf, err := writeConfigPipe(path, complete[:len(complete)/2])
+	firstHalfPipe, err := writeConfigPipe(path, completeText[:len(completeText)/2])
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustClose(t, firstHalf)
+	mustClose(t, firstHalfPipe)
 	writerResult := make(chan error, 1)
 	var stopWriter atomic.Bool
 	// The program may read the complete text as a continuation of the first half. The combined text is invalid as
 	// well, so the program reads the pipe again. The goroutine therefore writes the complete text until the test sets
 	// stopWriter.
-	go func() { // ends after the test has set stopWriter and opened the pipe for reading, see below
+	go func() { // the goroutine ends after the test has set stopWriter and opened the pipe for reading
 		var err error
 		for !stopWriter.Load() && err == nil {
 			var pipe *os.File
-			if pipe, err = writeConfigPipe(path, complete); err == nil {
+			if pipe, err = writeConfigPipe(path, completeText); err == nil {
 				err = pipe.Close()
 			}
 		}
@@ -135,7 +135,7 @@
 			t.Parallel()
 			path := newConfigPipe(t)
 			process := startAssigner(t, path)
-			pipe, err := writeConfigPipe(path, []byte("{")) // returns once the program reads the configuration file
+			pipe, err := writeConfigPipe(path, []byte("{")) // returns once the program reads the pipe
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -197,11 +197,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { mustClose(t, listener) })
-	return nil // the test waits for the log line about the address
+	return nil // without a function hasBegun, the test waits for the log line about the address
 }
 
-// blockFirstListRequest makes the discovery agent respond to no request. The operation has begun once the agent has
-// received a request.
+// blockFirstListRequest makes the discovery agent respond to no request for the endpoint list. The operation has begun
+// once the agent has received a request.
 func blockFirstListRequest(_ *testing.T, p *platform) (hasBegun func() bool) {
 	requests := make(chan struct{}, 100)
 	p.agent.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
@@ -212,8 +212,8 @@
 	return func() bool { return len(requests) > 0 }
 }
 
-// blockCalls makes the relay respond to no call, and connects a proxy so that the assigner makes a call. The operation
-// has begun once the relay has received a call.
+// blockCalls makes the relay respond to no call, and connects a proxy so that the assigner sends orders to the relay in
+// a call. The operation has begun once the relay has received a call.
 func blockCalls(_ *testing.T, p *platform) (hasBegun func() bool) {
 	calls := make(chan struct{}, 100)
 	p.relay.SetFault(func([]string) relaytest.Fault { calls <- struct{}{}; return relaytest.HangAfterApplying })
@@ -247,7 +247,7 @@
 	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, writer.Fd(), setPipeSize, pageSize); errno != 0 {
 		t.Skip("the size of a pipe cannot be set on this system")
 	}
-	// Fills the pipe, so that the next log line of the program blocks.
+	// A write of pageSize bytes fills the pipe, so that the next log line of the program blocks.
 	if _, err := writer.Write(make([]byte, pageSize)); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/madderhollow/supervisor.go
+++ b/cmd/madderhollow/supervisor.go
@@ -8,8 +8,9 @@
 
 // component is a long-running function of the program.
 type component struct {
-	name string                // value of the profiling label "part" on the component's goroutines
-	run  func(context.Context) // must return after its context has ended; may first wait for another component
+	name string // value of the profiling label "part" on the component's goroutines
+	// run must return after its context has ended. Before it returns, it may wait for another component.
+	run func(context.Context)
 }
 
 // supervisor runs components, each in its own goroutine. It does not restart a component that has returned.
@@ -24,13 +25,13 @@
 // has no time limit, because the main package forces the exit of the process if a component blocks after the context
 // has ended.
 func (s *supervisor) run(ctx context.Context) {
-	var running sync.WaitGroup
-	for _, registered := range s.components {
-		running.Add(1)
-		go func() { // ends when the component returns
-			defer running.Done()
-			pprof.Do(ctx, pprof.Labels("part", registered.name), registered.run)
+	var runningComponents sync.WaitGroup
+	for _, registeredComponent := range s.components {
+		runningComponents.Add(1)
+		go func() { // the goroutine ends when the component returns
+			defer runningComponents.Done()
+			pprof.Do(ctx, pprof.Labels("part", registeredComponent.name), registeredComponent.run)
 		}()
 	}
-	running.Wait()
+	runningComponents.Wait()
 }
--- a/examples/demo/demo.go
+++ b/examples/demo/demo.go
@@ -89,10 +89,10 @@
 
 // load is the load that the collectors report for one second.
 type load struct {
-	requestsPerProxy int     // requests of class read at each proxy; class sign has a fifth of this number
-	failedAttempts   int     // failed attempts at each endpoint, out of requestsPerProxy/2 attempts
+	requestsPerProxy int     // number of requests of class read at each proxy; class sign has a fifth of it
+	failedAttempts   int     // number of failed attempts at each endpoint, out of requestsPerProxy/2 attempts
 	latencyMs        float64 // mean latency of the attempts, ms
-	busyFraction     float64 // busy fraction of each endpoint, from 0 to 1
+	busyFraction     float64 // fraction of each endpoint that is busy, from 0 to 1
 }
 
 // normalLoad returns a load that is low enough for the assigner to set no rate limit below the request rate.
@@ -100,18 +100,18 @@
 
 // reportForOneSecond makes the collectors report a load for all ready endpoints and all proxies, and sleeps for one
 // second.
-func (d *demo) reportForOneSecond(reported load) error {
+func (d *demo) reportForOneSecond(reportedLoad load) error {
 	for zone, collector := range d.collectors {
 		for _, endpoint := range d.agent.List().Endpoints {
 			if endpoint.State != discoverytest.Ready {
 				continue
 			}
-			if err := collector.ReportEndpointLoad(endpoint.Name, reported.requestsPerProxy/2, reported.failedAttempts, reported.latencyMs, reported.busyFraction); err != nil {
+			if err := collector.ReportEndpointLoad(endpoint.Name, reportedLoad.requestsPerProxy/2, reportedLoad.failedAttempts, reportedLoad.latencyMs, reportedLoad.busyFraction); err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
 		}
 		for _, proxy := range d.proxiesIn(zone) {
-			err := errors.Join(collector.ReportProxyTraffic(proxy, "read", reported.requestsPerProxy), collector.ReportProxyTraffic(proxy, "sign", reported.requestsPerProxy/5))
+			err := errors.Join(collector.ReportProxyTraffic(proxy, "read", reportedLoad.requestsPerProxy), collector.ReportProxyTraffic(proxy, "sign", reportedLoad.requestsPerProxy/5))
 			if err != nil {
 				return fmt.Errorf("send report: %w", err)
 			}
--- a/examples/demo/scenes.go
+++ b/examples/demo/scenes.go
@@ -123,17 +123,17 @@
 // moveAddresses moves discovery and the relay to the addresses in the configuration file at movedPath. It waits until
 // the assigner uses the new address of discovery, and then drains an endpoint.
 func (d *demo) moveAddresses(movedPath string) error {
-	moved, err := readConfig(movedPath)
+	movedConfig, err := readConfig(movedPath)
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(d.relay.Move(moved.Relay.Address, moveTimeout), d.agent.Move(moved.Discovery, moveTimeout)); err != nil {
+	if err := errors.Join(d.relay.Move(movedConfig.Relay.Address, moveTimeout), d.agent.Move(movedConfig.Discovery, moveTimeout)); err != nil {
 		return fmt.Errorf("move: %w", err)
 	}
 	d.printf("Discovery and the relay move to new addresses; open connections stay open for two minutes. In a third terminal, where PID is the assigner's process id:\n"+
 		"    cp %s mine.json && kill -HUP PID", movedPath)
-	if !eventually.True(moveTimeout, func() bool { return d.agent.LastRequestHost() == moved.Discovery }) {
-		return fmt.Errorf("%w %s", errNotMoved, moved.Discovery)
+	if !eventually.True(moveTimeout, func() bool { return d.agent.LastRequestHost() == movedConfig.Discovery }) {
+		return fmt.Errorf("%w %s", errNotMoved, movedConfig.Discovery)
 	}
 	d.printf("The assigner uses the new addresses.")
 	if err := d.drain(d.agent.List().Endpoints[1]); err != nil {
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -21,7 +21,7 @@
 	lastBaseDelay time.Duration // most recent delay before jitter was added; 0 after Reset
 }
 
-// New returns a Backoff whose delays double from min up to max, before jitter is added. min must be
+// New returns a Backoff whose delays, before jitter is added, double from min up to max. min must be
 // greater than 0. The seed determines the jitter.
 func New(minDelay, maxDelay time.Duration, seed int64) *Backoff {
 	return &Backoff{min: minDelay, max: maxDelay, random: rand.New(rand.NewSource(seed))}
--- a/internal/collectortest/collectortest.go
+++ b/internal/collectortest/collectortest.go
@@ -13,7 +13,7 @@
 	"madderhollow/internal/eventually"
 )
 
-// Errors for an assigner that does not respond as expected.
+// Errors that report that an assigner does not respond as expected.
 var (
 	ErrNotPong      = errors.New("response is not a pong")
 	ErrNotListening = errors.New("no assigner is listening")
@@ -47,7 +47,7 @@
 }
 
 // DialAll connects a collector for each zone and returns the collectors by zone. It returns once the assigner has
-// answered a ping from each of them. For each zone it retries the connection until the timeout has passed. The
+// answered a ping from each collector. For each zone it retries the connection until the timeout has passed. The
 // caller must close the collectors, including the collectors that DialAll returns together with an error.
 func DialAll(address string, timeout time.Duration, zones ...string) (map[string]*Collector, error) {
 	collectors := map[string]*Collector{}
--- a/internal/collectortest/example_test.go
+++ b/internal/collectortest/example_test.go
@@ -9,9 +9,10 @@
 	"madderhollow/internal/collectortest"
 )
 
-// Connects a collector, which identifies itself, and reports the requests of a request class at a proxy.
+// This example connects a collector to an assigner, identifies the collector, and reports the number of requests of a
+// request class at a proxy.
 func Example() {
-	listener, err := net.Listen("tcp", "127.0.0.1:0") // takes the place of an assigner
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // listener in place of an assigner
 	if err != nil {
 		log.Fatal(err)
 	}
--- a/internal/conditionlog/conditionlog.go
+++ b/internal/conditionlog/conditionlog.go
@@ -35,11 +35,11 @@
 // Condition tracks whether one error condition lasts and when it was last logged. Create it with New.
 type Condition struct {
 	config               Config
-	now                  func() time.Time // returns the current time; tests replace time.Now
+	now                  func() time.Time // function that returns the current time; time.Now except in tests
 	firstFailureAt       time.Time        // time of the first failed attempt; zero while the condition does not last
 	lastWarningAt        time.Time        // time of the last warning
-	failuresSinceWarning int              // failed attempts since the last warning
-	totalFailures        int              // failed attempts since firstFailureAt
+	failuresSinceWarning int              // number of failed attempts since the last warning
+	totalFailures        int              // number of failed attempts since firstFailureAt
 }
 
 // New returns a condition that has not begun.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,7 +29,7 @@
 // Config is the validated configuration of an assigner. It is not modified after Load. Addresses have the form
 // host:port, with an IP address as the host.
 type Config struct {
-	FilePath             string            // path of the configuration file; empty if the result of Parse
+	FilePath             string            // path of the configuration file; empty in a Config that Parse returned
 	Name                 string            // name of this assigner in its log
 	ListenAddress        string            // address at which collectors connect to this assigner
 	DiscoveryAddress     string            // address of the discovery agent
@@ -42,7 +42,7 @@
 	PeerAddresses        []string          // addresses of all assigners, indexed by assigner number; may be empty
 	PeerBroadcastAddress string            // address that reaches all assigners; empty if there is none
 	InitialEndpoints     wire.EndpointList // endpoint list to use until the first list from discovery
-	Settings             assign.Config     // configuration of the decision module
+	Settings             assign.Config     // configuration of the decision module (package assign)
 }
 
 // PeerMessagesEnabled reports whether the settings allow messages between assigners and the configuration lists the
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// Configuration files with one invalid or missing field. The fields that Parse checks before it are valid.
+// Contents of configuration files. The name of each constant states which field is invalid or missing. The fields that
+// Parse checks before that field are valid.
 const (
 	invalidSeed      = `{"seed":"x"}`
 	missingSettings  = `{"seed":"1"}`
@@ -65,16 +66,16 @@
 }
 
 func TestFieldConstantsMatchTags(t *testing.T) {
-	topLevel, nested := reflect.TypeFor[configFile](), reflect.TypeFor[relaySection]()
+	topLevelType, nestedType := reflect.TypeFor[configFile](), reflect.TypeFor[relaySection]()
 	for _, test := range []struct {
 		structType reflect.Type
 		field      string
 		want       string
 	}{
-		{topLevel, "Seed", seedField}, {topLevel, "Settings", settingsField}, {topLevel, "InitialEndpoints", initialEndpointsField},
-		{topLevel, "ListenAddress", listenField}, {topLevel, "DiscoveryAddress", discoveryField}, {topLevel, "Relay", relaySectionField},
-		{nested, "Address", strings.TrimPrefix(relayAddressField, relaySectionField+".")},
-		{topLevel, "PeerListenAddress", peerListenField}, {topLevel, "PeerAddresses", peersField}, {topLevel, "PeerBroadcastAddress", peersBroadcastField},
+		{topLevelType, "Seed", seedField}, {topLevelType, "Settings", settingsField}, {topLevelType, "InitialEndpoints", initialEndpointsField},
+		{topLevelType, "ListenAddress", listenField}, {topLevelType, "DiscoveryAddress", discoveryField}, {topLevelType, "Relay", relaySectionField},
+		{nestedType, "Address", strings.TrimPrefix(relayAddressField, relaySectionField+".")},
+		{topLevelType, "PeerListenAddress", peerListenField}, {topLevelType, "PeerAddresses", peersField}, {topLevelType, "PeerBroadcastAddress", peersBroadcastField},
 	} {
 		field, ok := test.structType.FieldByName(test.field)
 		if got := field.Tag.Get("json"); !ok || got != test.want {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -13,10 +13,10 @@
 
 // Names of environment variables.
 const (
-	pathVariable      = "EDGE_CONFIG"    // path of the configuration file
-	nameVariable      = "EDGE_NAME"      // overrides the field "name" of the file
-	listenVariable    = "EDGE_LISTEN"    // overrides the field "listen" of the file
-	discoveryVariable = "EDGE_DISCOVERY" // overrides the field "discovery" of the file
+	pathVariable      = "EDGE_CONFIG"    // variable with the path of the configuration file
+	nameVariable      = "EDGE_NAME"      // variable that overrides the field "name" of the configuration file
+	listenVariable    = "EDGE_LISTEN"    // variable that overrides the field "listen" of the configuration file
+	discoveryVariable = "EDGE_DISCOVERY" // variable that overrides the field "discovery" of the configuration file
 )
 
 // ErrPathNotSet is returned by Load and LoadWithRetry if the environment variable with the path of the configuration
@@ -26,9 +26,10 @@
 // RetryPolicy determines how LoadWithRetry repeats its attempts to load the file. Attempts are repeated because another
 // process may still be writing the file while the assigner starts.
 type RetryPolicy struct {
-	// Timeout is counted from the first attempt. The first attempt that fails after the timeout is the last one.
+	// Timeout is the time after the first attempt during which attempts are repeated. The first attempt that fails
+	// after the timeout is the last one.
 	Timeout time.Duration
-	// Interval is the time between two attempts.
+	// Interval is the time between two attempts to load the file.
 	Interval time.Duration
 	// Now returns the current time. It is required.
 	Now func() time.Time
@@ -43,12 +44,12 @@
 
 // LoadWithRetry calls Load repeatedly while the file is missing or invalid. It blocks until the file is valid, the
 // timeout of the policy has passed or the context ends. After the timeout it returns the error of the last attempt.
-// After the end of the context it returns the error of the context. It does not retry after ErrPathNotSet.
+// After the end of the context it returns the error of the context. It does not call Load again after ErrPathNotSet.
 func LoadWithRetry(ctx context.Context, env func(string) string, policy RetryPolicy) (*Config, error) {
-	end := policy.Now().Add(policy.Timeout)
+	deadline := policy.Now().Add(policy.Timeout)
 	for {
 		config, err := Load(env)
-		if err == nil || errors.Is(err, ErrPathNotSet) || policy.Now().After(end) {
+		if err == nil || errors.Is(err, ErrPathNotSet) || policy.Now().After(deadline) {
 			return config, err
 		}
 		if ctx.Err() != nil {
@@ -98,7 +99,8 @@
 	return config, nil
 }
 
-// overrideIfSet replaces the field by the value of an environment variable, unless the value is empty.
+// overrideIfSet replaces a field of the configuration by the value of an environment variable, unless the value is
+// empty.
 func overrideIfSet(field *string, value string) {
 	if value != "" {
 		*field = value
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// fakeClock is a clock that advances only while LoadWithRetry sleeps. Each sleep calls onSleep with the total time
-// slept.
+// fakeClock is a clock that advances only while LoadWithRetry sleeps. Each sleep calls onSleep with the total duration
+// of all sleeps so far.
 type fakeClock struct {
 	now     time.Time
 	onSleep func(slept time.Duration)
--- a/internal/config/update.go
+++ b/internal/config/update.go
@@ -10,7 +10,7 @@
 )
 
 // Update holds the fields of a changed configuration file that a running program can apply. A change of any other field
-// needs a restart, except the changes that changeNeedsNoRestart lists.
+// needs a restart, except the fields for which changeNeedsNoRestart returns true.
 type Update struct {
 	DiscoveryAddress string                     // address of the discovery agent, host:port
 	RelayAddress     string                     // address of the relay, host:port
@@ -35,15 +35,15 @@
 	return update, checkAddresses(fieldAddress{discoveryField, update.DiscoveryAddress}, fieldAddress{relayAddressField, update.RelayAddress})
 }
 
-// ChangesNeedingRestart compares the update's file with an earlier file. It returns the sorted names of the top-level
-// fields that were added or changed since then and whose change needs a restart. It does not return fields that were
-// removed. If before is nil, the result is nil.
-func (u *Update) ChangesNeedingRestart(before *Update) (fields []string) {
-	if before == nil {
+// ChangesNeedingRestart compares the file of this update with the file of an earlier update. It returns the sorted
+// names of the top-level fields that are new or changed and whose change needs a restart. It does not return the names
+// of removed fields. If earlierUpdate is nil, the result is nil.
+func (u *Update) ChangesNeedingRestart(earlierUpdate *Update) (fields []string) {
+	if earlierUpdate == nil {
 		return nil
 	}
 	for name, value := range u.fields {
-		if !changeNeedsNoRestart(name) && !bytes.Equal(value, before.fields[name]) {
+		if !changeNeedsNoRestart(name) && !bytes.Equal(value, earlierUpdate.fields[name]) {
 			fields = append(fields, name)
 		}
 	}
--- a/internal/config/update_test.go
+++ b/internal/config/update_test.go
@@ -12,19 +12,19 @@
 func TestChangesNeedingRestartReturnsChangedFields(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, validFile)
-	before, err := LoadUpdate(path)
+	updateBefore, err := LoadUpdate(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	writeFile(t, path, `{"name":"n9","discovery":"127.0.0.1:5","relay":{"address":"127.0.0.1:6"},"seed":"2","more":1}`)
-	after, err := LoadUpdate(path)
-	if err != nil || after.DiscoveryAddress != "127.0.0.1:5" || after.RelayAddress != "127.0.0.1:6" {
-		t.Fatalf("got %+v (%v), want the addresses of the new file", after, err)
+	updateAfter, err := LoadUpdate(path)
+	if err != nil || updateAfter.DiscoveryAddress != "127.0.0.1:5" || updateAfter.RelayAddress != "127.0.0.1:6" {
+		t.Fatalf("got %+v (%v), want the addresses of the new file", updateAfter, err)
 	}
-	if got, want := after.ChangesNeedingRestart(before), []string{"more", "name"}; !slices.Equal(got, want) {
+	if got, want := updateAfter.ChangesNeedingRestart(updateBefore), []string{"more", "name"}; !slices.Equal(got, want) {
 		t.Errorf("got fields %v, want %v", got, want)
 	}
-	if got := after.ChangesNeedingRestart(nil); got != nil {
+	if got := updateAfter.ChangesNeedingRestart(nil); got != nil {
 		t.Errorf("without an earlier file: got fields %v, want none", got)
 	}
 }
--- a/internal/configreload/configreload.go
+++ b/internal/configreload/configreload.go
@@ -36,8 +36,8 @@
 	Log              zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
 
-// Reloader reads the configuration file and sets the addresses. A Reloader is in one of the states idle and reloading.
-// Its transitions, with the state, the event and the next state, are:
+// Reloader reads the configuration file and sets the addresses of discovery and the relay. A Reloader is in one of the
+// states idle and reloading. Its transitions, with the state, the event and the next state, are:
 //
 //	idle       signal                                             -> reloading, until retryTimeout has passed
 //	reloading  signal                                             -> reloading, and the timeout starts again
@@ -51,9 +51,9 @@
 	discoveryAddress *handover.Address
 	relayAddress     *handover.Address
 	log              zerolog.Logger
-	initialFile      *config.Update // file content at the start of Run; nil if the file could not be read or parsed
+	initialFile      *config.Update // content of the file when Run started; nil if the file could not be read or parsed
 	deadline         time.Time      // time at which the reload in progress ends; zero in the state idle
-	lastLoggedError  string         // text of the last error that was logged in this reload, to log it only once
+	lastLoggedError  string         // text of the error that this reload logged last, to log the same error only once
 }
 
 // New returns a Reloader, which does nothing until Run is called.
@@ -67,12 +67,12 @@
 }
 
 // Run reloads the file at each signal until the context ends. It must be called only once. A missing or invalid file
-// leaves the addresses unchanged.
+// leaves the addresses of discovery and the relay unchanged.
 func (r *Reloader) Run(ctx context.Context, signals <-chan os.Signal) {
 	// The error is ignored. After an error, initialFile is nil or has an invalid address. If it is nil, the log does
 	// not list the fields that need a restart. The addresses of initialFile are not used.
 	r.initialFile, _ = config.LoadUpdate(r.filePath)
-	retryTimer := time.NewTimer(0) // fires once in the state idle, which has no effect
+	retryTimer := time.NewTimer(0) // the timer fires once in the state idle, which has no effect
 	defer retryTimer.Stop()
 	for {
 		select {
@@ -121,7 +121,8 @@
 	r.log.Info().Strs("needs_restart", update.ChangesNeedingRestart(r.initialFile)).Msg("configuration reload found no new address")
 }
 
-// setAddresses sets both addresses to those of the file, and reports whether at least one of them has changed.
+// setAddresses sets the addresses of discovery and the relay to the addresses in the file. It reports whether at least
+// one of them has changed.
 func (r *Reloader) setAddresses(update *config.Update) bool {
 	discoveryChanged := r.discoveryAddress.Set(update.DiscoveryAddress)
 	relayChanged := r.relayAddress.Set(update.RelayAddress)
--- a/internal/configreload/configreload_test.go
+++ b/internal/configreload/configreload_test.go
@@ -32,8 +32,8 @@
 	return fmt.Sprintf(`{"name":"n","discovery":%q,"relay":{"address":%q}}`, discovery, oldRelayAddress)
 }
 
-// newReloader returns a Reloader with the old addresses. Its configuration file, in a new temporary directory, does not
-// exist yet.
+// newReloader returns a Reloader with oldDiscoveryAddress and oldRelayAddress. Its configuration file, in a new
+// temporary directory, does not exist yet.
 func newReloader(t *testing.T, log zerolog.Logger) *Reloader {
 	t.Helper()
 	return New(Config{
@@ -56,7 +56,7 @@
 	const startedLine = "info: configuration reload started"
 	now := time.Now()
 	for name, test := range map[string]struct {
-		files         []string // file content at each attempt; an empty string leaves the file as it is, or missing
+		files         []string // content of the file at each attempt; an empty string does not change the file
 		startedAt     time.Time
 		wantReloading bool
 		wantDiscovery string
@@ -114,16 +114,16 @@
 	reloader := newReloader(t, zerolog.New(&output))
 	writeFile(t, reloader, configWithDiscovery(oldDiscoveryAddress))
 	ctx, cancel := context.WithCancel(t.Context())
-	signals, ended := make(chan os.Signal), make(chan struct{})
-	go func() { defer close(ended); reloader.Run(ctx, signals) }() // ends when the test cancels ctx
-	signals <- os.Interrupt                                        // blocks until Run has read the initial file
+	signals, runDone := make(chan os.Signal), make(chan struct{})
+	go func() { defer close(runDone); reloader.Run(ctx, signals) }() // Run returns when the test cancels ctx
+	signals <- os.Interrupt                                          // the send blocks until Run has read the file
 	writeFile(t, reloader, strings.Replace(configWithDiscovery(newDiscoveryAddress), `"n"`, `"m"`, 1))
 	current := func() string { address, _ := reloader.discoveryAddress.Current(); return address }
 	if !eventually.True(testTimeout, func() bool { return current() == newDiscoveryAddress }) {
 		t.Errorf("got discovery address %s after %v, want %s", current(), testTimeout, newDiscoveryAddress)
 	}
 	cancel()
-	<-ended
+	<-runDone
 	if want := `"needs_restart":["name"]`; !strings.Contains(output.String(), want) {
 		t.Errorf("got log\n%swant a line with %s", output.String(), want)
 	}
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	// longPollWait is the longest time that the agent may wait for a change before it responds to a long poll. A
-	// short wait is affordable because polls cost the agent nothing. The platform expects the assigner to know a
-	// change 2 s after the end of a wait. With a short wait, a dead connection is detected in time for the drain of
-	// an endpoint to be honored.
+	// longPollWait is the longest time that the agent may wait for a change before it responds to a long poll. A short
+	// wait is affordable because polls cost the agent nothing. The platform expects the assigner to know a change of
+	// the endpoint list 2 s after the end of a wait. With a short wait, a dead connection is detected in time for the
+	// drain of an endpoint to be honored.
 	longPollWait = time.Second
 	// responseTimeout is the longest time for a response in addition to the wait of a long poll. The agent is on the
 	// same machine and responds immediately.
@@ -34,12 +34,12 @@
 	dialTimeout = 500 * time.Millisecond
 	// maxResponseBytes is the maximum size of a response body in bytes. A list of a thousand endpoints takes 200 KB.
 	maxResponseBytes = 8 << 20
-	// responseMemoryDivisor limits a response body further, to the memory limit of the process divided by this number.
-	// The reason is that reading a response takes several times its size in memory.
+	// responseMemoryDivisor limits a response body further: its maximum size is the memory limit of the process divided
+	// by responseMemoryDivisor. The reason is that reading a response takes several times its size in memory.
 	responseMemoryDivisor = 32
 )
 
-// Errors of a response or of the connection on which it arrived.
+// Errors of a response from the agent or of the connection on which the response arrived.
 var (
 	// ErrResponseTooLarge reports a response body that exceeds the size limit.
 	ErrResponseTooLarge = errors.New("response too large")
@@ -47,7 +47,8 @@
 	ErrConnectionClosed = errors.New("connection closed by agent")
 )
 
-// maxResponseSize returns the maximum size of a response body in bytes, for a process with a memory limit in MiB.
+// maxResponseSize returns the maximum size of a response body in bytes. The parameter memoryLimitMB is the memory limit
+// of the process in MiB.
 func maxResponseSize(memoryLimitMB int) int64 {
 	return int64(min(maxResponseBytes, memoryLimitMB<<20/responseMemoryDivisor))
 }
@@ -55,9 +56,9 @@
 // listRequest is a request for the full list, or for the changes after a version.
 type listRequest struct {
 	full         bool // whether the request is for the full list
-	afterVersion int  // version after which changes are requested; unused if full is set
-	// fullListCalls is the number of calls of Watcher.RequestFullList before this request was created. If full is
-	// set, the response to this request fulfills these calls.
+	afterVersion int  // version after which changes are requested; unused if the field full is true
+	// fullListCalls is the number of calls of Watcher.RequestFullList before this listRequest was created. If the field
+	// full is true, the response fulfills these calls.
 	fullListCalls int64
 }
 
@@ -66,14 +67,14 @@
 // Watcher.handlePoll sets nextRequest, or rejection if it rejects the update.
 type pollState struct {
 	address     string                // address of the agent
-	hasUpdate   bool                  // whether a response was received, so that update is set
-	update      assign.EndpointUpdate // content of the last response
-	nextRequest listRequest           // request to send next, set by Watcher.handlePoll
-	rejection   error                 // reason for the rejection of update, set by Watcher.handlePoll; nil if accepted
+	hasUpdate   bool                  // whether a response was received, so that the field update is set
+	update      assign.EndpointUpdate // update in the last response
+	nextRequest listRequest           // request to send next, which Watcher.handlePoll sets
+	rejection   error                 // reason why Watcher.handlePoll rejected the update; nil if it did not
 }
 
 // pollAgent polls the agent at an address over one connection, until a request fails, a response is rejected, the agent
-// closes the connection or the context ends. It returns the reason for its end, which is never nil. It is used as the
+// closes the connection or the context ends. It returns the reason why it ended, which is never nil. It is used as the
 // Open function of a handover.Source.
 func (w *Watcher) pollAgent(ctx context.Context, address string, deliver func(*pollState) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
@@ -83,7 +84,7 @@
 	defer func() { _ = conn.Close() }() // the connection is not used again, so an error from Close has no effect
 	defer conn.CloseOnContextDone(ctx)()
 	poll := &pollState{address: address}
-	if !deliver(poll) { // handlePoll sets the first request
+	if !deliver(poll) { // Watcher.handlePoll sets poll.nextRequest to the first request
 		return fmt.Errorf("agent %s: %w", address, ctx.Err())
 	}
 	for {
@@ -93,7 +94,7 @@
 		}
 		poll.hasUpdate = true
 		poll.update = update
-		if !deliver(poll) { // handlePoll may still be using poll, so poll must not be accessed after this point
+		if !deliver(poll) { // Watcher.handlePoll may still be using poll, so poll must not be accessed below
 			return fmt.Errorf("agent %s: %w", address, ctx.Err())
 		}
 		if poll.rejection != nil {
@@ -137,7 +138,7 @@
 // is not OK.
 func (w *Watcher) readResponseBody(response *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, w.maxResponseSize+1))
-	if int64(len(body)) > w.maxResponseSize { // the rest is not read, because the caller closes the connection
+	if int64(len(body)) > w.maxResponseSize { // the rest of the body is not read; the caller closes the connection
 		return nil, ErrResponseTooLarge
 	}
 	if err := errors.Join(err, response.Body.Close()); err != nil {
--- a/internal/discovery/version.go
+++ b/internal/discovery/version.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// minRejectedRegressions is the number of updates with a lower version that are rejected before a full list with
-	// a lower version is accepted. Each rejected full list counts. Rejected changes count only if they are the first
-	// of the rejected updates.
+	// minRejectedRegressions is the number of updates with a lower version than the current endpoint list that are
+	// rejected before a full list with a lower version is accepted. Each rejected full list counts. Rejected changes
+	// count only if they are the first of the rejected updates.
 	minRejectedRegressions = 3
 	// minRegressionDuration is the time that must pass between the first rejected update and the acceptance of a full
-	// list with a lower version, if the current list came from discovery. Without this delay, a list from an agent
-	// that is out of date for a shorter time would bring back endpoints that were removed.
+	// list with a lower version, if the current endpoint list came from discovery. Without this delay, a list from an
+	// agent that is out of date for a shorter time would bring back endpoints that were removed.
 	minRegressionDuration = 2 * time.Second
 )
 
 // Errors of rejected updates.
 var (
-	// ErrVersionRegressed reports an update whose version is lower than the version of the current list.
+	// ErrVersionRegressed reports an update whose version is lower than the version of the current endpoint list.
 	ErrVersionRegressed = errors.New("list version regressed")
 	// ErrFullListMissing reports an update with changes before the first full list from discovery.
 	ErrFullListMissing = errors.New("changes received instead of the full list")
@@ -52,8 +52,8 @@
 // minRejectedRegressions updates were counted as rejected before it. The second case is that the current list came
 // from discovery and less than minRegressionDuration has passed since the first of these rejections.
 type versionTracker struct {
-	currentVersion int  // version of the current list
-	synced         bool // whether the current list came from discovery, instead of from the configuration
+	currentVersion int  // version of the current endpoint list
+	synced         bool // whether the current endpoint list came from discovery, instead of from the configuration
 	// regressions is the number of consecutive full lists that were rejected for their lower versions. Changes with a
 	// lower version are counted only if they are the first of the rejected updates. regressions is above 0 in the
 	// state regressed.
@@ -61,7 +61,7 @@
 	firstRegressionTime time.Time // time of the first update that is counted in regressions
 }
 
-// needsFullList reports whether the full list must be requested instead of changes.
+// needsFullList reports whether the next request must be for the full endpoint list instead of changes.
 func (t *versionTracker) needsFullList() bool { return !t.synced || t.regressions > 0 }
 
 // checkUpdate returns nil if an update that was received at the time now may be applied. Otherwise it returns an
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// recordApplied records that an update with the given version was applied.
+// recordApplied records that an update with the given version was applied to the endpoint list.
 func (t *versionTracker) recordApplied(version int) {
 	*t = versionTracker{currentVersion: version, synced: true}
 }
--- a/internal/discovery/version_test.go
+++ b/internal/discovery/version_test.go
@@ -8,11 +8,10 @@
 	"madderhollow/assign"
 )
 
-// startVersion is the version of the current list at the start of each test case.
+// startVersion is the version of the current endpoint list at the start of each test case.
 const startVersion = 10
 
-// versionedResponse is a response of an agent with an update, and the error that checkUpdate must return for the
-// update.
+// versionedResponse is the update in a response of an agent, and the error that checkUpdate must return for the update.
 type versionedResponse struct {
 	listVersion   int
 	full          bool
@@ -20,8 +19,8 @@
 	wantError     error
 }
 
-// versionCase is a sequence of responses, and whether the current list at the start came from discovery (synced) or
-// from the configuration.
+// versionCase is a test case with a sequence of responses. The field synced states whether the current endpoint list at
+// the start came from discovery instead of from the configuration.
 type versionCase struct {
 	synced    bool
 	responses []versionedResponse
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,6 @@
 // Package discovery is the client of the discovery agent. It requests the full endpoint list and then long-polls for
-// changes after the version that it has, so that no change is missed. It passes each update to the decision module.
+// changes after the version that it has, so that no change is missed. It passes each update to the decision module
+// (package assign).
 //
 // Watcher, in watcher.go, owns the connections to the agent. connection.go sends the requests and reads the responses.
 // versionTracker, in version.go, decides which updates are applied.
@@ -22,9 +23,9 @@
 	"madderhollow/internal/wire"
 )
 
-// minRetryDelay and maxRetryDelay are the bounds of the delay between a failed attempt to watch the list and the next
-// one, before jitter. The platform expects the assigner to know a change 6 s after a failure. The time within which
-// proxies must stop sending to a draining endpoint may be as short as 3 s.
+// minRetryDelay and maxRetryDelay are the bounds of the delay between a failed attempt to watch the endpoint list and
+// the next attempt, before jitter. The platform expects the assigner to know a change of the list 6 s after a failure.
+// The time within which proxies must stop sending to a draining endpoint may be as short as 3 s.
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 300 * time.Millisecond
@@ -39,8 +40,8 @@
 	Address        *handover.Address // address of the agent, which may change at any time; required
 	InitialVersion int               // version of the endpoint list in the configuration; 0 if there is none
 	Codec          *wire.Codec       // decoder of the agent's responses; required
-	Sink           eventqueue.Sink   // receives each assign.EndpointUpdate, in the goroutine of Run; required
-	MemoryLimitMB  int               // memory limit of the process in MiB, at least 1; also limits each response
+	Sink           eventqueue.Sink   // function to which Run passes each assign.EndpointUpdate; required
+	MemoryLimitMB  int               // memory limit of the process in MiB, at least 1; it limits each response, too
 	Seed           int64             // seed of the jitter of the delays between attempts; any value is valid
 	Log            zerolog.Logger    // logger to which New adds the field "component"; the zero value logs nothing
 }
@@ -55,16 +56,16 @@
 	retryBackoff    *backoff.Backoff
 	maxResponseSize int64 // maximum size of a response body in bytes
 
-	// reportFailures is set if the decision module gets an event for each failure. A connection that the agent closes
-	// after a response counts as a failure, too.
+	// reportFailures states whether the decision module gets an event for each failure of the watch. A connection that
+	// the agent closes after a response counts as a failure, too.
 	reportFailures atomic.Bool
 	fullListCalls  atomic.Int64 // number of calls of RequestFullList
 
 	// The fields below are used only by the goroutine that calls Run.
 	versionTracker         versionTracker
-	fullListCallsFulfilled int64                   // number of calls of RequestFullList that a full list has followed
-	watchCondition         *conditionlog.Condition // log of failures and recoveries of the watch in use
-	handoverCondition      *conditionlog.Condition // log of failures of the new watch during a handover of the address
+	fullListCallsFulfilled int64                   // number of calls of RequestFullList before the last full list
+	watchCondition         *conditionlog.Condition // log of failures and recoveries of the current endpoint watch
+	handoverCondition      *conditionlog.Condition // log of failures of the new watch during an address handover
 }
 
 // New returns a Watcher, which does nothing until Run is called. It returns an error that wraps ErrMemoryLimit if
@@ -96,7 +97,7 @@
 }
 
 // SetFailureReporting sets whether the decision module gets an event for each failure of the watch. The list is
-// watched in either case, because that costs the agent nothing.
+// watched even without these events, because watching costs the agent nothing.
 func (w *Watcher) SetFailureReporting(enabled bool) { w.reportFailures.Store(enabled) }
 
 // RequestFullList makes the next request to the agent a request for the full list. It also enables the events for
@@ -118,16 +119,16 @@
 	})
 }
 
-// handleFailure logs the end of a connection with its error. It reports the failure to the decision module if failures
-// are reported, unless the connection was the new one of a handover and the old one continues. It does nothing after
-// the end of the context.
+// handleFailure logs the end of a connection with its error. If reportFailures is set, it also reports the failure to
+// the decision module, unless the connection was the new connection of a handover, during which the old connection
+// continues. It does nothing after the end of the context.
 func (w *Watcher) handleFailure(ctx context.Context, err error, duringHandover bool) {
 	if ctx.Err() != nil {
 		return
 	}
 	w.logFailure(err, duringHandover)
 	if w.reportFailures.Load() && !duringHandover {
-		// The only possible error is that the context has ended, which also ends Run.
+		// The sink returns an error only after the context has ended, which also ends Run.
 		_ = w.sink(ctx, assign.EndpointUpdate{Version: w.versionTracker.currentVersion, Failed: true})
 	}
 }
@@ -147,8 +148,8 @@
 }
 
 // handlePoll handles a poll state from pollAgent. It applies the update, if there is one, and sets poll.nextRequest.
-// If it rejects the update, it sets poll.rejection instead. The result ready is true if an update was applied; during
-// a handover, the new agent is then ready to replace the old one.
+// If it rejects the update, it sets poll.rejection instead. The result ready is true if an update was applied. During
+// a handover, a true result means that the new agent is ready to replace the old agent.
 func (w *Watcher) handlePoll(ctx context.Context, poll *pollState, duringHandover bool) (ready bool) {
 	if !poll.hasUpdate {
 		poll.nextRequest = w.firstRequest(duringHandover)
@@ -187,7 +188,7 @@
 }
 
 // applyUpdate passes an update to the decision module, unless the update has no changes, and records its version. It
-// returns an error if the version rules the update out or if the context has ended.
+// returns an error if versionTracker rejects the version of the update or if the context has ended.
 func (w *Watcher) applyUpdate(ctx context.Context, update assign.EndpointUpdate) error {
 	if err := w.versionTracker.checkUpdate(update, time.Now()); err != nil {
 		return err
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -28,21 +28,21 @@
 const testTimeout = 10 * time.Second
 
 const (
-	initialAgentVersion = 41 // version of the fake agent's list at its start
+	initialAgentVersion = 41 // list version of the fake agent when it starts
 	memoryLimitMB       = 64 // memory limit of the watcher in MiB
 )
 
-// endpointEntry returns an entry of the endpoint list with the given name and state.
+// endpointEntry returns an entry of the fake agent's endpoint list with the given name and state.
 func endpointEntry(name, state string) discoverytest.Endpoint {
 	return discoverytest.Endpoint{Name: name, Zone: "a", State: state, Weight: 1}
 }
 
-// fullList returns the content of a response with the full list.
+// fullList returns the content of a response with the full endpoint list.
 func fullList(version int64, entries ...discoverytest.Endpoint) discoverytest.ListResponse {
 	return discoverytest.ListResponse{Version: version, Full: true, Endpoints: entries}
 }
 
-// changedEntries returns the content of a response with changes.
+// changedEntries returns the content of a response with changes of the endpoint list.
 func changedEntries(version int64, entries ...discoverytest.Endpoint) discoverytest.ListResponse {
 	return discoverytest.ListResponse{Version: version, Endpoints: entries}
 }
@@ -56,8 +56,9 @@
 	updates chan assign.EndpointUpdate
 }
 
-// newHarness starts a fake agent and a watcher whose list from the configuration has the given version. It receives the
-// first update, which is the full list from the agent. The agent and the watcher stop when the test ends.
+// newHarness starts a fake agent and a watcher. The parameter initialVersion is the version of the endpoint list that
+// the watcher has from the configuration. newHarness receives the first update, which is the full list from the agent.
+// The agent and the watcher stop when the test ends.
 func newHarness(t *testing.T, initialVersion int) *watcherHarness {
 	t.Helper()
 	agent, err := discoverytest.New("", initialAgentVersion, endpointEntry("s", discoverytest.Ready), endpointEntry("u", discoverytest.Ready))
@@ -86,11 +87,11 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); harness.watcher.Run(ctx) }() // ends when the cleanup cancels ctx
+	runDone := make(chan struct{})
+	go func() { defer close(runDone); harness.watcher.Run(ctx) }() // Run returns when the cleanup cancels ctx
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-runDone
 		if err := agent.Close(); err != nil {
 			t.Error(err)
 		}
@@ -101,7 +102,7 @@
 	return harness
 }
 
-// newHarnessWithOlderList calls newHarness with a version that is lower than the version of the agent's list.
+// newHarnessWithOlderList calls newHarness with an initial version that is lower than the version of the agent's list.
 func newHarnessWithOlderList(t *testing.T) *watcherHarness {
 	t.Helper()
 	return newHarness(t, initialAgentVersion-1)
@@ -132,7 +133,7 @@
 // writeText writes a part of a response body. It ignores errors, because the client may have closed the connection.
 func writeText(w io.Writer, text string) { _, _ = io.WriteString(w, text) }
 
-// writeList writes a response body with a list.
+// writeList writes a response body with the given content.
 func writeList(t *testing.T, w io.Writer, list discoverytest.ListResponse) {
 	t.Helper()
 	writeText(w, string(encodeJSON(t, list)))
@@ -143,7 +144,7 @@
 	t.Helper()
 	text, err := json.Marshal(value)
 	if err != nil {
-		t.Error(err) // Fatal is not allowed here, because handlers of the fake agent call encodeJSON in other goroutines
+		t.Error(err) // Fatal is not allowed, because handlers of the fake agent call encodeJSON in other goroutines
 	}
 	return text
 }
@@ -187,7 +188,7 @@
 	respond := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { writeText(w, text) }
 	}
-	list := func(list discoverytest.ListResponse) http.HandlerFunc { return respond(string(encodeJSON(t, list))) }
+	respondWithList := func(list discoverytest.ListResponse) http.HandlerFunc { return respond(string(encodeJSON(t, list))) }
 	return map[string]http.HandlerFunc{
 		"server error": func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"invalid JSON": respond("\x00\xff{"),
@@ -198,9 +199,9 @@
 		},
 		"connection reset":         func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 		"no response":              func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"lower version, full list": list(fullList(7)),
-		"lower version, changes":   list(changedEntries(7)),
-		"unknown state":            list(changedEntries(99, endpointEntry("s", "odd"))),
+		"lower version, full list": respondWithList(fullList(7)),
+		"lower version, changes":   respondWithList(changedEntries(7)),
+		"unknown state":            respondWithList(changedEntries(99, endpointEntry("s", "odd"))),
 	}
 }
 
@@ -213,20 +214,20 @@
 			harness := newHarnessWithOlderList(t)
 			harness.watcher.SetFailureReporting(true)
 			var requests atomic.Int32
-			var changed atomic.Bool
+			var listChanged atomic.Bool
 			harness.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
-				if requests.Add(1) > 2 && changed.Load() {
+				if requests.Add(1) > 2 && listChanged.Load() {
 					return false
 				}
 				respond(w, r)
 				return true
 			})
-			// The first request that is counted follows the end of the poll that was in progress.
+			// The interceptor does not see the poll in progress. The first request that it counts follows that poll.
 			if !eventually.True(testTimeout, func() bool { return requests.Load() > 0 }) {
 				t.Fatalf("got no request within %v, want one that gets the invalid response", testTimeout)
 			}
 			harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
-			changed.Store(true)
+			listChanged.Store(true)
 			if failures := harness.countFailuresUntil(t, initialAgentVersion+1); failures < 1 {
 				t.Errorf("got %d failures reported, want at least 1", failures)
 			}
@@ -285,7 +286,7 @@
 	var lostResponse atomic.Bool
 	harness.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
 		if requestsFullList(r) && !lostResponse.Swap(true) {
-			panic(http.ErrAbortHandler) // resets the connection
+			panic(http.ErrAbortHandler) // the panic resets the connection
 		}
 		return false
 	})
@@ -312,7 +313,7 @@
 	harness.watcher.SetFailureReporting(true)
 	for i := range 3 {
 		version := initialAgentVersion + 1 + 2*i
-		harness.address.Set("127.0.0.1:1") // this port refuses connections
+		harness.address.Set("127.0.0.1:1") // port 1 refuses connections
 		harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
 		if update := harness.receiveUpdate(t); update.Version != version || update.Failed {
 			t.Fatalf("from the old agent: got %+v, want version %d", update, version)
@@ -372,19 +373,19 @@
 func TestWatcherIgnoresOldAgentResponseAfterHandover(t *testing.T) {
 	t.Parallel()
 	harness := newHarnessWithOlderList(t)
-	blocked, release := make(chan struct{}, 10), make(chan struct{})
+	pollBlocked, releasePolls := make(chan struct{}, 10), make(chan struct{})
 	oldAddress := harness.Address()
 	harness.SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
 		if r.Host == oldAddress {
-			blocked <- struct{}{}
-			<-release
+			pollBlocked <- struct{}{}
+			<-releasePolls
 		}
 		return false
 	})
 	// The change ends the poll that is in progress. The interceptor blocks the next poll.
 	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining))
 	select {
-	case <-blocked:
+	case <-pollBlocked:
 	case <-time.After(testTimeout):
 		t.Fatalf("got no poll within %v, want one that can be blocked", testTimeout)
 	}
@@ -396,7 +397,7 @@
 	if update.Version != initialAgentVersion+1 || !update.Full {
 		t.Fatalf("from the new agent: got %+v, want the full list of version %d", update, initialAgentVersion+1)
 	}
-	close(release) // the old agent responds, but the watcher has closed the connection
+	close(releasePolls) // the old agent responds, but the watcher has closed the connection
 	harness.PutEndpoints(endpointEntry("u", discoverytest.Draining))
 	if update := harness.receiveUpdate(t); update.Version != initialAgentVersion+2 || len(update.Endpoints) != 1 {
 		t.Errorf("got %+v, want one change of version %d", update, initialAgentVersion+2)
@@ -449,7 +450,7 @@
 		writeList(t, w, changedEntries(61, endpointEntry("v", discoverytest.Draining)))
 		return true
 	})
-	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining)) // ends the poll in progress
+	harness.PutEndpoints(endpointEntry("s", discoverytest.Draining)) // the change ends the poll in progress
 	update := harness.receiveUpdate(t)
 	if update.Version == initialAgentVersion+1 {
 		update = harness.receiveUpdate(t)
--- a/internal/discoverytest/discovery.go
+++ b/internal/discoverytest/discovery.go
@@ -23,9 +23,9 @@
 
 // States of an endpoint, as encoded in the field State of Endpoint.
 const (
-	Ready    = "active"  // the endpoint accepts requests
-	Draining = "leaving" // the endpoint must not receive new requests
-	Removed  = "left"    // the endpoint is no longer in the list
+	Ready    = "active"  // state of an endpoint that accepts requests
+	Draining = "leaving" // state of an endpoint that must not receive new requests
+	Removed  = "left"    // state of an endpoint that is no longer in the list
 )
 
 // Endpoint is an entry of the endpoint list.
@@ -34,10 +34,10 @@
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"type"`
-	Group       int     `json:"group"`    // number of the endpoint's group of machines
+	Group       int     `json:"group"`    // number of the machine group of the endpoint
 	State       string  `json:"status"`   // state of the endpoint: Ready, Draining or Removed
-	Weight      float64 `json:"weight"`   // capacity relative to the other endpoints
-	StartedAt   int64   `json:"since_ms"` // Unix time of the start of the endpoint, in ms
+	Weight      float64 `json:"weight"`   // capacity of the endpoint relative to other endpoints
+	StartedAt   int64   `json:"since_ms"` // Unix time at which the endpoint started, in ms
 }
 
 // ListResponse is the JSON body of the agent's response to a request: the full list, or the changes after a version.
@@ -52,12 +52,12 @@
 type Agent struct {
 	*testserver.Server
 
-	mu                 sync.Mutex                                    // protects all fields below
-	interceptor        func(http.ResponseWriter, *http.Request) bool // called before each response; nil if not set
-	version            int64                                         // version of the list
-	entries            []Endpoint                                    // the full list, including removed endpoints
-	lastChangeVersions map[string]int64                              // list version of the last change by endpoint
-	listChanged        chan struct{}                                 // closed and replaced at each change of the list
+	mu                 sync.Mutex                                    // mu guards all fields below
+	interceptor        func(http.ResponseWriter, *http.Request) bool // function called before each response; may be nil
+	version            int64                                         // version of the endpoint list
+	entries            []Endpoint                                    // entries of the list, including removed endpoints
+	lastChangeVersions map[string]int64                              // list version of last change, by endpoint name
+	listChanged        chan struct{}                                 // channel closed and replaced at each list change
 	lastRequestHost    string                                        // host and port to which the last request was sent
 }
 
@@ -140,48 +140,48 @@
 	_ = json.NewEncoder(w).Encode(a.responseTo(r)) // an error means that the client has disconnected
 }
 
-// responseTo returns the response to a request. It blocks while a long poll waits for a change. A request without a
-// version, or with a version above the current one, gets the full list.
+// responseTo returns the response to a request. It blocks while a long poll waits for a change. The response to a
+// request without a version, or with a version above the current version, is the full list.
 func (a *Agent) responseTo(request *http.Request) ListResponse {
-	full := a.List()
-	after, err := strconv.ParseInt(request.FormValue(afterParameter), 10, 64)
-	if err != nil || after > full.Version {
-		full.Endpoints = slices.DeleteFunc(full.Endpoints, func(e Endpoint) bool { return e.State == Removed })
-		return full
+	response := a.List()
+	afterVersion, err := strconv.ParseInt(request.FormValue(afterParameter), 10, 64)
+	if err != nil || afterVersion > response.Version {
+		response.Endpoints = slices.DeleteFunc(response.Endpoints, func(e Endpoint) bool { return e.State == Removed })
+		return response
 	}
 	wait, err := strconv.Atoi(request.FormValue(waitParameter))
 	if err != nil {
 		wait = 0
 	}
-	a.waitForChange(after, time.Duration(wait)*time.Millisecond, request.Context().Done())
-	return a.changesSince(after)
+	a.waitForChange(afterVersion, time.Duration(wait)*time.Millisecond, request.Context().Done())
+	return a.changesSince(afterVersion)
 }
 
 // waitForChange blocks until the list changes, the timeout has passed or the client has disconnected. It returns
 // immediately if the list does not have the given version any more.
-func (a *Agent) waitForChange(after int64, timeout time.Duration, disconnected <-chan struct{}) {
+func (a *Agent) waitForChange(afterVersion int64, timeout time.Duration, disconnected <-chan struct{}) {
 	a.mu.Lock()
-	changed, version := a.listChanged, a.version
+	listChanged, version := a.listChanged, a.version
 	a.mu.Unlock()
-	if version != after {
+	if version != afterVersion {
 		return
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-changed:
+	case <-listChanged:
 	case <-timer.C:
 	case <-disconnected:
 	}
 }
 
 // changesSince returns a response with the entries that changed after the given version.
-func (a *Agent) changesSince(after int64) ListResponse {
+func (a *Agent) changesSince(afterVersion int64) ListResponse {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	changes := ListResponse{Version: a.version}
 	for _, entry := range a.entries {
-		if a.lastChangeVersions[entry.Name] > after {
+		if a.lastChangeVersions[entry.Name] > afterVersion {
 			changes.Endpoints = append(changes.Endpoints, entry)
 		}
 	}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -43,11 +43,11 @@
 	// for a batch without such orders.
 	SubmitOrders func(orders []assign.Order)
 	// SendPeerMessage sends a datagram to the assigner with the given number, or to all assigners if the number
-	// is -1. The decision module never orders it.
-	SendPeerMessage func(to int, data []byte)
+	// is -1. The decision module never orders such a datagram.
+	SendPeerMessage func(assigner int, data []byte)
 	// WatchEndpoints enables or disables the events that report failures to read the endpoint list.
 	WatchEndpoints func(enabled bool)
-	// FetchEndpoints requests the full endpoint list. The decision module never orders it.
+	// FetchEndpoints requests the full endpoint list. The decision module never orders such a request.
 	FetchEndpoints func()
 }
 
@@ -56,7 +56,7 @@
 	Seed      int64          // seed of the random source of the decision module; any value is valid
 	Settings  assign.Config  // settings of the decision module, validated by internal/config; required
 	Inputs    Inputs         // sources of the events; all fields are required
-	Outputs   Outputs        // functions that execute the orders; all fields are required
+	Outputs   Outputs        // functions that execute the orders of the decision module; all fields are required
 	StartedAt time.Time      // time at which the clock of the decision module shows ClockStart; required
 	Log       zerolog.Logger // logger to which New adds the field "component"; the zero value logs nothing
 }
@@ -161,14 +161,14 @@
 	return waitDuration(due - l.now())
 }
 
-// appendQueued appends the events that are queued at the time of the call. Events that are queued later belong to the
-// next batch.
+// appendQueued appends the events that a queue contains at the time of the call to the events of a batch. Events that
+// are added to the queue later belong to the next batch.
 func appendQueued(events []assign.Event, queue <-chan assign.Event) []assign.Event {
 	for n := len(queue); n > 0; n-- {
 		select {
 		case event := <-queue:
 			events = append(events, event)
-		default: // a full queue of reports drops its oldest report while a newer report is added
+		default: // the queue is empty: a full queue of reports drops its oldest report before a new one is added
 		}
 	}
 	return events
@@ -215,12 +215,12 @@
 		}
 		line.Msg(order.Message)
 	case assign.SendPeerMessage:
-		l.outputs.SendPeerMessage(order.To, order.Data)
+		l.outputs.SendPeerMessage(order.Destination, order.Data)
 	case assign.WatchEndpoints:
 		l.outputs.WatchEndpoints(order.Enabled)
 	case assign.FetchEndpoints:
 		l.outputs.FetchEndpoints()
-	case assign.HealthCheck: // only the simulator supports health checks; the decision module never orders one
+	case assign.HealthCheck: // only the simulator supports health checks; the decision module orders none
 		l.log.Error().Str("endpoint", order.Endpoint).Msg("health check not supported; order dropped")
 	default:
 		return false
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -15,7 +15,7 @@
 	"madderhollow/internal/testconfig"
 )
 
-// testTimeout is the longest time that a test waits for a condition. It is long enough for a heavily loaded machine.
+// testTimeout bounds each wait of the tests. It is long enough for a heavily loaded machine.
 const testTimeout = 10 * time.Second
 
 // returnUnchanged returns the events that it receives. Tests use it as Inputs.PreprocessEvents.
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ready, loopEnded := make(chan struct{}), make(chan struct{})
 	startedAt := time.Now()
-	// The goroutine ends after the call of cancel below.
+	// The goroutine that runs the loop ends after the call of cancel below.
 	go func() { defer close(loopEnded); loop.Run(ctx, nil, func() { close(ready) }) }()
 	<-ready
 	sentUpdates := 0
@@ -47,7 +47,7 @@
 		if err := queue.PostEvent(ctx, assign.EndpointUpdate{Failed: true}); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // this rate of events gives many events in each batch
+		time.Sleep(time.Millisecond) // this pause between the events lets each batch contain many events
 	}
 	allHandled := func() bool { return len(queue.Events()) == 0 && loop.Stats().Events >= sentUpdates+ticks }
 	if !eventually.True(testTimeout, allHandled) {
@@ -59,7 +59,7 @@
 	if maxBatches := int(time.Since(startedAt).Seconds()/minInterval) + 2; stats.Batches > maxBatches || stats.Batches < ticks {
 		t.Errorf("got %d batches, want %d to %d", stats.Batches, ticks, maxBatches)
 	}
-	if want := sentUpdates + 1; watchOrders != want { // the decision module orders one more at the start
+	if want := sentUpdates + 1; watchOrders != want { // the decision module also orders one WatchEndpoints at the start
 		t.Errorf("got %d WatchEndpoints, want %d", watchOrders, want)
 	}
 	if firedTimers, maxFired := stats.Events-sentUpdates, int(time.Since(startedAt).Seconds()); firedTimers < ticks || firedTimers > maxFired {
@@ -88,7 +88,7 @@
 		wantLocal bool
 	}{
 		{order: assign.SetTimer{Delay: 1}, wantLocal: true},
-		{order: assign.SendPeerMessage{To: 1}, wantCall: "SendPeerMessage", wantLocal: true},
+		{order: assign.SendPeerMessage{Destination: 1}, wantCall: "SendPeerMessage", wantLocal: true},
 		{order: assign.WatchEndpoints{Enabled: true}, wantCall: "WatchEndpoints", wantLocal: true},
 		{order: assign.FetchEndpoints{}, wantCall: "FetchEndpoints", wantLocal: true},
 		{order: assign.Log{Message: "zone overloaded", Fields: []assign.LogField{{Name: "zone", Value: "x"}}}, wantLocal: true,
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -27,14 +27,14 @@
 		return false
 	}
 	i, _ := slices.BinarySearchFunc(q.timers, t, func(x, y timer) int {
-		// The new timer is inserted after timers that are due at the same time.
+		// If due times are equal, the comparison places the new timer after the timers of the queue.
 		return cmp.Or(cmp.Compare(x.dueAt, y.dueAt), -1)
 	})
 	q.timers = slices.Insert(q.timers, i, t)
 	return true
 }
 
-// nextDue returns the due time of the first timer. It returns false if the queue is empty.
+// nextDue returns the due time of the timer that is due first. It returns false if the queue is empty.
 func (q *timerQueue) nextDue() (due float64, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -42,7 +42,7 @@
 	return q.timers[0].dueAt, true
 }
 
-// popDue removes the timers that are due, and returns a TimerFired event for each in the sequence of the queue.
+// popDue removes the timers that are due, and returns a TimerFired event for each of them, sorted by due time.
 func (q *timerQueue) popDue(now float64) (fired []assign.Event) {
 	for len(q.timers) > 0 && q.timers[0].dueAt <= now {
 		fired = append(fired, assign.TimerFired{ID: q.timers[0].id})
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -41,8 +41,8 @@
 	return &Queue{events: make(chan assign.Event, maxQueuedEvents), reports: make(chan assign.Event, maxQueuedReports)}
 }
 
-// PostEvent adds an event that is not a report. It blocks while the queue is full. If the context ends first, it
-// returns an error that wraps the error of the context.
+// PostEvent adds an event that is not a report. It blocks while the queue of events is full. If the context ends first,
+// it returns an error that wraps the error of the context.
 func (q *Queue) PostEvent(ctx context.Context, event assign.Event) error {
 	select {
 	case q.events <- event:
@@ -52,14 +52,14 @@
 	}
 }
 
-// PostReport adds a report and never blocks. It drops the oldest report if the queue is full. It always returns nil; it
-// has an error result only to match Sink.
+// PostReport adds a report and never blocks. It drops the oldest report if the queue of reports is full. It always
+// returns nil; it has an error result only to match Sink.
 func (q *Queue) PostReport(_ context.Context, report assign.Event) error {
 	for {
 		select {
 		case q.reports <- report:
 			return nil
-		default: // the queue is full
+		default: // the queue of reports is full
 		}
 		select {
 		case <-q.reports:
--- a/internal/fieldcheck/fieldcheck.go
+++ b/internal/fieldcheck/fieldcheck.go
@@ -27,9 +27,9 @@
 // InRange reports whether a number is at least 0 and at most maximum. NaN is not in range.
 func InRange(value, maximum float64) bool { return value >= 0 && value <= maximum }
 
-// Number returns the value of the field name, which must be a number from 0 to maximum. A nil value stands for a
-// missing field. The description states the meaning of the field and its unit, for the error. Any returned error is
-// an *Error.
+// Number returns the value of the field with the given name, which must be a number from 0 to maximum. The parameter
+// value is nil if the field is missing. The parameter description states the meaning of the field and its unit, for
+// error messages. Any returned error is an *Error.
 func Number(name, description string, value *float64, maximum float64) (float64, error) {
 	if value == nil {
 		return 0, &Error{Field: name, Value: Missing, Want: describeRange(description, maximum)}
@@ -40,13 +40,13 @@
 	return *value, nil
 }
 
-// describeRange returns the text for Error.Want of a field that must be a number from 0 to maximum.
+// describeRange returns the text of Error.Want for a field that must be a number from 0 to maximum.
 func describeRange(description string, maximum float64) string {
 	return fmt.Sprintf("%s: a number from 0 to %g", description, maximum)
 }
 
-// Count returns the value of the field name, which must be an integer from 0 to maximum. Its parameters and errors are
-// those of Number.
+// Count returns the value of the field with the given name, which must be an integer from 0 to maximum. Its parameters
+// and errors are those of Number.
 func Count(name, description string, value *float64, maximum float64) (int, error) {
 	number, err := Number(name, description, value, maximum)
 	if err != nil {
--- a/internal/fieldcheck/fieldcheck_test.go
+++ b/internal/fieldcheck/fieldcheck_test.go
@@ -36,10 +36,10 @@
 }
 
 func TestErrorNamesFieldValueAndExpectedRange(t *testing.T) {
-	negative := -1.0
+	negativeValue := -1.0
 	for value, want := range map[*float64]string{
-		nil:       `"delay" is missing, want mean latency in ms: a number from 0 to 10`,
-		&negative: `"delay" is -1, want mean latency in ms: a number from 0 to 10`,
+		nil:            `"delay" is missing, want mean latency in ms: a number from 0 to 10`,
+		&negativeValue: `"delay" is -1, want mean latency in ms: a number from 0 to 10`,
 	} {
 		if _, err := Number("delay", "mean latency in ms", value, 10); err == nil || err.Error() != want {
 			t.Errorf("got %v, want %s", err, want)
@@ -48,14 +48,14 @@
 }
 
 func TestValidatorKeepsFirstError(t *testing.T) {
-	first, value, negative := errors.New("first"), 3.0, -1.0
+	firstError, value, negativeValue := errors.New("first"), 3.0, -1.0
 	validator := &Validator{}
 	validator.RecordError(nil)
 	if got := validator.Number("delay", "mean latency in ms", &value, 10); got != value || validator.Err() != nil {
 		t.Errorf("number in range: got %g (%v), want %g", got, validator.Err(), value)
 	}
-	validator.RecordError(first)
-	if got := validator.Count("sum", "requests", &negative, 10); got != 0 || !errors.Is(validator.Err(), first) {
-		t.Errorf("negative count after an error: got %d (%v), want 0 (%v)", got, validator.Err(), first)
+	validator.RecordError(firstError)
+	if got := validator.Count("sum", "requests", &negativeValue, 10); got != 0 || !errors.Is(validator.Err(), firstError) {
+		t.Errorf("negative count after an error: got %d (%v), want 0 (%v)", got, validator.Err(), firstError)
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -16,8 +16,8 @@
 // goldenFileMode holds the permission bits with which golden files are created.
 const goldenFileMode = 0o644
 
-// Compare compares got with the golden file of this name, line by line. It reports a test error for each line that
-// differs. If the numbers of lines differ, it stops the test instead.
+// Compare compares the output got with the golden file that has the given name, line by line. It reports a test error
+// for each line that differs. If the numbers of lines differ, it stops the test instead.
 func Compare(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
--- a/internal/handover/address.go
+++ b/internal/handover/address.go
@@ -8,9 +8,9 @@
 
 // Address is a network address that may change. It is safe for concurrent use, and its methods never block.
 type Address struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // mu guards all fields below
 	current string
-	changed chan struct{} // closed and replaced when the address changes
+	changed chan struct{} // channel that is closed and replaced when the address changes
 }
 
 // NewAddress returns an Address whose initial value is the given address.
--- a/internal/handover/follow.go
+++ b/internal/handover/follow.go
@@ -34,9 +34,9 @@
 // stream is one call of Source.Open and the goroutine that runs the call.
 type stream[T any] struct {
 	address    string
-	items      chan T        // items that Source.Open passes to deliver; unbuffered
-	handled    chan struct{} // receives an element each time Receive has returned for an item
-	openResult chan error    // receives the result of Source.Open once; buffered, so that sending never blocks
+	items      chan T        // unbuffered channel of the items that Source.Open passes to deliver
+	handled    chan struct{} // channel that gets an element each time Source.Receive has returned for an item
+	openResult chan error    // channel of the single result of Source.Open; buffered, so that sending never blocks
 	cancel     context.CancelFunc
 }
 
@@ -64,7 +64,7 @@
 			return false
 		}
 	}
-	go func() { newStream.openResult <- source.Open(ctx, address, deliver) }() // ends when Source.Open returns
+	go func() { newStream.openResult <- source.Open(ctx, address, deliver) }() // the goroutine ends with Source.Open
 	return newStream
 }
 
@@ -72,7 +72,7 @@
 func (s *stream[T]) close() {
 	if s != nil {
 		s.cancel()
-		<-s.openResult //nolint:errcheck // the error only reports the cancellation
+		<-s.openResult //nolint:errcheck // the received error only reports the cancellation of the stream
 	}
 }
 
@@ -80,7 +80,7 @@
 // active stream. Its state depends on which of the two streams are open:
 //
 //	idle      No stream is open. The manager waits for the end of the backoff.
-//	opening   Only the pending stream is open. Its first item makes it the active stream, even if it is not ready.
+//	opening   Only the pending stream is open. It becomes the active stream at its first item, even if it is not ready.
 //	active    Only the active stream is open. Its address is the current address, or an old address during the backoff
 //	          after a failed handover.
 //	handover  Both streams are open: the active stream at an old address, and the pending stream at the current address.
@@ -100,13 +100,13 @@
 //	handover  address changes                        -> handover, with another pending stream; or active, if the
 //	                                                    active stream is at the current address
 type streamManager[T any] struct {
-	source       Source[T]
-	address      *Address
-	retryBackoff *backoff.Backoff
-	active       *stream[T] // stream in use, or nil if there is none
-	pending      *stream[T] // stream that is to replace the active stream, or nil if there is none
-	inBackoff    bool       // no stream may be opened until backoffTimer fires or the address changes
-	backoffTimer *time.Timer
+	source        Source[T]
+	address       *Address
+	retryBackoff  *backoff.Backoff
+	activeStream  *stream[T] // stream in use, or nil if there is none
+	pendingStream *stream[T] // stream that is to replace the active stream, or nil if there is none
+	inBackoff     bool       // whether to open no stream until backoffTimer fires or the address changes
+	backoffTimer  *time.Timer
 }
 
 // Follow keeps a stream open to a source at the current address until the context ends. It returns after all streams
@@ -114,50 +114,52 @@
 // Follow resets retryBackoff to the shortest delay when the active stream fails, and Receive may reset it, too. No
 // other goroutine may use retryBackoff while Follow runs.
 func Follow[T any](ctx context.Context, address *Address, retryBackoff *backoff.Backoff, source Source[T]) {
-	backoffTimer := time.NewTimer(0) // fires at once, without effect, because no backoff has begun
+	backoffTimer := time.NewTimer(0) // the timer fires at once, without effect, because no backoff has begun
 	m := &streamManager[T]{source: source, address: address, retryBackoff: retryBackoff, backoffTimer: backoffTimer}
 	defer m.stop()
 	for ctx.Err() == nil {
-		changed := m.openPendingIfNeeded(ctx)
-		m.handleEvent(ctx, changed)
+		addressChanged := m.openPendingIfNeeded(ctx)
+		m.handleEvent(ctx, addressChanged)
 	}
 }
 
 // stop closes all streams and stops the backoff timer.
 func (m *streamManager[T]) stop() {
 	m.backoffTimer.Stop()
-	m.active.close()
-	m.pending.close()
+	m.activeStream.close()
+	m.pendingStream.close()
 }
 
-// openPendingIfNeeded closes the pending stream if its address is outdated, and opens a pending stream if the state
-// requires one. It returns a channel that is closed when the address changes.
-func (m *streamManager[T]) openPendingIfNeeded(ctx context.Context) (changed <-chan struct{}) {
-	address, changed := m.address.Current()
-	if m.pending != nil && m.pending.address != address {
-		m.pending.close()
-		m.pending = nil
+// openPendingIfNeeded closes the pending stream if its address is outdated. It opens a pending stream if none is open,
+// no backoff is in progress and no active stream is open at the current address. It returns a channel that is closed
+// when the address changes.
+func (m *streamManager[T]) openPendingIfNeeded(ctx context.Context) (addressChanged <-chan struct{}) {
+	address, addressChanged := m.address.Current()
+	if m.pendingStream != nil && m.pendingStream.address != address {
+		m.pendingStream.close()
+		m.pendingStream = nil
 	}
-	needsPending := m.active == nil || m.active.address != address
-	if m.pending == nil && !m.inBackoff && needsPending {
-		m.pending = openStream(ctx, address, m.source)
+	needsPending := m.activeStream == nil || m.activeStream.address != address
+	if m.pendingStream == nil && !m.inBackoff && needsPending {
+		m.pendingStream = openStream(ctx, address, m.source)
 	}
-	return changed
+	return addressChanged
 }
 
-// handleEvent waits for one event and makes the state transition for that event.
-func (m *streamManager[T]) handleEvent(ctx context.Context, changed <-chan struct{}) {
-	var noStream stream[T] // takes the place of a stream that is not open; its channels are nil and block forever
+// handleEvent waits for one event, such as an item or the end of a stream, and makes the state transition for the
+// event. The channel addressChanged is closed when the address changes.
+func (m *streamManager[T]) handleEvent(ctx context.Context, addressChanged <-chan struct{}) {
+	var noStream stream[T] // noStream stands for a stream that is not open; its channels are nil and block forever
 	active, pending := &noStream, &noStream
-	if m.active != nil {
-		active = m.active
+	if m.activeStream != nil {
+		active = m.activeStream
 	}
-	if m.pending != nil {
-		pending = m.pending
+	if m.pendingStream != nil {
+		pending = m.pendingStream
 	}
 	select {
 	case <-ctx.Done():
-	case <-changed:
+	case <-addressChanged:
 		m.inBackoff = false
 	case <-m.backoffTimer.C:
 		m.inBackoff = false
@@ -173,33 +175,34 @@
 	}
 }
 
-// handlePendingItem passes an item of the pending stream to Receive. The pending stream then becomes the active stream
-// if it is ready or if there is no active stream.
+// handlePendingItem passes an item of the pending stream to Source.Receive. The pending stream then becomes the active
+// stream if it is ready or if there is no active stream.
 func (m *streamManager[T]) handlePendingItem(item T) {
-	ready := m.source.Receive(item, m.active != nil)
-	m.pending.handled <- struct{}{}
-	if ready || m.active == nil {
-		m.active.close()
-		m.active, m.pending = m.pending, nil
+	ready := m.source.Receive(item, m.activeStream != nil)
+	m.pendingStream.handled <- struct{}{}
+	if ready || m.activeStream == nil {
+		m.activeStream.close()
+		m.activeStream, m.pendingStream = m.pendingStream, nil
 	}
 }
 
-// handleActiveEnd reports the end of the active stream to Failed. If no pending stream is open, a stream is opened
-// after the shortest delay.
+// handleActiveEnd reports the end of the active stream to Source.Failed. If no pending stream is open, a stream is
+// opened after the shortest delay.
 func (m *streamManager[T]) handleActiveEnd(err error) {
-	m.active.cancel() // Open has already returned, so cancel only releases the context
+	m.activeStream.cancel() // Open has already returned, so cancel only releases the context
 	m.source.Failed(err, false)
-	m.active = nil
-	m.inBackoff = m.pending == nil
+	m.activeStream = nil
+	m.inBackoff = m.pendingStream == nil
 	m.retryBackoff.Reset()
 	m.backoffTimer.Reset(m.retryBackoff.Next())
 }
 
-// handlePendingEnd reports the end of the pending stream to Failed. Another pending stream is opened after a delay.
+// handlePendingEnd reports the end of the pending stream to Source.Failed. Another pending stream is opened after a
+// delay.
 func (m *streamManager[T]) handlePendingEnd(err error) {
-	m.pending.cancel() // Open has already returned, so cancel only releases the context
-	m.source.Failed(err, m.active != nil)
-	m.pending = nil
+	m.pendingStream.cancel() // Open has already returned, so cancel only releases the context
+	m.source.Failed(err, m.activeStream != nil)
+	m.pendingStream = nil
 	m.inBackoff = true
 	m.backoffTimer.Reset(m.retryBackoff.Next())
 }
--- a/internal/handover/follow_test.go
+++ b/internal/handover/follow_test.go
@@ -12,7 +12,7 @@
 // testTimeout bounds each wait of the tests. It is long enough for a heavily loaded machine.
 const testTimeout = 10 * time.Second
 
-// readyItem is the item for which Receive reports that a new stream is ready.
+// readyItem is the item for which Source.Receive reports that a new stream is ready to replace the old stream.
 const readyItem = "ready"
 
 // Errors that Source.Open returns in the tests.
@@ -24,12 +24,12 @@
 // testStream is one call of Source.Open. It delivers the items and returns the error that the test sends to it.
 type testStream struct {
 	address string
-	items   chan string     // items that the stream delivers
-	fail    chan error      // error with which the stream ends
-	closed  <-chan struct{} // closed when Follow closes the stream
+	items   chan string     // channel of the items that the stream delivers
+	fail    chan error      // channel of the error with which the stream ends
+	closed  <-chan struct{} // channel that is closed when Follow closes the stream
 }
 
-// open delivers items until the test sends an error, deliver returns false or the context ends.
+// open delivers the items of the stream until the test sends an error, deliver returns false or the context ends.
 func (s *testStream) open(ctx context.Context, deliver func(string) bool) error {
 	for {
 		select {
@@ -60,9 +60,9 @@
 // harness runs Follow with a source that forwards all its calls to the test.
 type harness struct {
 	address  *Address
-	opened   chan *testStream // streams in the order in which Source.Open was called
-	received chan receiveCall // calls of Source.Receive
-	failed   chan failedCall  // calls of Source.Failed
+	opened   chan *testStream // channel of the streams, in the order in which Source.Open was called
+	received chan receiveCall // channel of the calls of Source.Receive
+	failed   chan failedCall  // channel of the calls of Source.Failed
 }
 
 // startHarness starts Follow at address "a". Follow ends with the test.
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { // ends when the cleanup function cancels ctx
+	go func() { // the goroutine ends when the cleanup function cancels ctx
 		defer close(ended)
 		Follow(ctx, setup.address, backoff.New(time.Millisecond, time.Millisecond, 1), source)
 	}()
@@ -99,24 +99,25 @@
 	return setup
 }
 
-// await returns the next value of a channel. It fails the test if no value arrives within testTimeout.
-func await[T any](t *testing.T, from <-chan T, description string) T {
+// await returns the next value of a channel. It fails the test if no value arrives within testTimeout. The parameter
+// description names the expected value in the failure message.
+func await[T any](t *testing.T, channel <-chan T, description string) T {
 	t.Helper()
 	select {
-	case got := <-from:
+	case got := <-channel:
 		return got
 	case <-time.After(testTimeout):
 		t.Fatalf("got nothing, want %s", description)
 	}
-	var zero T // never returned, because Fatalf ends the test
+	var zero T // the zero value is never returned, because Fatalf ends the test
 	return zero
 }
 
 // send sends a value to a channel. It fails the test if the value is not received within testTimeout.
-func send[T any](t *testing.T, to chan<- T, value T) {
+func send[T any](t *testing.T, channel chan<- T, value T) {
 	t.Helper()
 	select {
-	case to <- value:
+	case channel <- value:
 	case <-time.After(testTimeout):
 		t.Fatalf("got no receiver for %v within %v, want one", value, testTimeout)
 	}
@@ -132,17 +133,19 @@
 	return stream
 }
 
-// mustReceive makes a stream deliver an item, and checks that Receive is called with the item and with duringHandover.
-func (h *harness) mustReceive(t *testing.T, from *testStream, item string, duringHandover bool) {
+// mustReceive makes a stream deliver an item, and checks that Source.Receive is called with the item and with the given
+// value of duringHandover.
+func (h *harness) mustReceive(t *testing.T, stream *testStream, item string, duringHandover bool) {
 	t.Helper()
-	send(t, from.items, item)
+	send(t, stream.items, item)
 	want := receiveCall{item, duringHandover}
 	if got := await(t, h.received, "an item"); got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
 }
 
-// mustFail makes a stream fail, and checks that Failed is called with the error and with duringHandover.
+// mustFail makes a stream fail, and checks that Source.Failed is called with the error and with the given value of
+// duringHandover.
 func (h *harness) mustFail(t *testing.T, stream *testStream, duringHandover bool) {
 	t.Helper()
 	send(t, stream.fail, errBroken)
@@ -222,7 +225,7 @@
 
 func TestFollowClosesAllStreamsWhenContextEnds(t *testing.T) {
 	var active, pending *testStream
-	t.Run("handover", func(t *testing.T) { _, active, pending = startHandover(t) }) // cleanup ends Follow
+	t.Run("handover", func(t *testing.T) { _, active, pending = startHandover(t) }) // the subtest's cleanup ends Follow
 	await(t, active.closed, "the old stream's end")
 	await(t, pending.closed, "the new stream's end")
 }
@@ -249,7 +252,7 @@
 	address := NewAddress("a")
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { // ends when ctx is canceled below
+	go func() { // the goroutine ends when ctx is canceled below
 		defer close(ended)
 		Follow(ctx, address, backoff.New(time.Millisecond, time.Millisecond, 1), source)
 	}()
@@ -264,7 +267,7 @@
 	if got := await(t, items, "an item"); got != "b" {
 		t.Errorf("got an item of the stream at %s after an item of the stream at b, want the stream at b", got)
 	}
-	go func() { breakStream <- struct{}{} }() // ends when the stream has received the signal
+	go func() { breakStream <- struct{}{} }() // the goroutine ends when a stream has received the signal to break
 	for len(failures) == 0 {
 		awaitItem("b")
 	}
@@ -275,7 +278,7 @@
 	cancel()
 	for {
 		select {
-		case <-items: // received until Follow has ended, because Receive blocks until its item is received
+		case <-items: // items are received until Follow ends, because Source.Receive blocks until its item is received
 			continue
 		case <-ended:
 		case <-time.After(testTimeout):
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -37,7 +37,7 @@
 }
 
 // CloseOnContextDone arranges for the connection to be closed when the context ends. Requests in progress then fail.
-// The caller can cancel the arrangement by calling stop before the context ends.
+// The caller can cancel the arrangement by calling the returned function stop before the context ends.
 func (c *Conn) CloseOnContextDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = c.Close() // the connection is unusable after Close, even if Close returns an error
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // some tests have closed the connection already, so the error is ignored
+	t.Cleanup(func() { _ = conn.Close() }) // Close fails if the test has already closed the connection
 	return server, conn
 }
 
@@ -76,7 +76,7 @@
 	}
 	if response != nil {
 		t.Errorf("got response %v, want none", response.Status)
-		_ = response.Body.Close() // the error is ignored because the test has failed already
+		_ = response.Body.Close() // an error of Close is ignored because the test has failed already
 	}
 }
 
--- a/internal/httpconn/serverclosed.go
+++ b/internal/httpconn/serverclosed.go
@@ -18,11 +18,11 @@
 	if err != nil || c.SetReadDeadline(time.Time{}) != nil {
 		return true
 	}
-	open := false
+	isOpen := false
 	err = rawConn.Read(func(fd uintptr) bool {
 		_, err := syscall.Read(int(fd), make([]byte, 1))
-		open = errors.Is(err, syscall.EAGAIN) // EAGAIN means that the connection is open and has no bytes to read
+		isOpen = errors.Is(err, syscall.EAGAIN) // EAGAIN means that the connection is open and has no bytes to read
 		return true
 	})
-	return err != nil || !open
+	return err != nil || !isOpen
 }
--- a/internal/loglimit/loglimit.go
+++ b/internal/loglimit/loglimit.go
@@ -15,8 +15,9 @@
 	Period = 10 * time.Second
 )
 
-// New returns a logger that writes at most Burst lines in each Period to the output of log. All its messages count
-// together, and a sampler of log does not apply. The returned logger is safe for concurrent use.
+// New returns a logger that writes at most Burst lines in each Period to the output of log. All lines of
+// the returned logger count together, whatever their messages are. The logger ignores a sampler of log. It is safe for
+// concurrent use.
 func New(log zerolog.Logger) zerolog.Logger {
 	return log.Sample(&zerolog.BurstSampler{Burst: Burst, Period: Period})
 }
--- a/internal/loglimit/loglimit_test.go
+++ b/internal/loglimit/loglimit_test.go
@@ -10,10 +10,10 @@
 
 func TestLoggerDropsLinesAboveBurst(t *testing.T) {
 	var output bytes.Buffer
-	limited := New(zerolog.New(&output))
+	limitedLog := New(zerolog.New(&output))
 	for range 3 * Burst {
-		limited.Warn().Msg("line dropped")
-		limited.Info().Msg("line skipped")
+		limitedLog.Warn().Msg("line dropped")
+		limitedLog.Info().Msg("line skipped")
 	}
 	if got := strings.Count(output.String(), "\n"); got != Burst {
 		t.Errorf("got %d lines, want %d:\n%s", got, Burst, output.String())
--- a/internal/logtest/logtest.go
+++ b/internal/logtest/logtest.go
@@ -20,14 +20,15 @@
 	t         *testing.T
 	component string
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards lines
 	lines []logLine
 }
 
 // logLine holds those fields of a log line that a Recorder checks or records.
 type logLine struct{ Level, Component, Message string }
 
-// New returns an empty recorder. The test fails if a recorded line does not have the given component.
+// New returns an empty recorder. The test fails if the field "component" of a recorded line does not have the value of
+// the parameter component.
 func New(t *testing.T, component string) *Recorder {
 	t.Helper()
 	return &Recorder{t: t, component: component}
@@ -38,13 +39,13 @@
 
 // Write records one log line. zerolog calls it once for each line, with the line as JSON.
 func (r *Recorder) Write(text []byte) (int, error) {
-	var recorded logLine
-	if err := json.Unmarshal(text, &recorded); err != nil || recorded.Component != r.component {
-		r.t.Errorf("log line %s: got component %q, error %v; want component %q", text, recorded.Component, err, r.component)
+	var line logLine
+	if err := json.Unmarshal(text, &line); err != nil || line.Component != r.component {
+		r.t.Errorf("log line %s: got component %q, error %v; want component %q", text, line.Component, err, r.component)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lines = append(r.lines, recorded)
+	r.lines = append(r.lines, line)
 	return len(text), nil
 }
 
--- a/internal/orderqueue/acknowledgments.go
+++ b/internal/orderqueue/acknowledgments.go
@@ -47,8 +47,8 @@
 	t.allProxiesRequested = t.allProxiesRequested || request.AllProxies
 }
 
-// recordSplit records that a call requests a sequence number but does not contain all orders of the batch. It ignores
-// noSequence.
+// recordSplit records that a call requests the sequence number of a batch but does not contain all orders of the batch.
+// It ignores the value noSequence, which means that the call requests no sequence number.
 func (t *acknowledgmentTracker) recordSplit(sequence int) {
 	if sequence != noSequence && !slices.Contains(t.splitSequences, sequence) {
 		t.splitSequences = trimOldest(append(t.splitSequences, sequence))
@@ -62,16 +62,16 @@
 	return sequence != noSequence && !slices.Contains(t.splitSequences, sequence)
 }
 
-// recordMergedRequest records that a call requests the last of the given sequence numbers on behalf of all of them. A
-// call with fewer than two sequence numbers needs no record.
+// recordMergedRequest records that a call requests an acknowledgment of the last of the given sequence numbers, which
+// stands for all of them. A call with fewer than two sequence numbers needs no record.
 func (t *acknowledgmentTracker) recordMergedRequest(sequences []int) {
 	if n := len(sequences); n > 1 {
 		t.mergedRequests = trimOldest(append(t.mergedRequests, mergedRequest{lastSequence: sequences[n-1], earlierSequences: sequences[:n-1]}))
 	}
 }
 
-// recordAcknowledgment records an acknowledgment from a proxy. It returns the acknowledgments of the batches that were
-// merged into the acknowledged one, followed by the given acknowledgment.
+// recordAcknowledgment records an acknowledgment from a proxy. It returns acknowledgments of the earlier batches that
+// were sent in one call with the acknowledged batch, followed by the given acknowledgment.
 func (t *acknowledgmentTracker) recordAcknowledgment(acknowledgment assign.Acknowledged) (acknowledgments []assign.Event) {
 	for _, sequence := range t.sequencesMergedInto(acknowledgment.Sequence) {
 		acknowledgments = append(acknowledgments, assign.Acknowledged{Proxy: acknowledgment.Proxy, Sequence: sequence, Latency: acknowledgment.Latency})
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// recordRequeuedRequests adds the sequence numbers of a requeued call before the sequence numbers that were requested
-// after the call was taken. It omits duplicates.
+// recordRequeuedRequests inserts the sequence numbers of a requeued call before the sequence numbers of the batches
+// that were submitted after the call was taken. It omits duplicates.
 func (t *acknowledgmentTracker) recordRequeuedRequests(sequences []int, allProxies bool) {
 	requested := slices.Clone(sequences)
 	for _, sequence := range t.requestedSequences {
--- a/internal/orderqueue/acknowledgments_test.go
+++ b/internal/orderqueue/acknowledgments_test.go
@@ -45,8 +45,8 @@
 }
 
 // Sequence numbers wrap around and are reused. An acknowledgment of an earlier batch must not count for a later batch
-// with the same sequence number. A split of the earlier batch must not prevent an acknowledgment from proving that the
-// later batch was applied.
+// with the same sequence number. If the earlier batch was split into several calls, an acknowledgment must still prove
+// that the later batch was applied.
 func TestTrackerForgetsEarlierBatchOfReusedSequence(t *testing.T) {
 	tracker := acknowledgmentTracker{}
 	tracker.recordRequest(assign.AcknowledgmentRequest{Sequence: 5})
--- a/internal/orderqueue/ambiguity.go
+++ b/internal/orderqueue/ambiguity.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// maxAmbiguityDelay is the longest delay after an ambiguous call. It is shorter than the 500 ms that the platform
-	// allows for a broken call.
+	// maxAmbiguityDelay is the longest delay after an ambiguous call, which was sent but got no valid response. It is
+	// shorter than the 500 ms that the platform allows for a broken call.
 	maxAmbiguityDelay = 480 * time.Millisecond
 	// minAmbiguityDelay is the shortest initial delay after an ambiguous call. It applies if the configured mean
-	// transit time is shorter or not set.
+	// transit time of a message is shorter or not set.
 	minAmbiguityDelay = 50 * time.Millisecond
-	// ambiguityResetInterval is the longest time between the end of a delay and the next ambiguous call for which the
-	// delay still doubles. After a longer time, the backoff starts from the initial delay again.
+	// ambiguityResetInterval is the longest time between the end of the delay after an ambiguous call and the next
+	// ambiguous call for which the delay still doubles. After a longer time, the backoff starts from the initial delay
+	// again.
 	ambiguityResetInterval = time.Second
 )
 
-// ambiguityBackoff is the exponential backoff after ambiguous calls. No call is sent during a delay, so that the
-// acknowledgment of the ambiguous call can arrive. The first delay is the mean transit time of a message. Each
-// ambiguous call that follows soon after a delay doubles the delay.
+// ambiguityBackoff is the exponential backoff after ambiguous calls, which were sent but got no valid response. No call
+// is sent during a delay, so that the acknowledgment of the ambiguous call can arrive. The first delay is the mean
+// transit time of a message. Each ambiguous call that follows soon after a delay doubles the delay.
 type ambiguityBackoff struct {
-	// initialDelay is the first delay after a period without ambiguous calls.
+	// initialDelay is the delay after the first ambiguous call that follows a period without ambiguous calls.
 	initialDelay time.Duration
-	// latestDelay is the length of the latest delay, which may have ended.
+	// latestDelay is the length of the latest delay after an ambiguous call. The delay may have ended.
 	latestDelay time.Duration
-	// endsAt is the time at which the latest delay ends or has ended.
+	// endsAt is the time at which the latest delay after an ambiguous call ends or has ended.
 	endsAt time.Time
 }
 
@@ -46,5 +47,5 @@
 // stop ends the delay early because the acknowledgment of the ambiguous call has arrived.
 func (b *ambiguityBackoff) stop(now time.Time) { b.endsAt = now }
 
-// remaining returns the time until the delay ends, or 0 if it has ended.
+// remaining returns the time until the delay after an ambiguous call ends, or 0 if the delay has ended.
 func (b *ambiguityBackoff) remaining(now time.Time) time.Duration { return max(0, b.endsAt.Sub(now)) }
--- a/internal/orderqueue/bench_test.go
+++ b/internal/orderqueue/bench_test.go
@@ -30,7 +30,7 @@
 	return queue, append(batch, assign.AcknowledgmentRequest{Sequence: 2})
 }
 
-// takeAllAndResetBudget takes all available calls and resets the message budget of each proxy.
+// takeAllAndResetBudget takes all available calls from the queue and resets the message budget of each proxy.
 func (q *Queue) takeAllAndResetBudget(b *testing.B) {
 	b.Helper()
 	for {
--- a/internal/orderqueue/budget.go
+++ b/internal/orderqueue/budget.go
@@ -12,11 +12,11 @@
 // messageBudget limits the messages to each proxy within a sliding time window. The decision module counts the batches
 // that it orders, but it does not count calls that are repeated.
 type messageBudget struct {
-	// limit is the number of messages that one proxy may receive within the window; 0 means no limit.
+	// limit is the number of messages that one proxy may receive within the time window; 0 means no limit.
 	limit int
 	// window is the length of the sliding time window, including messageWindowMargin.
 	window time.Duration
-	// recentCalls are the calls that were sent within the window, oldest first.
+	// recentCalls are the calls that were sent within the time window, oldest first.
 	recentCalls []sentCall
 }
 
@@ -27,7 +27,8 @@
 	recipients []*connectedProxy
 }
 
-// expireCalls removes the calls that have left the window from the message counts.
+// expireCalls subtracts the calls that were sent before the time window of the message limit from the message counts of
+// their recipients.
 func (b *messageBudget) expireCalls(now time.Time) {
 	expired := 0
 	for ; expired < len(b.recentCalls) && now.Sub(b.recentCalls[expired].sentAt) > b.window; expired++ {
@@ -36,19 +37,22 @@
 	b.recentCalls = slices.Delete(b.recentCalls, 0, expired)
 }
 
-// isExhaustedFor reports whether a proxy has received as many messages within the window as the limit allows.
+// isExhaustedFor reports whether a proxy has received as many messages within the time window as the message limit
+// allows.
 func (b *messageBudget) isExhaustedFor(proxy *connectedProxy) bool {
 	return proxy.messagesInWindow >= b.limit
 }
 
-// recordCall adds a sent call to the window. The message counts of its recipients must include the call already.
+// recordCall adds a sent call to the calls within the time window of the message limit. The message counts of its
+// recipients must include the call already.
 func (b *messageBudget) recordCall(call sentCall) {
 	if b.limit > 0 && len(call.recipients) > 0 {
 		b.recentCalls = append(b.recentCalls, call)
 	}
 }
 
-// refundCall removes a call that reached no proxy from the window and from the message counts.
+// refundCall removes a call that reached no proxy from the calls within the time window of the message limit, and
+// subtracts it from the message counts of its recipients.
 func (b *messageBudget) refundCall(callNumber int) {
 	b.recentCalls = slices.DeleteFunc(b.recentCalls, func(call sentCall) bool {
 		if call.callNumber == callNumber {
--- a/internal/orderqueue/call.go
+++ b/internal/orderqueue/call.go
@@ -13,11 +13,11 @@
 	// pendingOrders are the orders of the call without the acknowledgment request.
 	pendingOrders []*pendingOrder
 	// batchSequences are the sequence numbers of the batches that the call contains entirely or in part. The call
-	// requests the acknowledgment of the last batch, even if that batch is split.
+	// requests the acknowledgment of the last batch, even if it contains only a part of that batch.
 	batchSequences []int
 	// allProxiesRequested reports whether the call requests an acknowledgment from all proxies.
 	allProxiesRequested bool
-	// callNumber is the position of the call among all calls taken from the queue, starting at 1.
+	// callNumber is the number of the call. The calls taken from the queue are numbered from 1.
 	callNumber int
 }
 
@@ -77,15 +77,17 @@
 
 // requeue inserts the orders of a call, starting with the order at startIndex, before the orders that were submitted
 // after the call was taken. The parameter ambiguousSequence is the sequence number whose acknowledgment proves that the
-// orders were applied, or noSequence.
+// orders were applied, or noSequence if there is none.
 func (q *Queue) requeue(call Call, startIndex, ambiguousSequence int) {
 	q.repeatedCalls++
-	// The index is past the acknowledgment request if the request itself was rejected and is dropped.
+	// The acknowledgment request is the last order of the call and is not in pendingOrders. If startIndex is past the
+	// request, the relay rejected the request itself, and the request is dropped.
 	if startIndex > len(call.pendingOrders) {
 		call.batchSequences = nil
 		call.allProxiesRequested = false
 	}
-	// The order just before startIndex is treated as uncertain, too. If it was rejected and dropped, it was not applied.
+	// Whether the requeued orders were applied is uncertain. The order just before startIndex is treated as
+	// uncertain, too, because it was not applied if the relay rejected it and it is dropped.
 	firstUncertainIndex := min(max(startIndex-1, 0), len(call.pendingOrders))
 	for _, pending := range call.pendingOrders[firstUncertainIndex:] {
 		q.proxies.markAttachmentUncertain(pending)
--- a/internal/orderqueue/harness_test.go
+++ b/internal/orderqueue/harness_test.go
@@ -10,8 +10,8 @@
 	"madderhollow/internal/wire"
 )
 
-// newTestQueue returns a queue with the given message limit, or without a limit if messageLimit is 0. The message
-// window is one hour, so that no message leaves the window during a test.
+// newTestQueue returns a queue that limits the messages to each proxy to messageLimit, or does not limit them if
+// messageLimit is 0. Messages are counted over one hour, so that no message leaves the time window during a test.
 func newTestQueue(messageLimit int) *Queue {
 	config := testconfig.New([]string{"a"}, 8, "read")
 	config.Channel = assign.ChannelConfig{MessageLimit: float64(messageLimit), MessageWindow: 3600, MeanTransitTime: 0.05}
@@ -28,7 +28,7 @@
 // dropPendingOrders removes all pending orders from the queue.
 func (q *Queue) dropPendingOrders() { q.pending.removeIf(func(*pendingOrder) bool { return true }) }
 
-// endBackoff ends the delay after an ambiguous call.
+// endBackoff ends the delay after an ambiguous call, during which the queue returns no call.
 func (q *Queue) endBackoff() { q.backoff.endsAt = time.Time{} }
 
 // mustTakeCall takes a call from the queue and fails the test if no call is available at once.
--- a/internal/orderqueue/known_faults_test.go
+++ b/internal/orderqueue/known_faults_test.go
@@ -48,8 +48,8 @@
 	expectCall(t, queue, mustTakeCall(t, queue), assign.AttachTable{Proxy: 1, Table: 1}, assign.AcknowledgmentRequest{Sequence: 1})
 }
 
-// endWindowAndBackoff sets the queue to the state after the message window and the delay after an ambiguous call have
-// passed.
+// endWindowAndBackoff resets the message counts of all proxies and ends the delay after an ambiguous call, as if the
+// time window of the message limit and the delay had passed.
 func (q *Queue) endWindowAndBackoff() {
 	q.endBackoff()
 	for _, proxy := range q.proxies.connectedProxies {
--- a/internal/orderqueue/pending.go
+++ b/internal/orderqueue/pending.go
@@ -9,11 +9,12 @@
 	"madderhollow/assign"
 )
 
-// noSequence is the value of a sequence number that is not set. Valid sequence numbers are not negative.
+// noSequence stands for the sequence number of an acknowledgment if there is none. Valid sequence numbers are not
+// negative.
 const noSequence = -1
 
-// maxSupersededSlots limits the nil slots in pendingQueue.orders. The queue is compacted when the slice is longer than
-// twice the number of pending orders plus maxSupersededSlots.
+// maxSupersededSlots limits the nil elements of the slice pendingQueue.orders, which are left by superseded and removed
+// orders. The slice is compacted when it is longer than twice the number of pending orders plus maxSupersededSlots.
 const maxSupersededSlots = 256
 
 // escapedOrderSeparator separates the orders of a call. It is the URL-escaped form of a semicolon, as sent to the
@@ -35,8 +36,8 @@
 // orderKey identifies the value that an order sets. A pending order is superseded by a later order with the same key.
 type orderKey struct {
 	kind              orderKind
-	tableOrProxy      int    // number of the table or of the proxy, depending on the kind
-	endpointOrClasses string // name of the endpoint or key of the request classes, depending on the kind
+	tableOrProxy      int    // number of the table or proxy that the order concerns, depending on kind
+	endpointOrClasses string // endpoint name or requestClassesKey of the order, depending on kind
 }
 
 // orderKeyOf returns the key of an order. It returns the zero key for order types that cannot be encoded, which the
@@ -81,10 +82,10 @@
 	// submittedAt is the time at which the order was submitted to the queue.
 	submittedAt time.Time
 	// connectionGeneration is the value of proxyTracker.connectionGenerations for the attached proxy at the time of
-	// submission. It is set only if the order attaches a table.
+	// submission. It is set only if the order attaches a table to a proxy.
 	connectionGeneration int
-	// previousTables are the tables that the attached proxy may keep using if the order is not applied. It is set when
-	// an order that attaches a table is sent.
+	// previousTables are the tables that a proxy may keep using if an order that attaches a table to the proxy is not
+	// applied. The field is set when such an order is sent.
 	previousTables []int
 }
 
@@ -93,7 +94,7 @@
 	return &pendingOrder{order: order, encoded: encoded, escapedSize: escapedSize, ambiguousSequence: noSequence, submittedAt: time.Now()}
 }
 
-// attachment returns the order as an AttachTable. It returns false if the order has another type.
+// attachment returns the order as an assign.AttachTable. It returns false if the order has another type.
 func (p *pendingOrder) attachment() (assign.AttachTable, bool) {
 	attachment, ok := p.order.(assign.AttachTable)
 	return attachment, ok
@@ -103,9 +104,9 @@
 // each key. Its size therefore stays bounded while the relay is unreachable. When the relay is reachable again, the
 // accumulated orders are sent as one message to each proxy instead of one message for each batch.
 type pendingQueue struct {
-	orders          []*pendingOrder  // pending orders; the slots of superseded and removed orders are nil
-	indexByKey      map[orderKey]int // index of each pending order in the slice of orders
-	coalescedOrders int              // number of orders that were superseded by a later order
+	orders          []*pendingOrder  // pending orders; nil in the place of each order that was superseded or removed
+	indexByKey      map[orderKey]int // index of each pending order in the slice orders
+	coalescedOrders int              // number of pending orders that a later order with the same key superseded
 }
 
 func newPendingQueue() pendingQueue { return pendingQueue{indexByKey: map[orderKey]int{}} }
@@ -113,8 +114,8 @@
 // count returns the number of pending orders.
 func (q *pendingQueue) count() int { return len(q.indexByKey) }
 
-// removeAll empties the queue and returns its orders. Slots of superseded and removed orders are nil in the returned
-// slice.
+// removeAll empties the queue and returns its orders. The returned slice has a nil element in the place of each order
+// that was superseded or removed before.
 func (q *pendingQueue) removeAll() []*pendingOrder {
 	orders := q.orders
 	q.orders = nil
@@ -122,7 +123,7 @@
 	return orders
 }
 
-// addAll adds a list of orders and skips nil elements.
+// addAll adds a list of orders to the pending orders and skips nil elements of the list.
 func (q *pendingQueue) addAll(orders []*pendingOrder) {
 	for _, pending := range orders {
 		if pending != nil {
@@ -131,8 +132,8 @@
 	}
 }
 
-// add appends an order and removes the pending orders that it supersedes. An order that clears a table supersedes all
-// orders that set an entry or a rate limit of the table.
+// add appends an order to the pending orders and removes the orders that it supersedes. An order that clears a table
+// supersedes all orders that set an entry or a rate limit of the table.
 func (q *pendingQueue) add(added *pendingOrder) {
 	if clearOrder, ok := added.order.(assign.ClearTable); ok {
 		q.removeIf(func(other *pendingOrder) bool { return setsValueInTable(other.order, clearOrder.Table) })
@@ -158,7 +159,8 @@
 	return false
 }
 
-// compact removes the nil slots once they exceed the limit described at maxSupersededSlots.
+// compact removes the nil elements from the slice of pending orders when they exceed the limit described at
+// maxSupersededSlots.
 func (q *pendingQueue) compact() {
 	if len(q.orders) <= 2*len(q.indexByKey)+maxSupersededSlots {
 		return
@@ -169,7 +171,7 @@
 	}
 }
 
-// removeIf removes the orders for which match returns true, and reports whether it removed any.
+// removeIf removes the pending orders for which match returns true, and reports whether it removed any.
 func (q *pendingQueue) removeIf(match func(*pendingOrder) bool) (removed bool) {
 	for i, pending := range q.orders {
 		if pending == nil || !match(pending) {
--- a/internal/orderqueue/queue.go
+++ b/internal/orderqueue/queue.go
@@ -21,10 +21,10 @@
 type Queue struct {
 	encoder Encoder
 	log     zerolog.Logger
-	// wakeSignal has a capacity of 1. It holds an element if pending orders may have become available to Take.
+	// wakeSignal wakes Take. Its capacity is 1. It holds an element if Take may be able to return a call.
 	wakeSignal chan struct{}
 
-	mu              sync.Mutex // guards the fields below
+	mu              sync.Mutex // mu guards all fields below
 	pending         pendingQueue
 	acknowledgments acknowledgmentTracker
 	backoff         ambiguityBackoff
@@ -32,7 +32,7 @@
 	proxies         proxyTracker
 	// takenCalls is the number of calls returned by Take and TryTake. It is also the number of the latest call.
 	takenCalls int
-	// repeatedCalls is the number of taken calls that were requeued, entirely or in part, or were ambiguous.
+	// repeatedCalls is the number of taken calls that were requeued, entirely or in part, or got no valid response.
 	repeatedCalls int
 	// maxOrderWait is the longest time between the submission of an order and the taking of a call that contains it.
 	maxOrderWait time.Duration
@@ -42,16 +42,16 @@
 type Stats struct {
 	ConnectedProxies int           // number of proxies that are connected now
 	TakenCalls       int           // number of calls returned by Take and TryTake, including repeated calls
-	RepeatedCalls    int           // number of calls that were requeued, entirely or in part, or were ambiguous
-	CoalescedOrders  int           // number of orders that were superseded by a later order
+	RepeatedCalls    int           // number of calls that were requeued, entirely or in part, or got no valid response
+	CoalescedOrders  int           // number of pending orders that a later order superseded
 	PendingOrders    int           // number of orders that are pending now
-	MaxOrderWait     time.Duration // longest time between the submission of an order and the taking of a call with it
+	MaxOrderWait     time.Duration // longest time between the submission of an order and the taking of its call
 }
 
 // Config contains the parameters of New.
 type Config struct {
-	// Channel contains the message limit and the mean transit time of messages. All times are in seconds. A
-	// MessageLimit of 0 means that there is no limit.
+	// Channel contains the limit on messages to each proxy within a time window, and the mean transit time of messages.
+	// All times are in seconds. A MessageLimit of 0 means that there is no limit.
 	Channel assign.ChannelConfig
 	// Encoder encodes the submitted orders. It is required.
 	Encoder Encoder
@@ -87,14 +87,15 @@
 }
 
 // PreprocessEvents updates the state of the queue from a batch of events, and returns the events that the decision
-// module has to handle. It inserts the acknowledgments of merged batches. It clears DefaultTablesOnly in the event of a
-// reconnected proxy if an attachment may have reached the new connection. It drops the pending attachments of proxies
-// that have connected or disconnected. It does not block.
+// module has to handle. If several batches of orders were sent in one call, it inserts an acknowledgment of each of
+// them before the acknowledgment of the last one. It clears DefaultTablesOnly in the event of a reconnected proxy if an
+// order that attaches a table may have reached the new connection. It drops the pending orders that attach a table to a
+// proxy that has connected or disconnected. It does not block.
 func (q *Queue) PreprocessEvents(events []assign.Event) []assign.Event {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	processed := make([]assign.Event, 0, len(events))
-	acknowledgedSequences := map[int]bool{} // set of sequence numbers
+	acknowledgedSequences := map[int]bool{} // set of the sequence numbers that the events acknowledge
 	changedProxies := map[int]bool{}        // set of the numbers of proxies that have connected or disconnected
 	for _, event := range events {
 		switch event := event.(type) {
@@ -121,7 +122,7 @@
 	return processed
 }
 
-// dropPendingAttachments drops the pending attachments of the given proxies.
+// dropPendingAttachments drops the pending orders that attach a table to one of the given proxies.
 func (q *Queue) dropPendingAttachments(proxies map[int]bool) {
 	q.pending.removeIf(func(pending *pendingOrder) bool {
 		attachment, ok := pending.attachment()
@@ -129,8 +130,8 @@
 	})
 }
 
-// dropAcknowledged drops the pending orders of an ambiguous call if one of the given acknowledgments proves that the
-// call was applied. If it drops any order, it also ends the delay after the ambiguous call.
+// dropAcknowledged drops the pending orders of an ambiguous call if an acknowledgment of one of the given sequence
+// numbers proves that the call was applied. If it drops any order, it also ends the delay after the ambiguous call.
 func (q *Queue) dropAcknowledged(acknowledgedSequences map[int]bool) {
 	applied := func(pending *pendingOrder) bool {
 		return acknowledgedSequences[pending.ambiguousSequence] && q.acknowledgments.provesApplied(pending.ambiguousSequence)
@@ -169,6 +170,6 @@
 func (q *Queue) wakeTake() {
 	select {
 	case q.wakeSignal <- struct{}{}:
-	default: // the channel holds a signal already
+	default: // wakeSignal holds an element already
 	}
 }
--- a/internal/orderqueue/queue_test.go
+++ b/internal/orderqueue/queue_test.go
@@ -29,8 +29,9 @@
 	expectCall(t, queue, mustTakeCall(t, queue), assign.ClearTable{Table: 2}, assign.AcknowledgmentRequest{Sequence: 8})
 }
 
-// newQueueWithSplitBatch returns a queue with two connected proxies and the first call of a split batch. The batch has
-// sequence number 2. Its order for table 1 stays pending, because the message budget of proxy 1 is exhausted.
+// newQueueWithSplitBatch returns a queue with two connected proxies, and the first of two calls into which a batch is
+// split. The batch has sequence number 2. Its order for table 1 stays pending, because proxy 1 uses table 1 and its
+// message budget is exhausted.
 func newQueueWithSplitBatch(t *testing.T) (queue *Queue, firstCall Call) {
 	t.Helper()
 	queue = newTestQueue(1)
@@ -56,9 +57,10 @@
 	expectCall(t, queue, mustTakeCall(t, queue), want...)
 }
 
-// applyRandomOperation performs one random operation on a queue: a connect, a disconnect, a submission, or the taking
-// or requeueing of a call. It returns a list that contains the call in flight afterwards, if any.
-func applyRandomOperation(queue *Queue, random *rand.Rand, sequence int, inFlight []Call) []Call {
+// applyRandomOperation performs one random operation on a queue: the connect or disconnect of a proxy, the submission
+// of a batch, or the taking or requeueing of a call. The parameter callsInFlight contains the call in flight before the
+// operation, if any. The result contains the call in flight after the operation, if any.
+func applyRandomOperation(queue *Queue, random *rand.Rand, sequence int, callsInFlight []Call) []Call {
 	proxy := random.Intn(4)
 	switch random.Intn(6) {
 	case 0:
@@ -76,29 +78,29 @@
 			return []Call{call}
 		}
 	default:
-		if len(inFlight) == 0 {
+		if len(callsInFlight) == 0 {
 			break
 		}
 		if random.Intn(2) == 0 {
-			queue.RequeueAmbiguous(inFlight[0])
+			queue.RequeueAmbiguous(callsInFlight[0])
 		} else {
-			queue.Requeue(inFlight[0])
+			queue.Requeue(callsInFlight[0])
 		}
 		queue.endBackoff()
 		return nil
 	}
-	return inFlight
+	return callsInFlight
 }
 
-// The message count of a proxy must equal the number of calls within the window that reach the proxy, and must never
-// exceed the limit.
+// The message count of a proxy must equal the number of calls within the time window of the message limit that reach
+// the proxy, and must never exceed the limit.
 func TestMessageCountsMatchCallsWithinWindow(t *testing.T) {
 	const limit = 6
 	property := func(seed int64) bool {
 		random, q := rand.New(rand.NewSource(seed)), newTestQueue(limit)
-		var inFlight []Call
+		var callsInFlight []Call
 		for i := range 60 {
-			inFlight = applyRandomOperation(q, random, i, inFlight)
+			callsInFlight = applyRandomOperation(q, random, i, callsInFlight)
 			want := map[*connectedProxy]int{}
 			for _, call := range q.budget.recentCalls {
 				for _, proxy := range call.recipients {
@@ -117,8 +119,8 @@
 	quickcheck.CheckSeeds(t, 300, property)
 }
 
-// If an attachment was not applied or may not have been applied, the proxy may still use its previous table. Orders for
-// the previous table must still count as messages to the proxy.
+// If an order that attaches a table to a proxy was not applied or may not have been applied, the proxy may still use
+// its previous table. Orders for the previous table must still count as messages to the proxy.
 func TestUnappliedAttachmentKeepsProxyOnPreviousTable(t *testing.T) {
 	for name, requeue := range map[string]func(*Queue, Call){
 		"ambiguous":         (*Queue).RequeueAmbiguous,
@@ -162,8 +164,8 @@
 	}
 }
 
-// An attachment for a connection that has ended must not be sent to the next connection of the proxy. The decision
-// module orders another attachment for the new connection.
+// An order that attaches a table to a proxy must not be sent to the proxy if its connection has ended since the order
+// was submitted. The decision module orders another attachment for the next connection of the proxy.
 func TestAttachmentForEndedConnectionIsDropped(t *testing.T) {
 	queue := newTestQueue(0)
 	weight := assign.SetWeight{Table: 1, Endpoint: "t", Weight: 1}
@@ -177,11 +179,11 @@
 		}
 		return call
 	}
-	// The connection ends while the attachment is pending.
+	// The connection of proxy 3 ends while its attachment order is pending.
 	queue.Submit(batch)
 	queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: 3}})
 	expectCall(t, queue, take(), weight, request)
-	// The connection ends while the attachment is in flight.
+	// The connection of proxy 3 ends while the call with its attachment order is in flight.
 	queue.Submit(batch)
 	call := take()
 	processed := queue.PreprocessEvents([]assign.Event{assign.ProxyDisconnected{Proxy: 3}, assign.ProxyConnected{Proxy: 3, DefaultTablesOnly: true}})
@@ -199,7 +201,7 @@
 }
 
 // A batch that exceeds the maximum call size is split into several calls, all of which request the same sequence
-// number. An acknowledgment of one of these calls must not count as an acknowledgment of another.
+// number. An acknowledgment of one of these calls must not count as an acknowledgment of another of these calls.
 func TestBatchAboveMaxCallSizeIsSplit(t *testing.T) {
 	queue := newTestQueue(0)
 	var orders []assign.Order
