--- a/internal/orderqueue/recipients.go
+++ b/internal/orderqueue/recipients.go
@@ -8,9 +8,10 @@
 	"madderhollow/assign"
 )
 
-// maxAttachmentTransit is the longest time after the sending of an attachment during which the attachment may reach a
-// newer connection of its proxy than intended. This happens if the intended connection has ended but its disconnect
-// event is still in transit. The transit in either direction takes milliseconds.
+// maxAttachmentTransit is the longest time after the sending of an attachment, which is an order that makes a proxy use
+// a table, during which the order may reach a newer connection of the proxy than intended. This happens if the intended
+// connection has ended but its disconnect event is still in transit. The transit in either direction takes
+// milliseconds.
 const maxAttachmentTransit = time.Second
 
 // connectedProxy is the state of a connected proxy: the tables that it may use and the messages that it may have
@@ -20,7 +21,7 @@
 	// are several tables if it is uncertain which of them the proxy uses.
 	tablesByClasses map[string][]int
 	// messagesInWindow is the number of messages that count against the message budget of the proxy: the calls that
-	// were sent within the window and reach the proxy.
+	// were sent within the time window of the budget and reach the proxy.
 	messagesInWindow int
 	// lastCallNumber is the number of the latest call that was counted as a message to the proxy.
 	lastCallNumber int
@@ -35,10 +36,10 @@
 	// uses has no element. The index exists because a search through hundreds of proxies for each order would be too
 	// slow.
 	proxiesByTable map[int]map[*connectedProxy]struct{}
-	// lastAttachmentAt holds the time at which the latest attachment was sent that may have reached the current
-	// connection of the proxy.
+	// lastAttachmentAt holds, for each proxy, the time at which the latest order was sent that attaches a table to the
+	// proxy and may have reached its current connection.
 	lastAttachmentAt map[int]time.Time
-	// connectionGenerations holds the number of connects and disconnects of the proxy that were observed.
+	// connectionGenerations holds, for each proxy, the number of connects and disconnects that were observed.
 	connectionGenerations map[int]int
 }
 
@@ -52,7 +53,7 @@
 }
 
 // recordConnect records a new connection of a proxy and returns the event for the decision module. DefaultTablesOnly is
-// false in the returned event if an attachment may have reached the new connection.
+// false in the returned event if an order that attaches a table may have reached the new connection.
 func (t *proxyTracker) recordConnect(event assign.ProxyConnected) assign.ProxyConnected {
 	t.connectionGenerations[event.Proxy]++
 	if t.connectedProxies[event.Proxy] == nil {
@@ -78,15 +79,15 @@
 	}
 }
 
-// setTables replaces the tables that a proxy may use for a set of request classes, which is given by its
-// requestClassesKey.
+// setTables replaces the tables that a proxy may use for a list of request classes. The parameter classesKey is the
+// requestClassesKey of the list.
 func (t *proxyTracker) setTables(proxy *connectedProxy, classesKey string, tables ...int) {
-	previous := proxy.tablesByClasses[classesKey]
+	previousTables := proxy.tablesByClasses[classesKey]
 	proxy.tablesByClasses[classesKey] = tables
 	if len(tables) == 0 {
 		delete(proxy.tablesByClasses, classesKey)
 	}
-	for _, table := range previous {
+	for _, table := range previousTables {
 		if !proxy.mayUseTable(table) {
 			t.removeProxyFromTable(table, proxy)
 		}
@@ -106,7 +107,7 @@
 	return false
 }
 
-// addProxyToTable adds a proxy to the index entry of a table.
+// addProxyToTable adds a proxy to the proxies that may use a table, in proxiesByTable.
 func (t *proxyTracker) addProxyToTable(table int, proxy *connectedProxy) {
 	if t.proxiesByTable[table] == nil {
 		t.proxiesByTable[table] = map[*connectedProxy]struct{}{}
@@ -114,7 +115,7 @@
 	t.proxiesByTable[table][proxy] = struct{}{}
 }
 
-// removeProxyFromTable removes a proxy from the index entry of a table.
+// removeProxyFromTable removes a proxy from the proxies that may use a table, in proxiesByTable.
 func (t *proxyTracker) removeProxyFromTable(table int, proxy *connectedProxy) {
 	delete(t.proxiesByTable[table], proxy)
 	if len(t.proxiesByTable[table]) == 0 {
@@ -122,8 +123,8 @@
 	}
 }
 
-// recordSentAttachment records the new table of the attached proxy if the sent order is an attachment. It ignores other
-// orders.
+// recordSentAttachment records the new table of a proxy if the sent order attaches a table to the proxy. It ignores
+// other orders.
 func (t *proxyTracker) recordSentAttachment(pending *pendingOrder, now time.Time) {
 	attachment, ok := pending.attachment()
 	if !ok {
@@ -137,8 +138,9 @@
 	}
 }
 
-// markAttachmentUncertain records that an attachment may not have been applied. Until the next attachment is sent, the
-// proxy may use either the new table or the previous tables. It ignores other orders and outdated attachments.
+// markAttachmentUncertain records that an order which attaches a table to a proxy may not have been applied. Until the
+// next such order is sent, the proxy may use either the new table or its previous tables. The function ignores other
+// orders, and orders for a connection of the proxy that has ended.
 func (t *proxyTracker) markAttachmentUncertain(pending *pendingOrder) {
 	attachment, ok := pending.attachment()
 	proxy := t.connectedProxies[attachment.Proxy]
@@ -151,8 +153,8 @@
 	t.setTables(proxy, classesKey, slices.Compact(tables)...)
 }
 
-// isOutdatedAttachment reports whether an order is an attachment for a connection that has ended since the order was
-// submitted.
+// isOutdatedAttachment reports whether an order attaches a table to a proxy that has connected or disconnected since
+// the order was submitted.
 func (t *proxyTracker) isOutdatedAttachment(pending *pendingOrder) bool {
 	attachment, ok := pending.attachment()
 	return ok && pending.connectionGeneration != t.connectionGenerations[attachment.Proxy]
--- a/internal/orderqueue/take.go
+++ b/internal/orderqueue/take.go
@@ -13,7 +13,7 @@
 	// maxCallSize is the limit that the protocol sets on the size of the orders of one call, in URL-escaped bytes.
 	maxCallSize = 60000
 	// acknowledgmentRequestSize is the part of maxCallSize that is reserved for the acknowledgment request, in
-	// URL-escaped bytes. It is the size of a request with the largest sequence number.
+	// URL-escaped bytes. It is the size of an acknowledgment request with the largest sequence number.
 	acknowledgmentRequestSize = 17
 	// budgetRecheckInterval is the time after which Take checks again whether pending orders are within the message
 	// budget.
@@ -24,7 +24,8 @@
 // returns an error that wraps the error of the context. It returns no other errors.
 func (q *Queue) Take(ctx context.Context) (Call, error) {
 	for {
-		// The context is checked first, because orders are always pending while the relay is unreachable.
+		// The context is checked first, because orders are always pending while the relay is unreachable, so that Take
+		// would never wait for the end of the context.
 		if err := ctx.Err(); err != nil {
 			return Call{}, fmt.Errorf("take call: %w", err)
 		}
@@ -51,8 +52,8 @@
 	return call, ok
 }
 
-// take returns a call if orders can be sent now. Otherwise it returns the time after which pending orders may be sent,
-// or 0 if no orders are pending.
+// take returns a call if orders can be sent now. Otherwise recheckAfter is the time after which pending orders may be
+// sent, or 0 if no orders are pending.
 func (q *Queue) take() (call Call, ok bool, recheckAfter time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -61,16 +62,16 @@
 		return Call{}, false, remaining
 	}
 	q.budget.expireCalls(now)
-	selected, deferred := q.selectOrders()
-	if len(deferred) > 0 && len(selected) == 0 {
+	selectedOrders, deferredOrders := q.selectOrders()
+	if len(deferredOrders) > 0 && len(selectedOrders) == 0 {
 		return Call{}, false, budgetRecheckInterval
 	}
-	call = q.newCall(selected, len(deferred) == 0)
+	call = q.newCall(selectedOrders, len(deferredOrders) == 0)
 	q.pending.removeAll()
-	q.pending.addAll(deferred)
-	// A call without orders reaches no proxy unless it requests an acknowledgment from all proxies. Such a call is not
-	// sent, and newCall has already removed its acknowledgment request from the tracker.
-	if len(selected) == 0 && !call.allProxiesRequested {
+	q.pending.addAll(deferredOrders)
+	// A call without orders reaches no proxy and is not sent, unless it requests an acknowledgment from all proxies.
+	// newCall has already removed the acknowledgment request of the call from the tracker.
+	if len(selectedOrders) == 0 && !call.allProxiesRequested {
 		return Call{}, false, 0
 	}
 	q.takenCalls++
@@ -83,22 +84,22 @@
 // selectOrders splits the pending orders into the orders for the next call and the deferred orders, which stay pending.
 // An order is deferred if it reaches a proxy whose message budget is exhausted. Once an order does not fit into the
 // call, that order and all orders after it are deferred.
-func (q *Queue) selectOrders() (selected, deferred []*pendingOrder) {
+func (q *Queue) selectOrders() (selectedOrders, deferredOrders []*pendingOrder) {
 	callSize, callFull := 0, false
 	for _, pending := range q.pending.orders {
 		switch {
 		case pending == nil:
 		case callFull || q.exceedsBudget(pending.order):
-			deferred = append(deferred, pending)
+			deferredOrders = append(deferredOrders, pending)
 		case callSize+pending.escapedSize > maxCallSize-acknowledgmentRequestSize:
 			callFull = true
-			deferred = append(deferred, pending)
+			deferredOrders = append(deferredOrders, pending)
 		default:
 			callSize += pending.escapedSize
-			selected = append(selected, pending)
+			selectedOrders = append(selectedOrders, pending)
 		}
 	}
-	return selected, deferred
+	return selectedOrders, deferredOrders
 }
 
 // exceedsBudget reports whether an order reaches a proxy whose message budget is exhausted.
@@ -110,14 +111,14 @@
 	return exceeded
 }
 
-// newCall creates a call without its number and its encoded orders, which are set later. The call requests the
-// acknowledgment of the last pending batch. If complete is true, no order stays pending, so that no further call
-// requests the same acknowledgment. If complete is false, the batch is split, and the next call requests the
-// acknowledgment again.
-func (q *Queue) newCall(selected []*pendingOrder, complete bool) Call {
+// newCall creates a call with the selected orders, but without its number and its encoded orders, which take sets. The
+// call requests the acknowledgment of the last pending batch. The parameter complete reports whether the call contains
+// all pending orders, so that no further call requests the same acknowledgment. Otherwise the batch is split, and the
+// next call requests the acknowledgment again.
+func (q *Queue) newCall(selectedOrders []*pendingOrder, complete bool) Call {
 	tracker := &q.acknowledgments
 	call := Call{
-		pendingOrders:       selected,
+		pendingOrders:       selectedOrders,
 		batchSequences:      slices.Clone(tracker.requestedSequences),
 		allProxiesRequested: tracker.allProxiesRequested && complete,
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,7 +45,7 @@
 	ListenAddress    string          // local address to bind; required
 	PeerAddresses    []string        // addresses of all assigners, indexed by assigner number; default: none
 	BroadcastAddress string          // address that reaches all peers; default: no broadcast address
-	Sink             eventqueue.Sink // receives each message as assign.PeerMessageReceived; Run waits for it; required
+	Sink             eventqueue.Sink // receives each message as assign.PeerMessageReceived and may block Run; required
 	Log              zerolog.Logger
 }
 
@@ -59,7 +59,7 @@
 	sink             eventqueue.Sink
 	log              zerolog.Logger
 	rateLimitedLog   zerolog.Logger          // logger for dropped datagrams; rate-limited because any host can send many
-	bindFailures     *conditionlog.Condition // consecutive failures to bind; used by Open, afterwards only by Run
+	bindFailures     *conditionlog.Condition // logs failures to bind the socket; used by Open, afterwards only by Run
 }
 
 // Open parses the addresses and makes a first attempt to bind the socket. It returns an error if an address is invalid.
@@ -87,8 +87,8 @@
 
 // parseAddresses parses the addresses in config and stores them in the socket.
 func (s *Socket) parseAddresses(config Config) error {
-	for number, unparsed := range config.PeerAddresses {
-		address, err := parseAddress(fmt.Sprintf("address of peer %d", number), unparsed)
+	for number, unparsedAddress := range config.PeerAddresses {
+		address, err := parseAddress(fmt.Sprintf("address of peer %d", number), unparsedAddress)
 		if err != nil {
 			return err
 		}
@@ -105,7 +105,8 @@
 	return err
 }
 
-// parseAddress parses an address of the form IP:port. Its errors begin with the description of the address.
+// parseAddress parses an address of the form IP:port. Its errors begin with the parameter
+// description, which names the address.
 func parseAddress(description, address string) (netip.AddrPort, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -132,7 +133,7 @@
 	if conn == nil {
 		return
 	}
-	closeConn := func() { _ = conn.Close() }  // the only possible error is that the socket is closed already
+	closeConn := func() { _ = conn.Close() }  // Close fails only if the socket is closed already
 	stop := context.AfterFunc(ctx, closeConn) // closing the socket unblocks a pending read
 	defer stop()
 	defer closeConn()
@@ -179,7 +180,7 @@
 		s.rateLimitedLog.Warn().Err(err).Str("from", from.String()).Int("bytes", len(data)).Msg("datagram dropped")
 		return nil
 	}
-	return s.sink(ctx, assign.PeerMessageReceived{From: number, Data: append([]byte(nil), data...)})
+	return s.sink(ctx, assign.PeerMessageReceived{Source: number, Data: append([]byte(nil), data...)})
 }
 
 // senderNumber returns the assigner number of the peer that sent a datagram. It returns ErrUnknownPeer if no peer has
@@ -195,27 +196,29 @@
 	return number, nil
 }
 
-// Send sends a message to the peer with the assigner number to, or to all peers if to is negative. It blocks no longer
-// than a system call. Errors are logged. While the socket is not bound, messages are dropped without a log line.
-func (s *Socket) Send(to int, data []byte) {
+// Send sends a message to one peer, or to all peers. The parameter destination is the assigner number of the peer; any
+// negative number stands for all peers. Send blocks no longer than a system call. Errors are logged. While the socket
+// is not bound, messages are dropped without a log line.
+func (s *Socket) Send(destination int, data []byte) {
 	conn := s.conn.Load()
 	if conn == nil {
 		return
 	}
-	address, err := s.destinationAddress(to, data)
+	address, err := s.destinationAddress(destination, data)
 	if err != nil {
-		s.log.Error().Err(err).Int("to", to).Int("bytes", len(data)).Msg("datagram invalid; not sent")
+		s.log.Error().Err(err).Int("to", destination).Int("bytes", len(data)).Msg("datagram invalid; not sent")
 		return
 	}
 	if _, err := conn.WriteToUDPAddrPort(data, address); err != nil {
-		s.log.Warn().Err(err).Int("to", to).Int("bytes", len(data)).Msg("datagram send failed")
+		s.log.Warn().Err(err).Int("to", destination).Int("bytes", len(data)).Msg("datagram send failed")
 	}
 }
 
-// destinationAddress returns the address to which a message is sent. It returns ErrUnknownPeer if there is no such
-// address, and ErrMessageTooLong if the message exceeds maxMessageSize.
-func (s *Socket) destinationAddress(to int, data []byte) (netip.AddrPort, error) {
-	address, known := s.peerAddress(to)
+// destinationAddress returns the address to which a message is sent. The parameter destination is an assigner number,
+// or negative for all peers. destinationAddress returns ErrUnknownPeer if the configuration has no such address, and
+// ErrMessageTooLong if the message exceeds maxMessageSize.
+func (s *Socket) destinationAddress(destination int, data []byte) (netip.AddrPort, error) {
+	address, known := s.peerAddress(destination)
 	if !known {
 		return netip.AddrPort{}, ErrUnknownPeer
 	}
@@ -226,7 +229,7 @@
 }
 
 // peerAddress returns the address of the peer with the assigner number, or the broadcast address if the number is
-// negative. known reports whether the address is configured.
+// negative. The result known reports whether the address is configured.
 func (s *Socket) peerAddress(number int) (address netip.AddrPort, known bool) {
 	if number < 0 {
 		return s.broadcastAddress, s.broadcastAddress.IsValid()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,7 +15,7 @@
 	"madderhollow/internal/loglimit"
 )
 
-// testTimeout bounds every wait. It is long, so that tests also pass on a busy machine.
+// testTimeout is the maximum time of each wait in the tests. It is long, so that tests also pass on a busy machine.
 const testTimeout = 5 * time.Second
 
 // listenUDP binds a UDP socket to a free port of the loopback address and closes it at the end of the test.
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the only possible error is that the test has closed the socket already
+	t.Cleanup(func() { _ = conn.Close() }) // Close fails only if the test has closed the socket already
 	return conn
 }
 
@@ -87,7 +87,7 @@
 // expectHiFromPeer1 fails the test unless the event is the message "hi" from peer 1.
 func expectHiFromPeer1(t *testing.T, got assign.Event) {
 	t.Helper()
-	if want := (assign.PeerMessageReceived{From: 1, Data: []byte("hi")}); !reflect.DeepEqual(got, want) {
+	if want := (assign.PeerMessageReceived{Source: 1, Data: []byte("hi")}); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -114,10 +114,10 @@
 	mustSendDatagram(t, peerConn, make([]byte, maxMessageSize+1), ownAddress)
 	mustSendDatagram(t, peerConn, []byte("hi"), ownAddress)
 	awaitHiFromPeer1(t, events)
-	for to, conn := range map[int]*net.UDPConn{1: peerConn, -1: broadcastConn} {
-		socket.Send(to, make([]byte, maxMessageSize+1))
+	for destination, conn := range map[int]*net.UDPConn{1: peerConn, -1: broadcastConn} {
+		socket.Send(destination, make([]byte, maxMessageSize+1))
 		socket.Send(len(peers), []byte("nobody"))
-		socket.Send(to, []byte("hello"))
+		socket.Send(destination, []byte("hello"))
 		expectDatagram(t, conn, "hello")
 	}
 }
@@ -126,7 +126,8 @@
 func TestDroppedDatagramsAreLoggedUpToBurst(t *testing.T) {
 	peerConn, unknownConn := listenUDP(t), listenUDP(t)
 	ownAddress := freeAddress(t)
-	var output bytes.Buffer // Run writes all lines before it delivers the event, so there is no data race
+	// There is no data race on output, because Run writes all log lines before it passes the event to the test.
+	var output bytes.Buffer
 	_, events := startSocketWithLog(t, zerolog.New(&output),
 		Config{ListenAddress: ownAddress.String(), PeerAddresses: []string{ownAddress.String(), peerConn.LocalAddr().String()}})
 	for range 3 * loglimit.Burst {
@@ -139,8 +140,8 @@
 	}
 }
 
-// If another socket holds the address when Open is called, messages to send are dropped. Run must bind the socket as
-// soon as the address is free, and then receive messages.
+// If another socket holds the address when Open is called, Send drops messages. Run must bind the socket as soon as the
+// address is free, and then receive messages.
 func TestSocketBindsOnceAddressIsFree(t *testing.T) {
 	addressHolder, peerConn := listenUDP(t), listenUDP(t)
 	ownAddress := addressHolder.LocalAddr()
@@ -155,7 +156,7 @@
 		case event := <-events:
 			expectHiFromPeer1(t, event)
 			return
-		case <-time.After(10 * time.Millisecond): // send again, because a datagram to an unbound port is lost
+		case <-time.After(10 * time.Millisecond): // sends the message again, because an unbound port loses it
 			if time.Now().After(deadline) {
 				t.Fatal("got no event, want the message of peer 1")
 			}
--- a/internal/quickcheck/draw.go
+++ b/internal/quickcheck/draw.go
@@ -5,8 +5,8 @@
 	"math/rand"
 )
 
-// boundProbability is the probability with which a random number is exactly its lower bound. The probability of the
-// upper bound is the same.
+// boundProbability is the probability with which Fraction or LogUniform returns exactly the lower bound of its random
+// number. The probability of the upper bound is the same.
 const boundProbability = 0.1
 
 // Fraction returns a random number from 0 to 1. It is exactly 0 with the probability boundProbability, exactly 1
--- a/internal/quickcheck/quickcheck.go
+++ b/internal/quickcheck/quickcheck.go
@@ -11,8 +11,8 @@
 // sourceSeed is the seed of the random source that generates the seeds of the scenarios.
 const sourceSeed = 1
 
-// CheckSeeds calls a property with count seeds. At the first seed for which the property is false, it stops and
-// reports a test error that contains the seed.
+// CheckSeeds calls the function property once for each of count seeds. At the first seed for which the function returns
+// false, it stops and reports a test error that contains the seed.
 func CheckSeeds(t *testing.T, count int, property func(seed int64) bool) {
 	t.Helper()
 	config := &quick.Config{MaxCount: count, Rand: rand.New(rand.NewSource(sourceSeed))}
--- a/internal/relay/callconditions.go
+++ b/internal/relay/callconditions.go
@@ -11,10 +11,10 @@
 // callConditions holds one logged condition for each reason why calls fail. A condition ends only with a response that
 // rules it out. While the relay is down or breaks every call, no condition ends.
 type callConditions struct {
-	unsent     *conditionlog.Condition // calls cannot be sent
-	unanswered *conditionlog.Condition // the outcome of calls is unknown, because no valid response arrives
-	busy       *conditionlog.Condition // the relay responds that it is busy
-	unparsable *conditionlog.Condition // the relay responds that it cannot parse calls
+	unsent     *conditionlog.Condition // condition that calls cannot be sent
+	unanswered *conditionlog.Condition // condition that the outcome of calls is unknown for lack of a valid response
+	busy       *conditionlog.Condition // condition that the relay is busy
+	unparsable *conditionlog.Condition // condition that the relay cannot parse calls
 }
 
 func newCallConditions(log zerolog.Logger) callConditions {
@@ -42,8 +42,8 @@
 	}
 }
 
-// recordResponse ends the conditions that are ruled out by a response with this error code. The code is empty if the
-// response reports no error.
+// recordResponse ends the conditions that are ruled out by a response of the relay. The parameter code is the error
+// code of the response, which is empty if the response reports no error.
 func (c *callConditions) recordResponse(code string) {
 	c.unsent.RecordSuccess()
 	c.unanswered.RecordSuccess()
--- a/internal/relay/callconn.go
+++ b/internal/relay/callconn.go
@@ -17,7 +17,8 @@
 	"madderhollow/internal/wire"
 )
 
-// Path and content type of the HTTP request of a call. Package wire defines the request body and the response body.
+// callPath and callContentType are the path and the content type of the HTTP request of a call. Package wire defines
+// the request body and the response body.
 const (
 	callPath        = "/"
 	callContentType = "application/x-www-form-urlencoded"
@@ -28,8 +29,8 @@
 	// within which the relay responds, if it responds at all.
 	responseTimeout = 200 * time.Millisecond
 	// maxIdleTime is the longest idle time after which a connection is used again. It is below the 10 s after which
-	// the relay may close an idle connection. A close that has arrived is detected before a call is sent. A close that
-	// is still in transit would make the call ambiguous.
+	// the relay may close an idle connection. A close that has arrived is detected before a call is sent. If a close is
+	// still in transit, it is unknown whether the relay applies the call.
 	maxIdleTime = 2 * time.Second
 	// handoverRetryDelay is the delay between two attempts to connect to a new address while the connection to the old
 	// address is in use.
@@ -47,10 +48,10 @@
 // the current address is open. A callConn is not safe for concurrent use.
 type callConn struct {
 	address         *handover.Address
-	conn            *httpconn.Conn          // open connection, or nil in the closed state
-	lastUsed        time.Time               // time of the last response, or of opening the connection
+	conn            *httpconn.Conn          // open connection to the relay, or nil in the closed state
+	lastUsed        time.Time               // time of the last response, or of opening conn if there is none yet
 	handoverRetryAt time.Time               // earliest time of the next attempt to connect to a new address
-	handoverFailing *conditionlog.Condition // connecting to the current address fails while the old connection is in use
+	handoverFailing *conditionlog.Condition // condition that connecting to the current address fails
 }
 
 // newCallConn returns a callConn in the closed state.
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// connect opens a connection to an address. No connection may be open before.
+// connect opens a connection to an address. It may be called only while no connection is open.
 func (c *callConn) connect(ctx context.Context, address string) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
@@ -108,7 +109,7 @@
 	c.setConn(conn)
 }
 
-// setConn makes a new connection to the current address the connection for calls.
+// setConn sets the connection for calls to a new connection to the current address.
 func (c *callConn) setConn(conn *httpconn.Conn) {
 	c.conn = conn
 	c.lastUsed = time.Now()
@@ -133,7 +134,7 @@
 	if c.conn == nil {
 		return
 	}
-	_ = closeConn(c.conn) // an error has no effect, because the connection is not used again
+	_ = closeConn(c.conn) // an error on closing has no effect, because the connection is not used again
 	c.conn = nil
 }
 
--- a/internal/relay/eventreader.go
+++ b/internal/relay/eventreader.go
@@ -25,8 +25,8 @@
 	Address *handover.Address // address of the relay, which may change at any time; required
 	Codec   *wire.Codec       // codec that decodes the events; required
 	Sink    eventqueue.Sink   // sink that Run passes the events to; an error of the sink ends the stream; required
-	Seed    int64             // seed of the jitter of the delays between attempts; any value
-	Log     zerolog.Logger    // logger of the reader; the zero value logs nothing
+	Seed    int64             // seed of the jitter of the delays between attempts to open the stream; any value
+	Log     zerolog.Logger    // logger of the EventReader; the zero value logs nothing
 }
 
 // EventReader reads the event stream of the relay over one connection, or over two connections during the handover to
@@ -36,8 +36,8 @@
 	codec           *wire.Codec
 	merger          *streamMerger
 	retryBackoff    *backoff.Backoff
-	disconnected    *conditionlog.Condition // no stream is in the forwarding state
-	handoverFailing *conditionlog.Condition // the stream at the new address fails while the old stream is forwarding
+	disconnected    *conditionlog.Condition // condition that no stream is in the forwarding state
+	handoverFailing *conditionlog.Condition // condition that the stream at the new address fails during a handover
 }
 
 // NewEventReader returns an EventReader that has not opened a stream yet.
@@ -95,12 +95,12 @@
 	}
 	address, _ := r.address.Current()
 	condition.RecordFailure(err, func(line *zerolog.Event) {
-		line.Str("address", address).Int("proxies", len(r.merger.reported))
+		line.Str("address", address).Int("proxies", len(r.merger.reportedProxies))
 	})
 }
 
-// recoverConditions ends the conditions that are ruled out by a heartbeat from a stream in the forwarding state. An
-// event does not rule them out, because a stream that breaks after each snapshot has not recovered.
+// recoverConditions ends the logged conditions that are ruled out by a heartbeat from a stream in the forwarding state.
+// An event does not rule them out, because a stream that breaks after each snapshot has not recovered.
 func (r *EventReader) recoverConditions(stream *streamState) {
 	r.disconnected.RecordSuccess()
 	if address, _ := r.address.Current(); stream.address == address {
--- a/internal/relay/eventreader_test.go
+++ b/internal/relay/eventreader_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// A stream without heartbeats counts as ended, even if its connection is still open.
+// A stream without heartbeats counts as ended, even if its connection is still open. The event reader opens another
+// one.
 func TestEventReaderReopensSilentStream(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -84,8 +85,8 @@
 	}
 }
 
-// moveRelay moves the relay to another address. With a probability of one third, the reader and the client are first
-// given an address at which nothing listens.
+// moveRelay moves the relay to another address. With a probability of one third, the event reader and the order client
+// are first given an address at which nothing listens.
 func (h *harness) moveRelay(t *testing.T, random *rand.Rand) {
 	t.Helper()
 	if random.Intn(3) == 0 {
@@ -97,9 +98,9 @@
 	h.address.Set(h.Address())
 }
 
-// countReports removes the events received so far and counts them in reports. For each proxy, reports holds the number
-// of times that the proxy was reported as connected since it was last reported as disconnected. The value is -1 if the
-// last report is that the proxy disconnected.
+// countReports removes the recorded events and counts them in the parameter reports. For each proxy, reports holds the
+// number of times that the proxy was reported as connected since it was last reported as disconnected. The value is -1
+// if the last report is that the proxy disconnected.
 func (h *harness) countReports(reports map[int]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,15 +165,15 @@
 	quickcheck.CheckSeeds(t, 8, property)
 }
 
-// tableSize returns the number of entries in table 1.
+// tableSize returns the number of entries in table 1 of the relay.
 func (h *harness) tableSize() (entries int) {
 	h.Inspect(func(state *relaytest.State) { entries = len(state.Tables[1]) })
 	return entries
 }
 
-// A proxy reconnects while a call that attaches a table to it is in flight, so either connection may have received the
-// attachment. The proxy must not be reported as one that holds only its default tables, and the acknowledgment must
-// still count for the other orders of the call.
+// A proxy reconnects while a call that attaches a table to it is in flight, so either its old or its new connection may
+// have received the order. The proxy must not be reported as one that holds only its default tables, and the
+// acknowledgment must still count for the other orders of the call.
 func TestProxyReconnectsBetweenAttachmentAndAcknowledgment(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
@@ -221,12 +222,12 @@
 	})
 }
 
-// The old stream breaks during the handover, so changes may have been missed. Connected proxies must be reported
-// again, and proxies that have disconnected must be reported as disconnected.
+// The event stream at the old address of the relay breaks during the handover, so changes may have been missed.
+// Connected proxies must be reported again, and proxies that have disconnected must be reported as disconnected.
 func TestEventReaderResyncsWhenOldStreamBreaksDuringHandover(t *testing.T) {
 	t.Parallel()
 	setup := startHarness(t)
-	setup.SetHeartbeatInterval(time.Hour) // keeps the new stream waiting for a heartbeat of the old stream
+	setup.SetHeartbeatInterval(time.Hour) // the old stream delivers no heartbeat, so that the handover does not end
 	setup.connectProxies(3)
 	setup.Inspect(func(state *relaytest.State) { delete(state.Proxies, 1) })
 	if err := setup.Move("", time.Hour); err != nil {
--- a/internal/relay/eventstream.go
+++ b/internal/relay/eventstream.go
@@ -11,7 +11,8 @@
 	"madderhollow/internal/wire"
 )
 
-// Path and media type of the HTTP request for the event stream. Package wire defines the names of the events.
+// eventStreamPath and eventStreamType are the path and the media type of the HTTP request for the event stream. Package
+// wire defines the names of the events.
 const (
 	eventStreamPath = "/stream"
 	eventStreamType = "text/event-stream"
@@ -31,15 +32,15 @@
 type streamItem struct {
 	stream     *streamState // state of the stream that delivered the item
 	event      assign.Event // decoded event; nil for a heartbeat
-	decodeErr  error        // error of decoding the event, or nil
-	receiveErr error        // error that EventReader.receive sets to end the stream
+	decodeErr  error        // error of decoding the event, or nil if it was decoded
+	receiveErr error        // error that EventReader.receive sets to end the stream, or nil
 }
 
 func (i *streamItem) isHeartbeat() bool { return i.event == nil && i.decodeErr == nil }
 
 // readStream opens a stream at an address and delivers the items of the stream. It ends when reading fails, when
 // EventReader.receive rejects an item, when deliver returns false or when the context ends. It then closes the
-// connection and returns the reason. EventReader.Run passes it to handover.Follow as Source.Open.
+// connection and returns the error that ended the stream. EventReader.Run passes it to handover.Follow as Source.Open.
 func (r *EventReader) readStream(ctx context.Context, address string, deliver func(*streamItem) bool) error {
 	conn, err := httpconn.Dial(ctx, address, dialTimeout)
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err != nil {
 		return fmt.Errorf("open event stream: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // an error has no effect, because the connection is closed, too
+	defer func() { _ = response.Body.Close() }() // an error on closing has no effect, because conn is closed, too
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("open event stream: %w: %s", httpconn.ErrUnexpectedStatus, response.Status)
 	}
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -22,8 +22,8 @@
 // testTimeout bounds each wait of the tests. It is long enough for a heavily loaded machine.
 const testTimeout = 5 * time.Second
 
-// Limit of messages to a proxy within a time window. The limit is low and the window is short, so that tests reach the
-// limit.
+// messageLimit is the number of messages that a proxy may receive within messageWindow. The limit is low and the time
+// window is short, so that tests reach the limit.
 const (
 	messageLimit  = 4
 	messageWindow = 500 * time.Millisecond
@@ -37,11 +37,11 @@
 	return assign.ChannelConfig{MessageLimit: messageLimit, MessageWindow: messageWindow.Seconds(), MeanTransitTime: 0.05}
 }
 
-// Protocol texts that the tests send or look for.
+// Texts of the relay's protocol that the tests send or look for.
 const (
 	heartbeat      = ":\n\n"
-	malformedEvent = "event: joined\ndata: node=x\n\n" // event of a connected proxy, without a valid proxy number
-	attachPrefix   = "attach,"                         // start of an encoded assign.AttachTable, before the proxy number
+	malformedEvent = "event: joined\ndata: node=x\n\n" // connect event of a proxy, without a valid proxy number
+	attachPrefix   = "attach,"                         // encoded assign.AttachTable up to the proxy number
 )
 
 // acceptedResponse returns a response body of the relay that reports the given number of accepted orders.
@@ -49,21 +49,21 @@
 	return fmt.Sprintf("<Response><results><item><taken>%d</taken></item></results></Response>", accepted)
 }
 
-// harness connects a fake relay with an order client and its queue, and with an event reader. It records the events of
-// the reader.
+// harness connects a fake relay with an order client and its order queue, and with an event reader. It records the
+// events that the event reader passes to its sink.
 type harness struct {
 	*relaytest.Relay
-	address  *handover.Address
-	queue    *orderqueue.Queue
-	shutdown func()         // cancels the context of the client and the reader
-	running  sync.WaitGroup // waits for the goroutines of the client and the reader
+	address    *handover.Address
+	queue      *orderqueue.Queue
+	shutdown   func()         // function that cancels the context of the order client and the event reader
+	goroutines sync.WaitGroup // goroutines that run the order client and the event reader
 
-	mu     sync.Mutex
-	events []assign.Event // recorded events, guarded by mu
+	mu     sync.Mutex     // mu guards events
+	events []assign.Event // recorded events of the event reader
 }
 
-// newHarness starts a harness, whose client and reader use the given seed and logger. The caller must stop the
-// harness.
+// newHarness starts a harness, whose order client and event reader use the given seed and logger. The caller must stop
+// the harness.
 func newHarness(t *testing.T, seed int64, log zerolog.Logger) *harness {
 	t.Helper()
 	relay, err := relaytest.New("", "read", "sign")
@@ -79,11 +79,11 @@
 	setup.shutdown = cancel
 	client := NewOrderClient(OrderClientConfig{Address: setup.address, Queue: setup.queue, Seed: seed, Log: log})
 	reader := NewEventReader(EventReaderConfig{Address: setup.address, Codec: newTestCodec(), Sink: setup.receive, Seed: seed, Log: log})
-	for _, run := range []func(context.Context){client.Run, reader.Run} {
-		setup.running.Add(1)
-		go func() { // ends after shutdown is called
-			defer setup.running.Done()
-			run(ctx)
+	for _, runComponent := range []func(context.Context){client.Run, reader.Run} {
+		setup.goroutines.Add(1)
+		go func() { // the goroutine ends after the function setup.shutdown is called
+			defer setup.goroutines.Done()
+			runComponent(ctx)
 		}()
 	}
 	return setup
@@ -107,17 +107,17 @@
 	return setup, logs
 }
 
-// stop shuts the client and the reader down, waits until they have ended and closes the relay.
+// stop shuts down the order client and the event reader, waits until they have ended and closes the relay.
 func (h *harness) stop(t *testing.T) {
 	t.Helper()
 	h.shutdown()
-	h.running.Wait()
+	h.goroutines.Wait()
 	if err := h.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// receive records an event. It is the sink of the event reader.
+// receive records an event after the order queue has preprocessed it. It is the sink of the event reader.
 func (h *harness) receive(_ context.Context, event assign.Event) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // takeEvents waits until at least n events are recorded. It returns the recorded events and removes them from the
-// record. It returns nil if there are fewer than n events after testTimeout.
+// record. It returns nil if fewer than n events are recorded after testTimeout.
 func (h *harness) takeEvents(n int) (events []assign.Event) {
 	eventually.True(testTimeout, func() bool {
 		h.mu.Lock()
@@ -166,7 +166,8 @@
 	return exceeded
 }
 
-// tableHasExactly reports whether table 1 has these endpoints, each with weight 1, and no others.
+// tableHasExactly reports whether table 1 of the relay has the given endpoints, each with weight 1, and no other
+// endpoints.
 func (h *harness) tableHasExactly(endpoints ...string) (same bool) {
 	h.Inspect(func(state *relaytest.State) {
 		same = len(state.Tables[1]) == len(endpoints)
--- a/internal/relay/log_test.go
+++ b/internal/relay/log_test.go
@@ -34,8 +34,8 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = w.Write([]byte(heartbeat))         // fails only if the reader has already ended
-		_ = http.NewResponseController(w).Flush() // fails only if the reader has already ended
+		_, _ = w.Write([]byte(heartbeat))         // writing fails only if the event reader has already ended
+		_ = http.NewResponseController(w).Flush() // flushing fails only if the event reader has already ended
 		<-request.Context().Done()
 	}).Address()
 	logs := logtest.New(t, "relay")
@@ -48,7 +48,7 @@
 	})
 	var running sync.WaitGroup
 	running.Add(1)
-	go func() { // ends when the context of the test ends
+	go func() { // the goroutine ends when the context of the test ends
 		defer running.Done()
 		reader.Run(t.Context())
 	}()
@@ -60,8 +60,8 @@
 	}
 }
 
-// While the stream at a new address fails, the old stream is kept. The condition ends when the address changes back to
-// the old address.
+// While the event stream at a new address fails, the old stream is kept. The event reader logs the failing handover
+// once when it begins, and once when the address changes back to the old address.
 func TestEventReaderLogsFailingHandoverOnce(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
@@ -113,7 +113,7 @@
 		name     string
 		fault    relaytest.Fault
 		failures int
-		want     []string // expected messages; the last message marks the end of the condition
+		want     []string // expected log messages; the test waits for the last message
 	}{
 		{
 			name:     "ambiguous",
@@ -173,12 +173,13 @@
 func TestOrderClientLogsRejections(t *testing.T) {
 	t.Parallel()
 	setup, logs := startLoggingHarness(t)
-	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}}) // proxy 5 is not connected
+	// The relay rejects the order, because proxy 5 is not connected.
+	setup.queue.Submit([]assign.Order{assign.AttachTable{Proxy: 5, Table: 1}})
 	logs.AwaitMessage(t, testTimeout, "order rejected twice; dropped")
 	logs.ExpectOneLineEach(t, "order rejected; retrying", "order rejected twice; dropped")
 }
 
-// While connecting to the new address fails, calls still use the connection to the old address.
+// While connecting to the new address of the relay fails, calls still use the connection to the old address.
 func TestCallConnKeepsOldConnectionWhileHandoverFails(t *testing.T) {
 	t.Parallel()
 	serverAddress := servertest.Start(t, func(http.ResponseWriter, *http.Request) {}).Address()
--- a/internal/relay/orderclient.go
+++ b/internal/relay/orderclient.go
@@ -35,19 +35,19 @@
 type OrderClientConfig struct {
 	Address *handover.Address // address of the relay, which may change at any time; required
 	Queue   *orderqueue.Queue // queue of the calls, which only this client may take and requeue; required
-	Seed    int64             // seed of the jitter of the delays between attempts; any value
-	Log     zerolog.Logger    // logger of the client; the zero value logs nothing
+	Seed    int64             // seed of the jitter of the delays before calls are tried again; any value
+	Log     zerolog.Logger    // logger of the OrderClient; the zero value logs nothing
 }
 
 // OrderClient takes calls from a queue and makes one call at a time. NewOrderClient creates an OrderClient.
 type OrderClient struct {
-	queue        *orderqueue.Queue
-	conn         callConn
-	log          zerolog.Logger
-	conditions   callConditions
-	retryBackoff *backoff.Backoff
-	lastRejected string // order that the relay rejected last; empty after a call was accepted or an order was dropped
-	syntaxErrors int    // number of syntax errors since the last call that was accepted or dropped
+	queue             *orderqueue.Queue
+	conn              callConn
+	log               zerolog.Logger
+	conditions        callConditions
+	retryBackoff      *backoff.Backoff
+	lastRejectedOrder string // order that the relay rejected last; empty after a call is accepted or an order dropped
+	syntaxErrors      int    // number of syntax errors since the last call that was accepted or dropped
 }
 
 // NewOrderClient returns an OrderClient that has not opened a connection yet.
@@ -68,7 +68,8 @@
 func (c *OrderClient) Run(ctx context.Context) {
 	callCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) }) // ends callCtx after ctx
+	// callCtx ends shutdownTimeout after ctx has ended.
+	stop := context.AfterFunc(ctx, func() { time.AfterFunc(shutdownTimeout, cancel) })
 	defer stop()
 	defer c.conn.close()
 	for {
@@ -85,9 +86,9 @@
 	}
 }
 
-// nextCall blocks until a call is available. After ctx has ended it does not block, and returns the call that is
-// available at once, if any. After callCtx has ended it returns no call. The second result reports whether a call is
-// returned.
+// nextCall blocks until the queue has a call that can be sent. After ctx has ended it does not block, and returns the
+// call that can be sent at once, if any. After callCtx has ended it returns no call. The second result reports whether
+// a call is returned.
 func (c *OrderClient) nextCall(ctx, callCtx context.Context) (orderqueue.Call, bool) {
 	call, err := c.queue.Take(ctx)
 	if err == nil {
@@ -132,7 +133,7 @@
 
 // resetRetries resets the retry state after a call was accepted or dropped.
 func (c *OrderClient) resetRetries() {
-	c.lastRejected = ""
+	c.lastRejectedOrder = ""
 	c.syntaxErrors = 0
 	c.retryBackoff.Reset()
 }
@@ -141,8 +142,8 @@
 // call.
 func (c *OrderClient) handleSyntaxError(ctx context.Context, call orderqueue.Call) {
 	addFields := func(line *zerolog.Event) {
-		first := call.Orders[0]
-		line.Int("orders", len(call.Orders)).Str("first_order", first[:min(len(first), maxLoggedOrderBytes)])
+		firstOrder := call.Orders[0]
+		line.Int("orders", len(call.Orders)).Str("first_order", firstOrder[:min(len(firstOrder), maxLoggedOrderBytes)])
 	}
 	c.conditions.unparsable.RecordFailure(nil, addFields)
 	c.syntaxErrors++
@@ -155,19 +156,19 @@
 	backoff.Sleep(ctx, refusedRetryDelay)
 }
 
-// handleRejection requeues the orders of a call from a position on, at which the relay rejected an order. The rejected
-// order is sent a second time without a delay, because a drain or an attachment may depend on it, and because the
-// relay may learn of its endpoint or proxy a moment later than the assigner. An order that is rejected twice is
-// dropped.
+// handleRejection requeues the order of a call that the relay rejected and all orders after it. The parameter position
+// is the index of the rejected order in call.Orders. The rejected order is sent a second time without a delay, because
+// a drain or an attachment may depend on it, and because the relay may learn of the endpoint or proxy of the order
+// a moment later than the assigner. An order that is rejected twice is dropped.
 func (c *OrderClient) handleRejection(call orderqueue.Call, position int) {
 	order := call.Orders[position]
-	if order == c.lastRejected {
+	if order == c.lastRejectedOrder {
 		c.log.Warn().Str("order", order).Msg("order rejected twice; dropped")
-		c.lastRejected = ""
+		c.lastRejectedOrder = ""
 		c.queue.RequeueAfterRejected(call, position)
 		return
 	}
 	c.log.Warn().Str("order", order).Msg("order rejected; retrying")
-	c.lastRejected = order
+	c.lastRejectedOrder = order
 	c.queue.RequeueFromRejected(call, position)
 }
--- a/internal/relay/orderclient_test.go
+++ b/internal/relay/orderclient_test.go
@@ -18,10 +18,10 @@
 	"madderhollow/internal/relaytest"
 )
 
-// expectation is the state that the relay must reach, regardless of how calls end.
+// expectation is the state that the tables and rate limits of the relay must reach, regardless of how calls end.
 type expectation struct {
-	tables map[int]map[string]float64 // weights by table and endpoint
-	limits map[string]string          // rate limits by "table,class", as in relaytest.State
+	tables map[int]map[string]float64 // expected weights by table number and endpoint name
+	limits map[string]string          // expected rate limits; the key is "table,class", as in relaytest.State
 }
 
 // randomOrder returns a random order and applies it to the expected state.
@@ -138,7 +138,7 @@
 		calls++
 		switch calls {
 		case 1:
-			return relaytest.AbortBeforeApplying // makes the next call contain all orders
+			return relaytest.AbortBeforeApplying // the orders are requeued, so that the next call contains all of them
 		case 2:
 			return relaytest.HalfApplied
 		}
@@ -246,7 +246,7 @@
 	setup.queue.Submit(entryBatch("b", 2))
 	setup.shutdown()
 	close(release)
-	setup.running.Wait()
+	setup.goroutines.Wait()
 	defer setup.stop(t)
 	if stats := setup.queue.Stats(); stats.RepeatedCalls > 0 || stats.PendingOrders > 0 || !setup.tableHasExactly("a", "b") {
 		t.Errorf("got %+v, both entries set %t; want 0 repeated, 0 waiting, true", stats, setup.tableHasExactly("a", "b"))
@@ -280,8 +280,9 @@
 			setup.queue.Submit(entryBatch("b", 2))
 			began := time.Now()
 			setup.shutdown()
-			setup.running.Wait()
-			if took := time.Since(began); took > testTimeout/2 { // shutdownTimeout with a margin for a loaded machine
+			setup.goroutines.Wait()
+			// The limit is shutdownTimeout with a margin for a loaded machine.
+			if took := time.Since(began); took > testTimeout/2 {
 				t.Errorf("got shutdown within %v, want at most %v", took, testTimeout/2)
 			}
 			setup.stop(t)
@@ -300,10 +301,10 @@
 		t.Errorf("got %d calls repeated, want more than 1", setup.queue.Stats().RepeatedCalls)
 	}
 	ended := make(chan struct{})
-	go func() { // ends when the client and the reader have ended
+	go func() { // the goroutine ends when the order client and the event reader have ended
 		defer close(ended)
 		setup.shutdown()
-		setup.running.Wait()
+		setup.goroutines.Wait()
 	}()
 	select {
 	case <-ended:
--- a/internal/relay/streammerger.go
+++ b/internal/relay/streammerger.go
@@ -19,9 +19,9 @@
 type streamPhase int
 
 const (
-	phaseOpening    streamPhase = iota // no item has been received
-	phaseBuffering                     // events are buffered until it is known whether a change may have been missed
-	phaseForwarding                    // each event is passed to the sink when it arrives
+	phaseOpening    streamPhase = iota // no item of the stream has been received
+	phaseBuffering                     // events are buffered until it is known whether a change was possibly missed
+	phaseForwarding                    // each event of the stream is passed to the sink when it arrives
 )
 
 // streamState is the state of one event stream. The goroutine that reads the stream creates it. After that only the
@@ -29,37 +29,37 @@
 type streamState struct {
 	address               string                // address at which the stream was opened
 	phase                 streamPhase           // current state of the stream
-	forwardedItemsAtStart int                   // streamMerger.forwardedItems at the first item of the stream
-	buffered              []assign.Event        // buffered events; a nil element is a heartbeat
-	snapshotComplete      bool                  // an item other than ProxyConnected has been received
-	unconfirmed           map[int]reportedProxy // reported proxies that the snapshot has not contained during a resync
-	skipUndecodable       bool                  // undecodable events of the snapshot are skipped
+	forwardedItemsAtStart int                   // value of streamMerger.forwardedItems at the first item of the stream
+	bufferedEvents        []assign.Event        // events not passed to the sink yet; a nil element is a heartbeat
+	snapshotComplete      bool                  // whether an item other than ProxyConnected has been received
+	unconfirmedProxies    map[int]reportedProxy // proxies reported before that the snapshot of a resync lacks so far
+	skipUndecodable       bool                  // whether undecodable events of the snapshot are skipped
 }
 
 // reportedProxy describes a proxy that was last reported as connected.
 type reportedProxy struct {
-	defaultTablesOnly bool // the last event reported that the proxy holds only its default tables
+	defaultTablesOnly bool // whether the proxy held only its default tables when it was last reported
 }
 
 // streamMerger merges successive event streams, two at a time during a handover, into one sequence of events. No
 // change is missed in this sequence, and a proxy is reported as disconnected only after it was reported as connected.
 // The merger does no I/O except through its sink, which may block. It is not safe for concurrent use.
 type streamMerger struct {
-	sink           eventqueue.Sink
-	log            zerolog.Logger
-	reported       map[int]reportedProxy // proxies last reported as connected, by number
-	decodeFailed   bool                  // the last stream ended because an event could not be decoded
-	forwardedItems int                   // number of items, including heartbeats, that were forwarded on arrival
+	sink            eventqueue.Sink
+	log             zerolog.Logger
+	reportedProxies map[int]reportedProxy // proxies last reported as connected, by number
+	decodeFailed    bool                  // whether the last stream ended because an event could not be decoded
+	forwardedItems  int                   // number of items, including heartbeats, that were forwarded on arrival
 }
 
 // newStreamMerger returns a streamMerger that has reported no proxy yet.
 func newStreamMerger(sink eventqueue.Sink, log zerolog.Logger) *streamMerger {
-	return &streamMerger{sink: sink, log: log, reported: map[int]reportedProxy{}}
+	return &streamMerger{sink: sink, log: log, reportedProxies: map[int]reportedProxy{}}
 }
 
-// receive forwards or buffers an item. It reports whether the stream of the item is in the forwarding state, so that
-// no other stream is needed. The error is that of the sink or of decoding the item. After an error the stream must
-// end. The argument duringHandover is true if another stream is in the forwarding state.
+// receive forwards or buffers an item. It reports whether the stream of the item is in the forwarding state, so that no
+// other stream is needed. The returned error comes from the sink or from decoding the item. After an error the stream
+// must end. The argument duringHandover is true if another stream is in the forwarding state.
 func (m *streamMerger) receive(ctx context.Context, item *streamItem, duringHandover bool) (forwarding bool, err error) {
 	stream := item.stream
 	if stream.phase == phaseOpening {
@@ -75,14 +75,14 @@
 		m.forwardedItems++
 		return true, m.forward(ctx, stream, item.event)
 	}
-	stream.buffered = append(stream.buffered, item.event)
+	stream.bufferedEvents = append(stream.bufferedEvents, item.event)
 	switch m.decideBuffered(stream, duringHandover) {
 	case keepBuffering:
 		return false, nil
 	case completeHandover:
-		stream.buffered = m.diffSnapshot(stream.buffered)
+		stream.bufferedEvents = m.diffSnapshot(stream.bufferedEvents)
 	case startResync:
-		stream.unconfirmed = maps.Clone(m.reported)
+		stream.unconfirmedProxies = maps.Clone(m.reportedProxies)
 	}
 	stream.phase = phaseForwarding
 	return true, m.forwardBuffered(ctx, stream)
@@ -108,13 +108,13 @@
 	return item.decodeErr
 }
 
-// bufferDecision states what is done with the buffered events of a stream.
+// bufferDecision states what streamMerger.receive does with the buffered events of a stream.
 type bufferDecision int
 
 const (
-	keepBuffering    bufferDecision = iota // continue to buffer events
-	completeHandover                       // forward the differences between the snapshot and the proxies reported before
-	startResync                            // forward the whole snapshot
+	keepBuffering    bufferDecision = iota // decision to buffer further events
+	completeHandover                       // decision to forward only the differences from the proxies reported before
+	startResync                            // decision to forward all buffered events, including the whole snapshot
 )
 
 // decideBuffered returns what is done with the buffered events of a stream. A handover is complete only after the old
@@ -126,7 +126,7 @@
 		return completeHandover
 	}
 	oldStreamOpen := duringHandover
-	if (oldStreamDelivered || oldStreamOpen) && len(stream.buffered) < maxBufferedEvents {
+	if (oldStreamDelivered || oldStreamOpen) && len(stream.bufferedEvents) < maxBufferedEvents {
 		return keepBuffering
 	}
 	return startResync
@@ -134,32 +134,32 @@
 
 // diffSnapshot returns the differences between a complete snapshot, which starts the buffered events, and the proxies
 // reported before. The events after the snapshot follow the differences.
-func (m *streamMerger) diffSnapshot(buffered []assign.Event) (changes []assign.Event) {
-	missing := maps.Clone(m.reported)
+func (m *streamMerger) diffSnapshot(bufferedEvents []assign.Event) (changes []assign.Event) {
+	missingProxies := maps.Clone(m.reportedProxies)
 	snapshotLength := 0
-	for ; snapshotLength < len(buffered); snapshotLength++ {
-		proxy, ok := buffered[snapshotLength].(assign.ProxyConnected)
+	for ; snapshotLength < len(bufferedEvents); snapshotLength++ {
+		proxy, ok := bufferedEvents[snapshotLength].(assign.ProxyConnected)
 		if !ok {
 			break
 		}
-		before, reported := m.reported[proxy.Proxy]
+		before, reported := m.reportedProxies[proxy.Proxy]
 		nowDefaultTablesOnly := proxy.DefaultTablesOnly && !before.defaultTablesOnly
 		if !reported || nowDefaultTablesOnly {
 			changes = append(changes, proxy)
 		}
-		delete(missing, proxy.Proxy)
+		delete(missingProxies, proxy.Proxy)
 	}
-	for _, id := range slices.Sorted(maps.Keys(missing)) {
+	for _, id := range slices.Sorted(maps.Keys(missingProxies)) {
 		changes = append(changes, assign.ProxyDisconnected{Proxy: id})
 	}
-	return append(changes, buffered[snapshotLength:]...)
+	return append(changes, bufferedEvents[snapshotLength:]...)
 }
 
 // forwardBuffered empties the buffer of a stream and forwards its events.
 func (m *streamMerger) forwardBuffered(ctx context.Context, stream *streamState) error {
-	buffered := stream.buffered
-	stream.buffered = nil
-	for _, event := range buffered {
+	bufferedEvents := stream.bufferedEvents
+	stream.bufferedEvents = nil
+	for _, event := range bufferedEvents {
 		if err := m.forward(ctx, stream, event); err != nil {
 			return err
 		}
@@ -171,15 +171,15 @@
 // heartbeat is not passed to the sink.
 func (m *streamMerger) forward(ctx context.Context, stream *streamState, event assign.Event) error {
 	if connected, ok := event.(assign.ProxyConnected); ok {
-		delete(stream.unconfirmed, connected.Proxy)
-		m.reported[connected.Proxy] = reportedProxy{defaultTablesOnly: connected.DefaultTablesOnly}
+		delete(stream.unconfirmedProxies, connected.Proxy)
+		m.reportedProxies[connected.Proxy] = reportedProxy{defaultTablesOnly: connected.DefaultTablesOnly}
 		return m.sink(ctx, event)
 	}
 	if err := m.completeResync(ctx, stream); err != nil {
 		return err
 	}
 	switch event := event.(type) {
-	case nil: // a heartbeat
+	case nil: // the event is nil for a heartbeat
 		return nil
 	case assign.ProxyDisconnected:
 		return m.reportDisconnected(ctx, event.Proxy)
@@ -190,20 +190,20 @@
 // completeResync reports the proxies that the snapshot of a stream did not contain as disconnected. It does nothing
 // after the resync is complete.
 func (m *streamMerger) completeResync(ctx context.Context, stream *streamState) error {
-	for _, id := range slices.Sorted(maps.Keys(stream.unconfirmed)) {
+	for _, id := range slices.Sorted(maps.Keys(stream.unconfirmedProxies)) {
 		if err := m.reportDisconnected(ctx, id); err != nil {
 			return err
 		}
 	}
-	stream.unconfirmed = nil
+	stream.unconfirmedProxies = nil
 	return nil
 }
 
 // reportDisconnected reports a proxy as disconnected if it was last reported as connected.
 func (m *streamMerger) reportDisconnected(ctx context.Context, id int) error {
-	if _, reported := m.reported[id]; !reported {
+	if _, reported := m.reportedProxies[id]; !reported {
 		return nil
 	}
-	delete(m.reported, id)
+	delete(m.reportedProxies, id)
 	return m.sink(ctx, assign.ProxyDisconnected{Proxy: id})
 }
--- a/internal/relay/streammerger_test.go
+++ b/internal/relay/streammerger_test.go
@@ -18,12 +18,12 @@
 type delivery struct {
 	stream         string       // name of the stream that delivers the item
 	event          assign.Event // event of the item; nil for a heartbeat
-	undecodable    bool         // the item is an event that cannot be decoded
-	duringHandover bool         // another stream is in the forwarding state
+	undecodable    bool         // whether the item is an event that cannot be decoded
+	duringHandover bool         // whether another stream is in the forwarding state when the item arrives
 }
 
-// deliverAll passes deliveries to a merger. It returns the events that reached the sink, the streams that have reached
-// the forwarding state, and the streams that were ended by an undecodable event.
+// deliverAll passes the items of the given deliveries to a merger. It returns the events that reached the sink, the
+// names of the streams that reached the forwarding state, and the names of the streams that an undecodable event ended.
 func deliverAll(ctx context.Context, merger *streamMerger, deliveries []delivery) (got []assign.Event, forwarding, failed map[string]bool) {
 	merger.sink = func(_ context.Context, event assign.Event) error {
 		got = append(got, event)
@@ -60,17 +60,18 @@
 	name           string
 	deliveries     []delivery
 	want           []assign.Event // events that are expected after the events of the old stream
-	wantForwarding bool           // the new stream reaches the forwarding state
-	wantFailed     bool           // the new stream is ended by an undecodable event
+	wantForwarding bool           // whether the new stream reaches the forwarding state
+	wantFailed     bool           // whether an undecodable event ends the new stream
 }
 
-// runMergerCases delivers the items of the old stream and of each case to a new merger and checks the result.
+// runMergerCases tests each case with a new merger. It delivers the items of the old stream and of the case, and checks
+// the events that reach the sink and the final state of the new stream.
 func runMergerCases(t *testing.T, cases []mergerCase) {
 	t.Helper()
 	oldStream := []delivery{
 		{stream: "old", event: connectedEvent(1)},
 		{stream: "old", event: connectedEvent(2)},
-		{stream: "old"}, // heartbeat
+		{stream: "old"}, // heartbeat of the old stream
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// After a stream breaks, the snapshot of the new stream is reported, and proxies that the snapshot does not contain
-// are reported as disconnected.
+// After a stream breaks, the events of the new stream's snapshot are forwarded, and proxies that the snapshot does not
+// contain are reported as disconnected.
 func TestStreamMergerResyncsAfterBreak(t *testing.T) {
 	runMergerCases(t, []mergerCase{
 		{
--- a/internal/relaytest/example_test.go
+++ b/internal/relaytest/example_test.go
@@ -9,8 +9,8 @@
 	"madderhollow/internal/relaytest"
 )
 
-// Sends one call whose orders set the weight of an endpoint in table 7 and attach table 7 to proxy 1 for all request
-// classes.
+// This example sends one call to the relay. The orders of the call set the weight of an endpoint in table 7 and attach
+// table 7 to proxy 1 for all request classes.
 func Example() {
 	relay, err := relaytest.New("", "read", "write")
 	if err != nil {
--- a/internal/relaytest/orders.go
+++ b/internal/relaytest/orders.go
@@ -18,14 +18,14 @@
 	relayState     *State
 	requestClasses []string
 	reachedProxies map[int]bool // set of the proxies that receive a message because of the call
-	sequenceNumber string       // sequence number to acknowledge; empty if no acknowledgment was requested
-	allAcknowledge bool         // true if all connected proxies have to acknowledge, not only the reached proxies
+	sequenceNumber string       // sequence number of the acknowledgment request in the call; empty if it has none
+	allAcknowledge bool         // whether all connected proxies have to acknowledge the call, not only reachedProxies
 }
 
 // applyCall applies the orders of a call up to the first rejected order, and returns the number of applied orders.
 // It records the time of the call as a message time of each proxy that the call reaches. If an order requested
-// acknowledgments, each of these proxies acknowledges the call at once. If the order requested them from all proxies,
-// the call reaches every connected proxy.
+// acknowledgments, each of these proxies acknowledges the call at once. If the order requested acknowledgments from all
+// proxies, the call reaches every connected proxy.
 func (r *Relay) applyCall(orders []string) (applied int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +66,7 @@
 	return 0
 }
 
-// applyOrder applies one order. The first field is the order's name, the others are its arguments.
+// applyOrder applies one order. The parameter fields has the name of the order, followed by its arguments.
 func (c *callExecution) applyOrder(fields []string) error {
 	name := fields[0]
 	if len(fields) != orderFieldCount(name) {
@@ -100,8 +100,8 @@
 	return n
 }
 
-// setWeight sets the weight of an endpoint's entry in a table. Weight 0 removes the entry. A weight that is negative
-// or not a number is rejected.
+// setWeight sets the weight of an endpoint's entry in a table. Weight 0 removes the entry. setWeight rejects the order
+// if the weight is negative or not a number.
 func (c *callExecution) setWeight(table int, endpoint, text string) error {
 	weight, err := strconv.ParseFloat(text, 64)
 	if err != nil || weight < 0 {
@@ -126,8 +126,8 @@
 	c.markProxiesReached(table)
 }
 
-// attach makes a proxy use a table for the listed request classes, or for all of them. The order is rejected if the
-// proxy is not connected.
+// attach makes a proxy use a table for the request classes in classList, or for all request classes. It rejects the
+// order if the proxy is not connected.
 func (c *callExecution) attach(proxyID, table int, classList string) error {
 	p := c.relayState.Proxies[proxyID]
 	if p == nil {
@@ -147,8 +147,8 @@
 // markProxiesReached adds each proxy that uses the table to the proxies that the call reaches.
 func (c *callExecution) markProxiesReached(table int) {
 	for id, p := range c.relayState.Proxies {
-		for _, attached := range p.TableByClass {
-			c.reachedProxies[id] = c.reachedProxies[id] || attached == table
+		for _, attachedTable := range p.TableByClass {
+			c.reachedProxies[id] = c.reachedProxies[id] || attachedTable == table
 		}
 	}
 }
--- a/internal/relaytest/relay.go
+++ b/internal/relaytest/relay.go
@@ -24,12 +24,12 @@
 	HangBeforeApplying        // no order is applied, and no response is sent until the client disconnects
 	HangAfterApplying         // all orders are applied, and no response is sent until the client disconnects
 	MalformedResponse         // all orders are applied, and the response is malformed
-	HalfApplied               // the first half of the orders is applied, and the response reports its size
+	HalfApplied               // the first half of the orders is applied, and the response reports their number
 	BusyResponse              // no order is applied, and the response is the error BUSY
 	SyntaxErrorResponse       // no order is applied, and the response is the error SYNTAX
 )
 
-// appliesOrders reports whether all or half of the call's orders are applied despite the fault.
+// appliesOrders reports whether the relay applies all or half of the orders of a call with this fault.
 func (f Fault) appliesOrders() bool {
 	switch f {
 	case NoFault, AbortAfterApplying, HangAfterApplying, MalformedResponse, HalfApplied:
@@ -43,16 +43,16 @@
 	Zone              string
 	RequestRate       float64        // request rate that the event of its connection reports, in requests per second
 	TableByClass      map[string]int // number of the attached table for each request class
-	MessageTimes      []time.Time    // times at which calls sent messages to the proxy since it connected, the oldest first
-	DefaultTablesOnly bool           // true if the proxy held no assigned table when it connected
+	MessageTimes      []time.Time    // times at which calls sent messages to the proxy, in ascending order
+	DefaultTablesOnly bool           // whether the proxy held only its default tables when it connected
 }
 
 // State is the state of the proxies and tables that results from all applied calls.
 type State struct {
-	Proxies    map[int]*Proxy             // connected proxies by their number
-	Tables     map[int]map[string]float64 // weight of each entry, by the table's number and the endpoint's name
-	RateLimits map[string]string          // rate limits by "table,class", in the text form of the order that set them
-	Ejected    map[string]bool            // true for each ejected endpoint, by its name
+	Proxies    map[int]*Proxy             // connected proxies, by their numbers
+	Tables     map[int]map[string]float64 // weight of each entry, by table number and endpoint name
+	RateLimits map[string]string          // rate limits as written in the orders that set them, by "table,class"
+	Ejected    map[string]bool            // whether an endpoint is ejected, by the name of the endpoint
 
 	// ProcessedCalls holds the orders of each call that the relay started to apply, the oldest call first. It includes
 	// a call's rejected order and the orders after it. For a call with the fault HalfApplied, it holds only the first
@@ -64,16 +64,16 @@
 type Relay struct {
 	*testserver.Server
 
-	mu             sync.Mutex // guards state, faultFunc and events
+	mu             sync.Mutex // mu guards state, faultFunc and events
 	state          State
 	requestClasses []string
-	faultFunc      func(orders []string) Fault // chooses the fault of a call; nil if no call has a fault
+	faultFunc      func(orders []string) Fault // function that chooses the fault of a call; nil if no call has a fault
 	events         broadcaster
-	stopped        chan struct{} // closed by Close, which ends the calls that hang because of a fault
+	stopped        chan struct{} // channel that Close closes to end the calls that hang because of a fault
 }
 
 // New starts a relay that listens at an address. For an empty address it listens at a free port of the loopback
-// address. The classes are the request classes of its proxies. The caller must close the relay.
+// address. The parameter classes has the names of the request classes. The caller must close the relay.
 func New(address string, classes ...string) (*Relay, error) {
 	relay := &Relay{
 		requestClasses: classes,
@@ -143,8 +143,8 @@
 	return len(r.state.Proxies) > 0
 }
 
-// Connect connects a proxy and sends the event of its connection on all streams. The rate is in requests per second.
-// DefaultTablesOnly states that the proxy holds only its default tables.
+// Connect connects a proxy and sends the event of its connection on all streams. The parameter requestRate is in
+// requests per second. The parameter defaultTablesOnly states whether the proxy holds only its default tables.
 func (r *Relay) Connect(proxyID int, zone string, requestRate float64, defaultTablesOnly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,8 +161,8 @@
 	r.events.send(disconnectedEvent(proxyID))
 }
 
-// handleCall applies the orders of a call, unless a fault prevents it, and sends the response. A call with another
-// action or without orders gets the error SYNTAX.
+// handleCall applies the orders of a call, unless a fault prevents it, and sends the response. The response to a call
+// with an action other than commitAction or without orders is the error SYNTAX.
 func (r *Relay) handleCall(response http.ResponseWriter, request *http.Request) {
 	if request.PostFormValue(actionField) != commitAction || request.PostFormValue(ordersField) == "" {
 		writeError(response, syntaxCode)
@@ -184,7 +184,7 @@
 func (r *Relay) respond(response http.ResponseWriter, request *http.Request, fault Fault, applied int) {
 	switch fault {
 	case AbortBeforeApplying, AbortAfterApplying:
-		panic(http.ErrAbortHandler) // closes the connection without a response
+		panic(http.ErrAbortHandler) // the panic closes the connection without a response
 	case HangBeforeApplying, HangAfterApplying:
 		select {
 		case <-request.Context().Done():
@@ -203,7 +203,7 @@
 	}
 }
 
-// chooseFault returns the fault to inject into a call with these orders.
+// chooseFault returns the fault to inject into a call with the given orders.
 func (r *Relay) chooseFault(orders []string) Fault {
 	r.mu.Lock()
 	faultFunc := r.faultFunc
--- a/internal/relaytest/stream.go
+++ b/internal/relaytest/stream.go
@@ -24,7 +24,7 @@
 
 func newBroadcaster() broadcaster { return broadcaster{heartbeatInterval: defaultHeartbeatInterval} }
 
-// addStream adds a stream and returns the channel of its events.
+// addStream adds a stream with an empty buffer and returns the channel of the stream's events.
 func (b *broadcaster) addStream() chan string {
 	stream := make(chan string, maxBufferedEvents)
 	b.streams = append(b.streams, stream)
@@ -102,7 +102,7 @@
 }
 
 // connectedEvent formats the event which reports that a proxy has connected. The event reports that the proxy holds
-// only its default tables if it held only these when it connected and no table has been attached to it since.
+// only its default tables if the proxy did so when it connected and no table has been attached to it since.
 func connectedEvent(proxyID int, proxy *Proxy) string {
 	defaultTablesOnly := 0
 	if proxy.DefaultTablesOnly && len(proxy.TableByClass) == 0 {
@@ -116,8 +116,9 @@
 	return fmt.Sprintf(disconnectedEventFormat, proxyID)
 }
 
-// openStream registers a new stream. It returns the channel of the stream's events, the text to send before them,
-// and the time between two heartbeats. The text is a snapshot: it has a connected event for each connected proxy.
+// openStream registers a new stream. It returns the channel of the stream's events, the text to send before these
+// events, and the time between two heartbeats. The text is a snapshot: it has a connected event for each connected
+// proxy.
 func (r *Relay) openStream() (stream chan string, snapshot string, heartbeatInterval time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,11 +150,11 @@
 		if controller.Flush() != nil { // the client has disconnected
 			return
 		}
-		var open bool
+		var streamOpen bool
 		select {
-		case text, open = <-stream:
-			if !open {
-				panic(http.ErrAbortHandler) // closes the connection without completing the response
+		case text, streamOpen = <-stream:
+			if !streamOpen {
+				panic(http.ErrAbortHandler) // the panic closes the connection without completing the response
 			}
 		case <-heartbeats.C:
 			text = heartbeat
--- a/internal/reportserver/connections.go
+++ b/internal/reportserver/connections.go
@@ -45,7 +45,7 @@
 // that it has already read and then closes the connection.
 func (c *clientConn) stopReading() {
 	c.readingStopped.Store(true)
-	_ = c.setReadDeadline(time.Time{}) // the only possible error is that the connection is closed
+	_ = c.setReadDeadline(time.Time{}) // setReadDeadline fails only if the connection is closed
 }
 
 // setReadDeadline sets the read deadline of the connection. After a call of stopReading it sets a deadline that has
@@ -54,7 +54,8 @@
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
 		return fmt.Errorf("set read deadline: %w", err)
 	}
-	if !c.readingStopped.Load() { // checked after setting the deadline, since stopReading may be called in between
+	// readingStopped is checked after the deadline is set, so that a concurrent call of stopReading is not missed.
+	if !c.readingStopped.Load() {
 		return nil
 	}
 	if err := c.conn.SetReadDeadline(c.acceptedAt); err != nil {
@@ -65,7 +66,7 @@
 
 // close closes the connection, which makes blocked reads and writes fail. It may be called more than once.
 func (c *clientConn) close() {
-	_ = c.conn.Close() // the only possible error is that the connection is closed already
+	_ = c.conn.Close() // Close fails only if the connection is closed already
 }
 
 // connectionSet holds the open client connections and selects the connections to evict when a limit is exceeded. It is
@@ -78,8 +79,8 @@
 	collectorLimit int // maximum number of collector connections
 }
 
-// newConnectionSet returns an empty set that allows up to limit connections. The number of zones determines the maximum
-// number of collector connections.
+// newConnectionSet returns an empty set. The parameter limit is the maximum number of connections. The parameter zones
+// is the number of zones, which determines the maximum number of collector connections.
 func newConnectionSet(limit, zones int) *connectionSet {
 	return &connectionSet{
 		clients:        map[*clientConn]struct{}{},
@@ -89,7 +90,7 @@
 }
 
 // add adds a connection to the set. If the context has ended, it also closes the connection, because stopReadingAll may
-// have run already and missed it.
+// already have run without stopping this connection.
 func (cs *connectionSet) add(ctx context.Context, c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/reportserver/connections_test.go
+++ b/internal/reportserver/connections_test.go
@@ -41,25 +41,25 @@
 // connection that has been silent for the longest time is evicted.
 func TestStalestCollectorIsEvictedAboveLimit(t *testing.T) {
 	address, events, server := startServer(t, 1000)
-	first := dialCollector(t, address)
-	mustSendReport(t, first, 1)
+	firstCollector := dialCollector(t, address)
+	mustSendReport(t, firstCollector, 1)
 	nextEvent(t, events)
-	var last *collectortest.Collector
+	var lastCollector *collectortest.Collector
 	for i := range minCollectorLimit {
-		last = dialCollector(t, address)
-		mustSendReport(t, last, i)
+		lastCollector = dialCollector(t, address)
+		mustSendReport(t, lastCollector, i)
 		nextEvent(t, events)
 	}
-	// One ping may still be answered if it arrives while the eviction interrupts a blocked read. Later pings must not
-	// be answered.
+	// One ping of the evicted collector may still be answered if it arrives while the eviction interrupts a blocked
+	// read. Later pings must not be answered.
 	pongs := 0
-	for pongs < 2 && first.Ping(testTimeout) == nil {
+	for pongs < 2 && firstCollector.Ping(testTimeout) == nil {
 		pongs++
 	}
 	if pongs > 1 {
 		t.Errorf("first collector: got %d pongs, want the connection closed after one at most", pongs)
 	}
-	if err := last.Ping(testTimeout); err != nil {
+	if err := lastCollector.Ping(testTimeout); err != nil {
 		t.Errorf("last collector: got no pong: %v", err)
 	}
 	if !eventually.True(testTimeout, func() bool { return server.connections.count() == minCollectorLimit }) {
--- a/internal/reportserver/harness_test.go
+++ b/internal/reportserver/harness_test.go
@@ -42,10 +42,10 @@
 // collectorLine returns the line that identifies a collector of a zone.
 func collectorLine(zone string) string { return fmt.Sprintf(collectorLineFormat, zone) }
 
-// testTimeout bounds every wait. It is long, so that tests also pass on a busy machine.
+// testTimeout is the maximum time of each wait in the tests. It is long, so that tests also pass on a busy machine.
 const testTimeout = 5 * time.Second
 
-// startServer starts a server that allows maxConnections connections. At the end of the test the server is stopped, and
+// startServer starts a server that allows max connections. At the end of the test the server is stopped, and
 // the test fails if the server still has an open connection. startServer returns the server's address, the channel of
 // the reports that the server passes to its sink, and the server.
 func startServer(t *testing.T, maxConnections int) (address string, events chan assign.Event, server *Server) {
@@ -74,7 +74,7 @@
 		MemoryLimitMB: 32, Log: log})
 	ctx, cancel := context.WithCancel(context.Background())
 	serveReturned := make(chan struct{})
-	go func() { defer close(serveReturned); server.Serve(ctx, listener) }() // ends when the cleanup cancels ctx
+	go func() { defer close(serveReturned); server.Serve(ctx, listener) }() // Serve returns when the cleanup cancels ctx
 	t.Cleanup(func() {
 		cancel()
 		<-serveReturned
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = collector.Close() }) // an error only means that the connection is closed already
+	t.Cleanup(func() { _ = collector.Close() }) // Close fails only if the connection is closed already
 	return collector
 }
 
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = conn.Close() }) // the only possible error is that the test has closed the connection already
+	t.Cleanup(func() { _ = conn.Close() }) // Close fails only if the test has closed the connection already
 	return conn
 }
 
--- a/internal/reportserver/lines.go
+++ b/internal/reportserver/lines.go
@@ -27,7 +27,8 @@
 	readBufferSize = 1024
 )
 
-// Errors of a line that was skipped. A collector's connection stays open after them and its next line is read.
+// Errors of readLine for a line that it skipped. The connection of a collector stays open after such an error, and its
+// next line is read.
 var (
 	ErrLineTooLong         = errors.New("line too long")
 	ErrLineBudgetExhausted = errors.New("line memory budget exhausted")
@@ -57,7 +58,7 @@
 	client *clientConn
 	reader *bufio.Reader
 	budget *byteBudget
-	prefix []byte // first bytes of a line longer than the read buffer; they are reserved in the budget
+	prefix []byte // first bytes of a line that exceeds the read buffer; their number is reserved in the budget
 }
 
 func newLineReader(c *clientConn, budget *byteBudget) *lineReader {
@@ -93,7 +94,7 @@
 }
 
 // readPart blocks until the line is complete or the read buffer is full, and returns the next part of the line.
-// complete reports whether this part ends the line.
+// The result complete reports whether the part ends the line.
 func (l *lineReader) readPart() (part []byte, complete bool, err error) {
 	part, err = l.reader.ReadSlice('\n')
 	l.client.lastReadAt.Store(time.Now().UnixNano())
@@ -111,8 +112,8 @@
 	return maxUnidentifiedLineSize + len("\n")
 }
 
-// skipLine discards the line and, unless the line is complete, reads up to its end. It returns the reason for which the
-// line is skipped, or the error of a failed read.
+// skipLine discards the prefix of the line and, unless the parameter complete is true, reads the rest of the line. It
+// returns the parameter reason, which is the error for which the line is skipped, or the error of a failed read.
 func (l *lineReader) skipLine(complete bool, reason error) error {
 	l.discardPrefix()
 	for !complete {
--- a/internal/reportserver/lines_test.go
+++ b/internal/reportserver/lines_test.go
@@ -23,10 +23,10 @@
 		switch random.Intn(8) {
 		case 0:
 			lines.WriteString([]string{"", "{", "nonsense", unknownTypeLine, missingFieldsLine, "\x00\xff"}[random.Intn(6)])
-		case 1: // valid report that can be longer than the read buffer
+		case 1: // adds a valid report that can be longer than the read buffer
 			fmt.Fprintf(&lines, proxyReportFormat, i%8, i, strings.Repeat(" ", random.Intn(20000)))
 			want = append(want, event)
-		case 2: // in some cases a line that exceeds maxLineSize, otherwise an empty line
+		case 2: // adds a line that exceeds maxLineSize in some cases, otherwise an empty line
 			if i%10 == 0 {
 				fmt.Fprintf(&lines, proxyReportFormat, 1, 1, strings.Repeat(" ", maxLineSize))
 			}
@@ -72,7 +72,7 @@
 // All incomplete lines share the memory budget. A line that exceeds the budget must be skipped, and the next line of
 // the same connection must be read. When all lines are complete, no byte of the budget may remain reserved.
 func TestLinesShareMemoryBudget(t *testing.T) {
-	const longReportRequests = 1 // number of requests in the long reports; the short reports have at least 100
+	const longReportRequests = 1 // number of requests that each long report states; each short one states at least 100
 	address, events, server := startServer(t, 100)
 	unfinishedLongLine := fmt.Sprintf(longReportStartFormat, longReportRequests) +
 		strings.Repeat("x", maxLineSize-200)
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		collectors = append(collectors, collector)
-		// The bytes in the read buffers are not reserved.
+		// The bytes in the read buffers of the connections are not reserved in the budget.
 		reserved := int64(min(i+1, fittingLines)) * int64(len(unfinishedLongLine)-readBufferSize)
 		if !eventually.True(testTimeout, func() bool { return server.lineBudget.usedBytes.Load() >= reserved }) {
 			t.Fatalf("%d lines: got %d reserved bytes, want at least %d", i+1, server.lineBudget.usedBytes.Load(), reserved)
@@ -103,7 +103,7 @@
 		}
 		return longLines
 	}
-	// The lines of the other collectors are still incomplete here and occupy the budget.
+	// The lines of collectors[:fittingLines] are still incomplete here and occupy the budget.
 	if n := finishLines(collectors[fittingLines:], len(collectors)-fittingLines); n > 0 {
 		t.Errorf("over the budget: got %d long lines, want none", n)
 	}
--- a/internal/reportserver/server.go
+++ b/internal/reportserver/server.go
@@ -45,16 +45,16 @@
 	// FileDescriptorLimit is the process's limit on open file descriptors; required. The server uses all of them except
 	// reservedFileDescriptors for client connections, and allows at least one connection.
 	FileDescriptorLimit int
-	ZoneCount           int // number of zones in the deployment, each with one collector; default 0: unknown
+	ZoneCount           int // number of zones in the deployment, each with one collector; 0 if it is unknown
 	MemoryLimitMB       int // memory limit of the process in MiB; required
 	Log                 zerolog.Logger
 }
 
 // Stats holds the server's counters since its start.
 type Stats struct {
-	Reports                       int64 // reports passed to the sink
-	MalformedLines                int64 // malformed lines that were skipped or led to closing the connection
-	UnidentifiedConnectionsClosed int64 // connections closed by the server before they were identified
+	Reports                       int64 // number of reports passed to the sink
+	MalformedLines                int64 // number of malformed lines, whether skipped or a reason to close the connection
+	UnidentifiedConnectionsClosed int64 // number of connections that the server closed before they were identified
 }
 
 // Server accepts connections and owns them. Create it with New and call Serve once. Stats may be called by any
@@ -63,7 +63,7 @@
 	codec          *wire.Codec
 	sink           eventqueue.Sink
 	log            zerolog.Logger
-	rateLimitedLog zerolog.Logger // rate-limited by package loglimit, for events that can occur hundreds of times
+	rateLimitedLog zerolog.Logger // logger limited by package loglimit, for events that can occur hundreds of times
 	connections    *connectionSet
 	lineBudget     *byteBudget
 
@@ -100,7 +100,7 @@
 	var sessions sync.WaitGroup
 	defer sessions.Wait()
 	stop := context.AfterFunc(ctx, func() {
-		_ = listener.Close() // the only possible error is that the listener is closed already
+		_ = listener.Close() // Close fails only if the listener is closed already
 		s.connections.stopReadingAll()
 	})
 	defer stop()
@@ -112,7 +112,8 @@
 		client := newClientConn(conn)
 		s.connections.add(ctx, client)
 		sessions.Add(1)
-		go func() { // ends when the connection ends, at the latest after stopReadingAll; Serve waits for it
+		// The goroutine ends with its connection, at the latest after a call of stopReadingAll. Serve waits for it.
+		go func() {
 			defer sessions.Done()
 			s.serveClient(ctx, client)
 		}()
@@ -151,9 +152,9 @@
 	}
 }
 
-// serveClient runs the session of a client and then closes the connection. If the server ended the session, it first
-// refuses the client. A disconnect of a collector is logged. The client is not
-// refused and nothing is logged if the context has ended.
+// serveClient runs the session of a client and then closes the connection. Before that, serveClient refuses the client
+// if the server has a reason to close the connection. If a collector closed the connection, the disconnect is logged.
+// If the context has ended, the client is not refused and nothing is logged.
 func (s *Server) serveClient(ctx context.Context, client *clientConn) {
 	defer s.connections.remove(client)
 	session := newSession(s, client)
--- a/internal/reportserver/session.go
+++ b/internal/reportserver/session.go
@@ -43,16 +43,19 @@
 //   - identified: The session passes reports to the sink and answers pings. Another collector message changes the zone.
 //     Malformed lines are skipped. Too many consecutive malformed lines, the end of lineTimeout, a failed write or an
 //     eviction changes the state to closed.
-//   - closed: The method run has returned. The method refuseClient logs the reason and tries to send a last line.
+//   - closed: The method run has returned. The method refuseClient logs the reason and tries to send the client a last
+//     line, which refuses it.
 //
 // The state also changes to closed if the client closes its connection or the context ends. In these two cases
 // refuseClient is not called. A connection that a collector closes is logged.
 type session struct {
-	server                    *Server
-	client                    *clientConn // connection of the client, which also records whether it is identified
-	reader                    *lineReader // splits the received bytes into lines
-	reportReceived            bool        // whether the client has sent a valid report
-	consecutiveMalformedLines int         // count is reset by a report or a collector message, but not by a ping
+	server         *Server
+	client         *clientConn // connection of the client; it also records whether the client is identified
+	reader         *lineReader // splits the bytes received from the client into lines
+	reportReceived bool        // whether the client has sent a valid report
+	// consecutiveMalformedLines is the number of malformed lines since the last report or collector message. A ping does
+	// not reset it.
+	consecutiveMalformedLines int
 }
 
 func newSession(s *Server, c *clientConn) *session {
@@ -196,7 +199,7 @@
 		s.server.unidentifiedClosed.Add(1)
 		s.server.rateLimitedLog.Info().Err(reason).Msg("unidentified connection closed")
 	}
-	_ = s.write(wire.EncodeRefused()) // a failure is ignored because the client may have closed its connection
+	_ = s.write(wire.EncodeRefused()) // an error is ignored because the client may have closed its connection
 }
 
 // logDisconnect logs that a collector closed its connection. Disconnects of other clients are not logged, because most
--- a/internal/reportserver/session_test.go
+++ b/internal/reportserver/session_test.go
@@ -20,7 +20,7 @@
 type slowConn struct{ net.Conn }
 
 func (c slowConn) Write(b []byte) (int, error) {
-	time.Sleep(10 * time.Millisecond) // determines the speed of the client; the test does not wait for a condition here
+	time.Sleep(10 * time.Millisecond) // makes the client slow; no test waits for a condition by this pause
 	n, err := c.Conn.Write(b)
 	if err != nil {
 		return n, fmt.Errorf("slow client: %w", err)
@@ -32,7 +32,7 @@
 // valid reports. The keys describe what the client sends.
 func misbehavingClients() map[string]func(net.Conn) {
 	sendOnce := func(text string) func(net.Conn) {
-		// Errors are ignored because the server may have closed the connection.
+		// Errors of the write are ignored because the server may have closed the connection.
 		return func(conn net.Conn) { _, _ = io.WriteString(conn, text) }
 	}
 	sendEndlessly := func(text string) func(net.Conn) {
@@ -72,9 +72,10 @@
 	var clients sync.WaitGroup
 	for name, send := range misbehavingClients() {
 		conn := dialUnidentified(t, address)
-		go send(conn) // ends when the server closes the connection, at the latest when the cleanup of the test does
+		// The function send returns when the server closes the connection, at the latest when the cleanup closes it.
+		go send(conn)
 		clients.Add(1)
-		go func() { // ends with the connection or at the read deadline; clients.Wait waits for it
+		go func() { // the goroutine ends with the connection or at the read deadline; clients.Wait waits for it
 			defer clients.Done()
 			if err := conn.SetReadDeadline(startedAt.Add(3 * time.Second)); err != nil {
 				t.Errorf("%s: %v", name, err)
@@ -108,7 +109,7 @@
 	collector := dialCollector(t, address)
 	for i := range 3 * maxMalformedLines {
 		mustSendLine(t, collector, "{")
-		mustSendLine(t, collector, endpointReportOfZoneB) // malformed, because the collector belongs to zone a
+		mustSendLine(t, collector, endpointReportOfZoneB) // counts as malformed: the collector belongs to zone a
 		mustSendReport(t, collector, i)
 		if got := nextReportedRequests(t, events); got != i {
 			t.Fatalf("got a report of %d requests, want %d", got, i)
--- a/internal/servertest/servertest.go
+++ b/internal/servertest/servertest.go
@@ -9,7 +9,7 @@
 )
 
 // Start starts a server with a handler at a free port of the loopback address. The server is closed at the end of
-// the test. The test does not wait for calls of the handler that are still running then.
+// the test. Calls of the handler may still be running after the test has ended.
 func Start(t *testing.T, handler http.HandlerFunc) *testserver.Server {
 	t.Helper()
 	server, err := testserver.New("", handler)
--- a/internal/settings/hosts_test.go
+++ b/internal/settings/hosts_test.go
@@ -18,9 +18,9 @@
 	"familyInfo":{"bareMs":6000,"homeOnly":[false,true],"mutating":[false,true],"proxyCount":6},"unknown":{"key":[1,"z"]},
 	"report":{"columns":["load_share","mean_ms","tps"],"via":"inline"},"roundMs":2,"zones":["x","y"]}`
 
-// The same settings and load report, encoded in the protocols of the simulator and of the daemon. The simulator's
-// protocol encodes load values as an array. The daemon's protocol encodes them as an object and has two names for each
-// load metric.
+// Messages with the settings in settingsJSON and messages with one load report, in the protocols of the simulator and
+// of the daemon. The simulator's protocol encodes load values as an array. The daemon's protocol encodes them as an
+// object and has two names for each load metric.
 const (
 	openInstanceMessage = `["openInstance",0,7,` + settingsJSON + `]`
 	simulatorLoadReport = `["tally",0,"x",41.5,3,1000,"t",212,[0.61,140,93]]`
@@ -28,7 +28,7 @@
 	daemonConfigurationFile = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964",
 		"relay":{"address":"127.0.0.1:3"},"known":{"index":0,"snapshot":true,"endpoints":[]},"settings":` + settingsJSON + `}`
 	daemonLoadReportFormat = `{"@type":"heard","locality":"x","endpoint":"t","total":212,"errors":3,"rtt":41.5,
-		"interval":1000,"metrics":%s}` // the argument is the JSON object with the load values
+		"interval":1000,"metrics":%s}` // the argument of the format is the JSON object with the load values
 	loadByFirstNames  = `{"tps":93,"mean_ms":140,"more":1,"load_share":0.61}`
 	loadBySecondNames = `{"util":0.61,"qps":93,"latency_ms":140}`
 )
@@ -61,16 +61,16 @@
 // and the same load report to the decision module. Otherwise measurements in the simulator would not be valid for the
 // daemon.
 func TestBothHostsPassSameConfigAndEvents(t *testing.T) {
-	simulated, report := simulatorInput(t)
+	simulatorConfig, report := simulatorInput(t)
 	cfg, err := config.Parse([]byte(daemonConfigurationFile), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(simulated, cfg.Settings) || simulated.MinBatchInterval != 0.002 {
-		t.Errorf("got %+v in the simulator\nand %+v in the daemon, want the same, with batches at least 2 ms apart", simulated, cfg.Settings)
+	if !reflect.DeepEqual(simulatorConfig, cfg.Settings) || simulatorConfig.MinBatchInterval != 0.002 {
+		t.Errorf("got %+v in the simulator\nand %+v in the daemon, want the same, with batches at least 2 ms apart", simulatorConfig, cfg.Settings)
 	}
-	decoded, ok := report.(assign.EndpointLoadReport)
-	if !ok || decoded.Load[1] != 0.14 {
+	loadReport, ok := report.(assign.EndpointLoadReport)
+	if !ok || loadReport.Load[1] != 0.14 {
 		t.Errorf("got %+v, want a load report with a service time of 0.14 s", report)
 	}
 	codec := wire.NewCodec(cfg.Settings, time.Unix(0, 0))
--- a/internal/settings/mappings.go
+++ b/internal/settings/mappings.go
@@ -2,44 +2,47 @@
 
 import "madderhollow/assign"
 
-// settingMapping connects a setting to the field of assign.Config or assign.RequestClassConfig that it sets.
+// settingMapping connects a setting to the field of assign.Config or assign.RequestClassConfig that it sets. The
+// function set ignores an invalid value.
 type settingMapping struct {
 	path string          // keys of the nested settings objects, separated by dots
-	set  func(value any) // assigns the decoded JSON value to the field; ignores an invalid value
+	set  func(value any) // function that assigns the decoded JSON value of the setting to the field
 }
 
 // configMappings returns the mappings of all settings except the settings of request classes. Each mapping has the path
 // of the setting and a setter for a field of config; the setter determines the JSON type and the unit of the setting.
-// assign.Config documents the fields, and docs/configuration.md documents the settings.
+// assign.Config documents the fields, and docs/configuration.md documents the settings. The size of the messages that
+// the relay carries to the proxies is counted in lines.
 func configMappings(config *assign.Config) []settingMapping {
 	return []settingMapping{
 		{"az", stringSetter(&config.Zone)},
 		{"zones", listSetter(&config.Zones)},
 		{"roundMs", millisecondsSetter(&config.MinBatchInterval)},
-		{"discovery", enumSetter(&config.DiscoveryMode, listModesByName())},
+		{"discovery", enumSetter(&config.DiscoveryMode, discoveryModesByName())},
 		{"caps.peers", boolSetter(&config.PeerMessagesAllowed)},
 		{"report.columns", loadMetricsSetter(&config.Reports.LoadMetrics)},
 		{"familyInfo.admission", enumSetter(&config.Admission, admissionModesByName())},
 		{"familyInfo.bareMs", millisecondsSetter(&config.MaxTimeWithoutEndpoint)},
 		{"familyInfo.countedOverMs", millisecondsSetter(&config.Channel.MessageWindow)},
 		{"familyInfo.homeOnly", ownZoneOnlySetter(config.RequestClasses)},
-		{"familyInfo.intakePerS", numberSetter(&config.Reports.MaxPerSecond)}, // reports per second
+		{"familyInfo.intakePerS", numberSetter(&config.Reports.MaxPerSecond)}, // unit: reports per second
 		{"familyInfo.intervalMs", millisecondsSetter(&config.Reports.Interval)},
-		{"familyInfo.linesPerS", numberSetter(&config.Channel.LinesPerSecond)},  // lines per second
-		{"familyInfo.messagesMost", numberSetter(&config.Channel.MessageLimit)}, // messages per MessageWindow
+		{"familyInfo.linesPerS", numberSetter(&config.Channel.LinesPerSecond)},  // unit: message lines per second
+		{"familyInfo.messagesMost", numberSetter(&config.Channel.MessageLimit)}, // unit: messages per MessageWindow
 		{"familyInfo.partitionsN", numberSetter(&config.ShardCount)},
-		{"familyInfo.pendingMax", numberSetter(&config.Channel.QueueLimit)},      // number of lines
-		{"familyInfo.perMessage", numberSetter(&config.Channel.MessageOverhead)}, // number of lines
+		{"familyInfo.pendingMax", numberSetter(&config.Channel.QueueLimit)},      // unit: message lines
+		{"familyInfo.perMessage", numberSetter(&config.Channel.MessageOverhead)}, // unit: message lines
 		{"familyInfo.propagationMs", millisecondsSetter(&config.Channel.MeanTransitTime)},
 		{"familyInfo.proxyCount", numberSetter(&config.ProxyCount)},
 		{"familyInfo.usualHow", integerSetter(&config.Retries)},
 		{"familyInfo.worstTransitMs", millisecondsSetter(&config.Channel.MaxTransitTime)},
-		{"obligations.coldFrom", numberSetter(&config.WarmUp.InitialCapacityFraction)}, // fraction of an endpoint's capacity
+		// The setting obligations.coldFrom is a fraction of an endpoint's capacity.
+		{"obligations.coldFrom", numberSetter(&config.WarmUp.InitialCapacityFraction)},
 		{"obligations.coldMs", millisecondsSetter(&config.WarmUp.Duration)},
 		{"obligations.drainGraceMs", millisecondsSetter(&config.DrainGracePeriod)},
 		{"obligations.droppedStayOpen", boolSetter(&config.RemovalIsAdvisory)},
 		{"obligations.fallMs", millisecondsSetter(&config.WarmUp.OverloadWindow)},
-		// The setting below is a multiple of an endpoint's capacity.
+		// The setting obligations.tipMultiple is a multiple of an endpoint's capacity.
 		{"obligations.tipMultiple", numberSetter(&config.WarmUp.OverloadMultiple)},
 	}
 }
@@ -60,14 +63,14 @@
 	}
 }
 
-// listModesByName returns the values of the setting "discovery" that select a mode. With any other value, the mode
-// stays at the default, assign.DiscoveryPushed.
-func listModesByName() map[string]assign.DiscoveryMode {
+// discoveryModesByName returns the values of the setting "discovery" that select a discovery mode. With any other
+// value, the mode stays at the default, assign.DiscoveryPushed.
+func discoveryModesByName() map[string]assign.DiscoveryMode {
 	return map[string]assign.DiscoveryMode{"on_request": assign.DiscoveryOnRequest}
 }
 
-// admissionModesByName returns the values of the setting "familyInfo.admission" that select a mode. With any other
-// value, the mode stays at the default, assign.AdmitByRate.
+// admissionModesByName returns the values of the setting "familyInfo.admission" that select an admission mode. With any
+// other value, the mode stays at the default, assign.AdmitByRate.
 func admissionModesByName() map[string]assign.AdmissionMode {
 	return map[string]assign.AdmissionMode{"off": assign.AdmitAll, "ratio": assign.AdmitByRatio}
 }
@@ -106,17 +109,17 @@
 // standard meaning. Any other name is returned unchanged as the metric's name.
 func LoadMetric(name string) assign.LoadMetric {
 	switch name {
-	case "load_share", "util": // used fraction of the endpoint's capacity
+	case "load_share", "util": // metric: used fraction of the endpoint's capacity
 		return assign.MetricBusyFraction
-	case "concurrent", "inflight": // requests in progress at the endpoint
+	case "concurrent", "inflight": // metric: number of requests in progress at the endpoint
 		return assign.MetricInFlight
-	case "mean_ms", "latency_ms": // mean service time in ms
+	case "mean_ms", "latency_ms": // metric: mean service time in ms
 		return assign.MetricServiceTime
-	case "tps", "qps": // completed requests per second
+	case "tps", "qps": // metric: completed requests per second
 		return assign.MetricCompletionRate
-	case "err_ps", "eps": // failed requests per second
+	case "err_ps", "eps": // metric: failed requests per second
 		return assign.MetricErrorRate
-	case "depth", "queue": // requests queued at the endpoint
+	case "depth", "queue": // metric: number of requests queued at the endpoint
 		return assign.MetricQueued
 	}
 	return assign.LoadMetric(name)
--- a/internal/settings/setters.go
+++ b/internal/settings/setters.go
@@ -16,7 +16,8 @@
 )
 
 // Each function below with a name that ends in Setter returns a function that assigns the value of a setting to the
-// field. The returned function leaves the field unchanged if the value has another type or is out of range.
+// variable that the parameter field points to. The returned function leaves the field unchanged if the value has
+// another type or is out of range.
 
 func stringSetter(field *string) func(any) {
 	return func(value any) {
@@ -34,7 +35,8 @@
 	}
 }
 
-// numberInRange returns the value as a number, and reports whether it is a number from 0 to maxSettingNumber.
+// numberInRange returns the value of a setting as a number, and reports whether it is a number from 0 to
+// maxSettingNumber.
 func numberInRange(value any) (number float64, ok bool) {
 	number, ok = value.(float64)
 	return number, ok && fieldcheck.InRange(number, maxSettingNumber)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings translates a deployment's settings object into assign.Config. Both host programs of the decision
-// module use it: the daemon and the simulator adapter.
+// Package settings translates a deployment's settings object into assign.Config. It is used by the daemon and the
+// simulator adapter, the two programs that run the decision module (package assign).
 //
 // The names, units and enumerated values of the settings object are mapped in mappings.go and used nowhere else. A
 // setting that is missing, has another type or is out of range leaves the default of assign.DefaultConfig. Unknown
@@ -23,7 +23,8 @@
 	return config
 }
 
-// requestClasses translates the list of request classes. A field of a class that has no setting keeps its zero value.
+// requestClasses translates the list of request classes. A field of a request class whose setting is missing or invalid
+// keeps its zero value.
 func requestClasses(value any) []assign.RequestClassConfig {
 	entries, _ := value.([]any)
 	classes := make([]assign.RequestClassConfig, len(entries))
--- a/internal/simhost/host.go
+++ b/internal/simhost/host.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	readBufferSize  = 1 << 20 // size of the read buffer, in bytes
-	writeBufferSize = 1 << 16 // size of the write buffer, in bytes
+	readBufferSize  = 1 << 20 // size of the read buffer of a Host, in bytes
+	writeBufferSize = 1 << 16 // size of the write buffer of a Host, in bytes
 )
 
 // Host runs instances and replies to the batches of one stream. It must not be used by several goroutines at once.
 type Host struct {
-	in            *bufio.Reader
-	out           *bufio.Writer
+	input         *bufio.Reader
+	output        *bufio.Writer
 	diagnostics   io.Writer
 	decoder       *simproto.Decoder
-	instances     map[int]*assign.Assigner // open instances, by number
-	batch         *simproto.BatchStart     // batch that is being read; nil outside a batch
+	instances     map[int]*assign.Assigner // open instances (simulated assigners), by number
+	batch         *simproto.BatchStart     // start of the batch that is being read; nil outside a batch
 	pendingEvents []instanceEvents         // events of the batch that have not been handled, one element per instance
-	lineNumber    int                      // number of the line that is being read, from 1
+	lineNumber    int                      // number of the input line that is being read, from 1
 }
 
 // instanceEvents holds events of one instance, in the order in which they were read.
@@ -38,12 +38,12 @@
 	events   []assign.Event
 }
 
-// New returns a host that reads batches from in and writes replies to out. It writes to diagnostics about each line
-// that it skips and each instance that panics. The host does not close in, out or diagnostics.
-func New(in io.Reader, out, diagnostics io.Writer) *Host {
+// New returns a host that reads batches from input and writes replies to output. It writes to diagnostics about each
+// line that it skips and each instance that panics. The host does not close input, output or diagnostics.
+func New(input io.Reader, output, diagnostics io.Writer) *Host {
 	return &Host{
-		in:          bufio.NewReaderSize(in, readBufferSize),
-		out:         bufio.NewWriterSize(out, writeBufferSize),
+		input:       bufio.NewReaderSize(input, readBufferSize),
+		output:      bufio.NewWriterSize(output, writeBufferSize),
 		diagnostics: diagnostics,
 		decoder:     simproto.NewDecoder(),
 		instances:   map[int]*assign.Assigner{},
@@ -54,7 +54,7 @@
 // fails. Lines that cannot be decoded are skipped.
 func (h *Host) Serve() error {
 	for h.lineNumber = 1; ; h.lineNumber++ {
-		line, err := h.in.ReadBytes('\n')
+		line, err := h.input.ReadBytes('\n')
 		if len(line) == 0 && errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -72,8 +72,8 @@
 	}
 }
 
-// writeDiagnostic writes a line for the operators. An error of writing is discarded, because there is no other place to
-// report it.
+// writeDiagnostic writes a line for the operators to the diagnostics writer. An error of writing is discarded, because
+// there is no other place to report it.
 func (h *Host) writeDiagnostic(format string, values ...any) {
 	_, _ = fmt.Fprintf(h.diagnostics, "benchlink: "+format+"\n", values...)
 }
@@ -87,7 +87,7 @@
 	case simproto.BatchEnd:
 		return h.endBatch()
 	case simproto.OpenInstance:
-		if err := h.handlePendingEvents(); err != nil { // pending events are for the previous incarnation of the instance
+		if err := h.handlePendingEvents(); err != nil { // pending events are for the instance that is replaced below
 			return err
 		}
 		h.instances[message.Instance] = assign.New(message.Seed, message.Config)
@@ -119,7 +119,7 @@
 		return err
 	}
 	h.batch = nil
-	if err := h.out.Flush(); err != nil {
+	if err := h.output.Flush(); err != nil {
 		return fmt.Errorf("write reply: %w", err)
 	}
 	return nil
@@ -139,13 +139,13 @@
 // handlePendingEvents passes the pending events to their instances, which are all open, and writes the orders of the
 // instances. Outside a batch it discards the events.
 func (h *Host) handlePendingEvents() error {
-	pending := h.pendingEvents
+	pendingEvents := h.pendingEvents
 	h.pendingEvents = h.pendingEvents[:0]
 	if h.batch == nil {
 		return nil
 	}
-	for _, input := range pending {
-		lines, err := h.handleInstanceEvents(h.instances[input.instance], input)
+	for _, eventsOfInstance := range pendingEvents {
+		lines, err := h.handleInstanceEvents(h.instances[eventsOfInstance.instance], eventsOfInstance)
 		if err != nil {
 			return err
 		}
@@ -161,17 +161,17 @@
 // handleInstanceEvents passes events to an instance and returns the lines for its orders. If the instance panics or one
 // of its orders cannot be encoded, the last line reports a fault. Without that line a broken instance would look like
 // an instance without orders.
-func (h *Host) handleInstanceEvents(assigner *assign.Assigner, input instanceEvents) (lines [][]byte, err error) {
+func (h *Host) handleInstanceEvents(assigner *assign.Assigner, eventsOfInstance instanceEvents) (lines [][]byte, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			h.writeDiagnostic("instance %d: %v\n%s", input.instance, reason, debug.Stack())
+			h.writeDiagnostic("instance %d: %v\n%s", eventsOfInstance.instance, reason, debug.Stack())
 			var fault []byte
-			fault, err = simproto.EncodeFault(input.instance, fmt.Sprint(reason))
+			fault, err = simproto.EncodeFault(eventsOfInstance.instance, fmt.Sprint(reason))
 			lines = append(lines, fault)
 		}
 	}()
-	for _, order := range assigner.Handle(h.batch.Now, input.events) {
-		line, err := simproto.EncodeOrder(input.instance, order)
+	for _, order := range assigner.Handle(h.batch.Now, eventsOfInstance.events) {
+		line, err := simproto.EncodeOrder(eventsOfInstance.instance, order)
 		if err != nil {
 			panic(err) // the deferred function reports the error as a fault
 		}
@@ -182,10 +182,10 @@
 
 // writeReplyLine writes a line of the reply to the write buffer, which endBatch flushes.
 func (h *Host) writeReplyLine(line []byte) error {
-	if _, err := h.out.Write(line); err != nil {
+	if _, err := h.output.Write(line); err != nil {
 		return fmt.Errorf("write reply: %w", err)
 	}
-	if err := h.out.WriteByte('\n'); err != nil {
+	if err := h.output.WriteByte('\n'); err != nil {
 		return fmt.Errorf("write reply: %w", err)
 	}
 	return nil
--- a/internal/simhost/host_test.go
+++ b/internal/simhost/host_test.go
@@ -11,11 +11,11 @@
 // serveLines returns the reply and the diagnostics that a host writes while it reads lines.
 func serveLines(t *testing.T, lines ...string) (reply, diagnostics string) {
 	t.Helper()
-	var out, diagnosticOutput bytes.Buffer
-	if err := New(strings.NewReader(strings.Join(lines, "\n")+"\n"), &out, &diagnosticOutput).Serve(); err != nil {
+	var replyOutput, diagnosticOutput bytes.Buffer
+	if err := New(strings.NewReader(strings.Join(lines, "\n")+"\n"), &replyOutput, &diagnosticOutput).Serve(); err != nil {
 		t.Fatal(err)
 	}
-	return out.String(), diagnosticOutput.String()
+	return replyOutput.String(), diagnosticOutput.String()
 }
 
 // Lines that the host of instance 4 reads, and lines of its replies or their beginnings.
@@ -23,7 +23,7 @@
 	batchStart1       = `["mark",1,1]`
 	batchStart2       = `["mark",2,2]`
 	batchStart3       = `["mark",3,3]`
-	batchStartLarge   = `["mark",4,9007199254740993]` // a number of a batch that float64 cannot represent
+	batchStartLarge   = `["mark",4,9007199254740993]` // message with a batch number that float64 cannot represent
 	batchEnd          = `["flush"]`
 	openInstance      = `["openInstance",4,1,{"classes":[{"name":"r"}],"familyInfo":{"pendingMax":500}}]`
 	haltInstance      = `["halt",4]`
--- a/internal/simproto/bytes_test.go
+++ b/internal/simproto/bytes_test.go
@@ -17,8 +17,8 @@
 		assign.FetchEndpoints{},
 		assign.HealthCheck{Endpoint: "a:1"},
 		assign.Log{Message: `two "known" tasks`},
-		assign.SendPeerMessage{To: -1, Data: []byte("hi 7")},
-		assign.SendPeerMessage{To: 2, Data: []byte{0, 255}},
+		assign.SendPeerMessage{Destination: -1, Data: []byte("hi 7")},
+		assign.SendPeerMessage{Destination: 2, Data: []byte{0, 255}},
 		assign.SetTimer{Delay: 0.1, ID: 0},
 		assign.SetTimer{Delay: 1, ID: 77},
 	}
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -16,45 +16,46 @@
 	ErrNameNotString = errors.New("message name is not a string")
 )
 
-// Decoder decodes lines. For each instance it stores the metrics that load reports contain, which only OpenInstance
-// states. An incarnation of an instance that states no metrics uses the metrics of the previous incarnation. A Decoder
-// must not be used by several goroutines at once.
+// Decoder decodes lines of the simulator's protocol. For each instance, which is one simulated assigner, it stores
+// which metrics the load reports contain, because only the message OpenInstance states them. If an instance is opened
+// again and the message states no metrics, the previous metrics of the instance remain. A Decoder must not be used by
+// several goroutines at once.
 type Decoder struct{ loadMetrics map[int][]assign.LoadMetric }
 
-// NewDecoder returns a decoder that knows no instances.
+// NewDecoder returns a decoder that has stored no metrics of any instance.
 func NewDecoder() *Decoder { return &Decoder{loadMetrics: map[int][]assign.LoadMetric{}} }
 
-// Decode decodes one line. An error names the message and the invalid field, and the caller is expected to skip the
-// line.
+// Decode decodes one line of the simulator's protocol. An error names the message and the invalid field, and the caller
+// is expected to skip the line.
 func (d *Decoder) Decode(line []byte) (Message, error) {
-	var raw []json.RawMessage
-	if err := json.Unmarshal(line, &raw); err != nil {
+	var rawValues []json.RawMessage
+	if err := json.Unmarshal(line, &rawValues); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotArray, err)
 	}
-	if len(raw) == 0 {
+	if len(rawValues) == 0 {
 		return nil, ErrEmptyMessage
 	}
 	var name string
-	if err := json.Unmarshal(raw[0], &name); err != nil {
+	if err := json.Unmarshal(rawValues[0], &name); err != nil {
 		return nil, ErrNameNotString
 	}
 	switch name {
 	case batchEndName:
 		return BatchEnd{}, nil
 	case batchStartName:
-		return decodeBatchStart(raw[1:])
+		return decodeBatchStart(rawValues[1:])
 	case openInstanceName:
-		return d.decodeOpenInstance(raw[1:])
+		return d.decodeOpenInstance(rawValues[1:])
 	}
-	return d.decodeInstanceMessage(name, raw[1:])
+	return d.decodeInstanceMessage(name, rawValues[1:])
 }
 
-// parseFields decodes the fields of a message. In the messages that have an int64Field, that field remains a
-// json.RawMessage. An invalid field makes the err method of the result return an error.
-func parseFields(name string, raw []json.RawMessage) *fieldReader {
-	message := &fieldReader{name: name, values: make([]any, len(raw))}
+// parseFields decodes the fields of a message. The field at position int64Field of openInstance and mark messages
+// remains a json.RawMessage. An invalid field makes the err method of the result return an error.
+func parseFields(name string, rawFields []json.RawMessage) *fieldReader {
+	message := &fieldReader{name: name, values: make([]any, len(rawFields))}
 	hasInt64Field := name == openInstanceName || name == batchStartName
-	for i, value := range raw {
+	for i, value := range rawFields {
 		if hasInt64Field && i == int64Field {
 			message.values[i] = value
 			continue
@@ -67,11 +68,11 @@
 }
 
 // decodeBatchStart decodes the fields of a message that starts a batch.
-func decodeBatchStart(raw []json.RawMessage) (Message, error) {
-	message := parseFields(batchStartName, raw)
+func decodeBatchStart(rawFields []json.RawMessage) (Message, error) {
+	message := parseFields(batchStartName, rawFields)
 	start := BatchStart{Now: message.number(0) / millisecondsPerSecond}
-	if len(raw) > int64Field {
-		start.Batch = json.Number(raw[int64Field])
+	if len(rawFields) > int64Field {
+		start.Batch = json.Number(rawFields[int64Field])
 	}
 	if _, err := start.Batch.Int64(); err != nil {
 		message.recordInvalid(int64Field, "a whole number")
@@ -81,10 +82,10 @@
 
 // decodeOpenInstance decodes the fields of a message that opens an instance, and stores the load metrics of the
 // instance.
-func (d *Decoder) decodeOpenInstance(raw []json.RawMessage) (Message, error) {
-	message := parseFields(openInstanceName, raw)
+func (d *Decoder) decodeOpenInstance(rawFields []json.RawMessage) (Message, error) {
+	message := parseFields(openInstanceName, rawFields)
 	open := OpenInstance{Instance: message.count(0)}
-	if len(raw) > int64Field && json.Unmarshal(raw[int64Field], &open.Seed) != nil {
+	if len(rawFields) > int64Field && json.Unmarshal(rawFields[int64Field], &open.Seed) != nil {
 		message.recordInvalid(int64Field, "a whole number")
 	}
 	object, ok := message.value(2).(map[string]any)
@@ -103,8 +104,8 @@
 
 // decodeInstanceMessage decodes the fields of a message for an instance, which is a HaltInstance, an InstanceEvent or
 // an UnknownMessage.
-func (d *Decoder) decodeInstanceMessage(name string, raw []json.RawMessage) (Message, error) {
-	message := parseFields(name, raw)
+func (d *Decoder) decodeInstanceMessage(name string, rawFields []json.RawMessage) (Message, error) {
+	message := parseFields(name, rawFields)
 	instance := message.count(0)
 	if name == haltInstanceName {
 		return HaltInstance{instance}, message.err()
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -13,7 +13,7 @@
 // ErrUnknownOrder reports that the protocol has no message for an order of this type.
 var ErrUnknownOrder = errors.New("unknown order type")
 
-// EncodeOrder encodes one order of an instance as a line of the reply, without the line end. The error is
+// EncodeOrder encodes one order of an instance as a line of the reply to a batch, without the line end. The error is
 // ErrUnknownOrder, or wraps the error of encoding/json for a value that JSON cannot represent.
 func EncodeOrder(instance int, order assign.Order) ([]byte, error) {
 	values := orderMessage(instance, order)
@@ -55,7 +55,7 @@
 	case assign.HealthCheck:
 		return []any{healthCheckName, instance, order.Endpoint}
 	case assign.SendPeerMessage:
-		return []any{sendPeerMessageName, instance, order.To, base64.StdEncoding.EncodeToString(order.Data)}
+		return []any{sendPeerMessageName, instance, order.Destination, base64.StdEncoding.EncodeToString(order.Data)}
 	case assign.WatchEndpoints:
 		return []any{watchEndpointsName, instance, order.Enabled}
 	case assign.FetchEndpoints:
@@ -74,8 +74,8 @@
 	return []byte(`["` + replyEndName + `",` + batch.String() + `]`)
 }
 
-// requestClassMask returns a bit mask of request classes from their positions in the settings. No positions stand for
-// all request classes and give the mask 0.
+// requestClassMask returns the bit mask of the request classes at the given positions in the settings. The mask of an
+// empty list of positions is 0, which stands for all request classes.
 func requestClassMask(classes []int) int64 {
 	var mask int64
 	for _, class := range classes {
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -7,8 +7,8 @@
 	"madderhollow/internal/settings"
 )
 
-// decodeEvent decodes the event in a message for an instance. Known is false if the name of the message is unknown. An
-// invalid field makes message.err return an error.
+// decodeEvent decodes the event in a message for an instance. The result known is false if the name of the message is
+// unknown. An invalid field makes message.err return an error.
 func (d *Decoder) decodeEvent(message *fieldReader, instance int) (event assign.Event, known bool) {
 	switch message.name {
 	case endpointUpdateName:
@@ -40,15 +40,15 @@
 		return assign.HealthCheckResult{Endpoint: message.stringValue(1), Code: message.stringValue(2),
 			Latency: message.millisecondsAsSeconds(3), Load: d.decodeLoadReport(message, instance, 4)}, true
 	case peerMessageReceivedName:
-		return assign.PeerMessageReceived{From: message.count(1), Data: message.base64Bytes(2)}, true
+		return assign.PeerMessageReceived{Source: message.count(1), Data: message.base64Bytes(2)}, true
 	case timerFiredName:
 		return assign.TimerFired{ID: message.integer(1)}, true
 	}
 	return nil, false
 }
 
-// decodeLoadReport decodes the load report at a position of a message and converts its values to the units of package
-// assign.
+// decodeLoadReport decodes the load report in the field at a position of a message and converts its values to the units
+// of package assign.
 func (d *Decoder) decodeLoadReport(message *fieldReader, instance, position int) []float64 {
 	values := message.numberArray(position)
 	for column, metric := range d.loadMetrics[instance] {
--- a/internal/simproto/fields.go
+++ b/internal/simproto/fields.go
@@ -20,8 +20,8 @@
 )
 
 // fieldReader reads the fields of one message, or of one entry within a message, by position. Its methods record the
-// first error, so the caller may read all fields and then call err once. The value of an invalid field is not to be
-// used.
+// first error, so the caller may read all fields and then call err once. If err returns an error, the caller must not
+// use the values.
 type fieldReader struct {
 	name      string // name of the message, or "entry" and the position of the entry
 	values    []any
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// recordInvalid records an error for the field at position i. Want describes the valid values of the field.
+// recordInvalid records an error for the field at position i. The parameter want describes the valid values of the
+// field.
 func (f *fieldReader) recordInvalid(i int, want string) {
 	f.validator.RecordError(&fieldcheck.Error{Field: fmt.Sprintf("field %d", i), Value: valueText(f.value(i)), Want: want})
 }
@@ -48,7 +49,7 @@
 		return fieldcheck.Missing
 	case string:
 		return strconv.Quote(value)
-	case json.RawMessage: // the value of an int64Field
+	case json.RawMessage: // value of the field at position int64Field, which parseFields does not decode
 		return string(value)
 	}
 	return fmt.Sprint(value)
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -19,7 +19,7 @@
 // OpenInstance starts a new incarnation of an instance, which is one simulated assigner. Earlier messages for the
 // instance are for its previous incarnation.
 type OpenInstance struct {
-	Instance int           // number of the instance
+	Instance int           // number of the instance that starts
 	Seed     int64         // seed of the assigner's random numbers
 	Config   assign.Config // settings of the deployment
 }
@@ -42,7 +42,7 @@
 // BatchEnd ends a batch and asks for the reply to it.
 type BatchEnd struct{}
 
-// UnknownMessage is a message whose name is not part of the protocol. Hosts ignore it.
+// UnknownMessage is a message whose name is not part of the protocol. A simhost.Host ignores it.
 type UnknownMessage struct{ Name string }
 
 func (OpenInstance) isMessage()   {}
--- a/internal/simproto/simproto_test.go
+++ b/internal/simproto/simproto_test.go
@@ -48,7 +48,7 @@
 		`["given",3,true,117]`:                   assign.ShardAssigned{Shard: 117, Assigned: true},
 		`["held",3,117,"a:1",1]`:                 assign.ShardEntry{Shard: 117, Endpoint: "a:1", Weight: 1},
 		`["statusBack",3,"a:1","served",2,null]`: assign.HealthCheckResult{Endpoint: "a:1", Code: "served", Latency: 0.002},
-		`["datagram",3,2,"aGkgNw=="]`:            assign.PeerMessageReceived{From: 2, Data: []byte("hi 7")},
+		`["datagram",3,2,"aGkgNw=="]`:            assign.PeerMessageReceived{Source: 2, Data: []byte("hi 7")},
 		`["ring",3,77]`:                          assign.TimerFired{ID: 77},
 		`["left",3,41]`:                          assign.ProxyDisconnected{Proxy: 41},
 	} {
@@ -98,7 +98,7 @@
 func TestDecodeReportsMessageAndFieldOfInvalidLine(t *testing.T) {
 	for _, test := range []struct {
 		line    string
-		message string // name of the message, followed by the position of the entry for a field of an entry
+		message string // name of the message; for a field of an entry, also the position of the entry
 		field   string
 	}{
 		{`["left"]`, "left", "field 0"},
@@ -162,7 +162,7 @@
 		`["after",3,500,77]`:            assign.SetTimer{Delay: 0.5, ID: 77},
 		`["journalLine",3,"two known"]`: assign.Log{Message: "two known"},
 		`["inspect",3,"a:1"]`:           assign.HealthCheck{Endpoint: "a:1"},
-		`["publish",3,-1,"aGkgNw=="]`:   assign.SendPeerMessage{To: -1, Data: []byte("hi 7")},
+		`["publish",3,-1,"aGkgNw=="]`:   assign.SendPeerMessage{Destination: -1, Data: []byte("hi 7")},
 		`["track",3,true]`:              assign.WatchEndpoints{Enabled: true},
 		`["getList",3]`:                 assign.FetchEndpoints{},
 	} {
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -31,7 +31,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(counters()) // fails if the client has disconnected
+		_ = json.NewEncoder(w).Encode(counters()) // Encode fails if the client has disconnected
 	})
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	page := &testPage{url: "http://" + listener.Addr().String(), cancel: cancel, serveResult: make(chan error, 1)}
-	go func() { page.serveResult <- Serve(ctx, listener, counters) }() // ends when the cleanup cancels ctx
+	go func() { page.serveResult <- Serve(ctx, listener, counters) }() // Serve returns when the cleanup cancels ctx
 	return page
 }
 
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = response.Body.Close() }) // an error does not matter after the test has ended
+	t.Cleanup(func() { _ = response.Body.Close() }) // an error of Close does not matter after the test has ended
 	return response
 }
 
@@ -89,7 +89,7 @@
 	for _, test := range []struct {
 		method, path string
 		wantStatus   int
-		wantText     string // text that the body contains
+		wantText     string // text that the response body must contain
 	}{
 		{http.MethodGet, "/healthz", http.StatusOK, "null"},
 		{http.MethodGet, "/debug/pprof/", http.StatusOK, "goroutine"},
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // an error does not matter, because the server has closed the connection
+	defer func() { _ = conn.Close() }() // Close may fail, because the server has closed the connection
 	sendRequest(t, http.MethodGet, page.url+"/healthz")
 	page.cancel()
 	if err := page.awaitResult(t); err != nil {
@@ -131,7 +131,7 @@
 	}
 	if secondConn, err := net.Dial("tcp", address); err == nil {
 		t.Errorf("got a connection to %s, want it refused", address)
-		_ = secondConn.Close() // an error does not matter, because the test has failed already
+		_ = secondConn.Close() // an error of Close does not matter, because the test has failed already
 	}
 }
 
--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -22,9 +22,9 @@
 // of Move must not overlap.
 type Server struct {
 	handler   http.Handler
-	mu        sync.Mutex        // guards the fields that follow
-	servers   []*http.Server    // HTTP servers of all addresses so far, the server of the current address last
-	serveDone chan struct{}     // closed when the Serve method of the current HTTP server has returned
+	mu        sync.Mutex        // mu guards the fields below
+	servers   []*http.Server    // HTTP servers of all addresses so far; the last server serves the current address
+	serveDone chan struct{}     // channel that is closed when the Serve method of the current HTTP server has returned
 	listener  net.Listener      // listener at the current address
 	idleConns map[net.Conn]bool // set of the connections without a pending request
 }
@@ -54,7 +54,7 @@
 	s.serveDone = serveDone
 	s.listener = listener
 	go func() {
-		_ = server.Serve(listener) // the error only reports that Move or Close has closed the listener
+		_ = server.Serve(listener) // Serve returns an error only because Move or Close has closed the listener
 		close(serveDone)
 	}()
 	return nil
@@ -88,8 +88,8 @@
 	if err := listener.Close(); err != nil {
 		return fmt.Errorf("test server: %w", err)
 	}
-	// The HTTP server forgets its listener when Serve returns. If its Close method ran earlier, it would close the
-	// listener for the second time and return an error.
+	// The HTTP server forgets its listener when its Serve method returns. If its Close method ran before that, Close
+	// would close the listener for the second time and return an error.
 	<-serveDone
 	// The error of Close is ignored. It can only report that the listener is closed twice, which cannot happen here.
 	time.AfterFunc(closeDelay, func() { _ = server.Close() })
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn := range s.idleConns {
-		_ = conn.Close() // fails if the connection has been closed in the meantime
+		_ = conn.Close() // Close fails if the connection has been closed in the meantime
 	}
 	closedCount := len(s.idleConns)
 	clear(s.idleConns)
--- a/internal/testserver/testserver_test.go
+++ b/internal/testserver/testserver_test.go
@@ -8,9 +8,9 @@
 	"madderhollow/internal/testserver"
 )
 
-// Guards against an error of Close right after Move: if the HTTP server of the old address is closed before it
-// notices that Move closed its listener, it closes the listener for the second time. The test repeats, because this
-// is a race.
+// TestCloseReportsNoErrorRightAfterMove guards against an error of Close right after Move: if the HTTP server of the
+// old address is closed before it notices that Move closed its listener, it closes the listener for the second time.
+// The test repeats both calls, because the failure depends on a race.
 func TestCloseReportsNoErrorRightAfterMove(t *testing.T) {
 	for i := range 500 {
 		server, err := testserver.New("", http.NotFoundHandler())
--- a/internal/wire/bytes_test.go
+++ b/internal/wire/bytes_test.go
@@ -28,8 +28,8 @@
 	return orders
 }
 
-// TestEncodedOrdersMatchRecordedBytes compares encoded orders with recorded bytes, one by one and as one call. It
-// guards against any change of the encoding.
+// TestEncodedOrdersMatchRecordedBytes compares encoded orders with recorded bytes, one by one and as one call to the
+// relay. It guards against any change of the encoding.
 func TestEncodedOrdersMatchRecordedBytes(t *testing.T) {
 	var got bytes.Buffer
 	var texts []string
--- a/internal/wire/callresponse.go
+++ b/internal/wire/callresponse.go
@@ -12,22 +12,23 @@
 	"madderhollow/internal/fieldcheck"
 )
 
-// CallResponse is the relay's response to a call: the number of orders that it accepted, or an error code.
+// CallResponse is the relay's response to a call, which is an HTTP request with orders. The response states the number
+// of orders that the relay accepted, or an error code.
 type CallResponse struct {
 	AcceptedOrders int    // number of orders that the relay accepted
 	ErrorCode      string // ErrorCodeBusy, ErrorCodeSyntax or another error code; empty if the call succeeded
 }
 
-// callResponseParser builds a CallResponse from the tokens of an XML document.
+// callResponseParser builds a CallResponse from the tokens of the XML document that the relay sent.
 type callResponseParser struct {
 	response       CallResponse
-	hasResult      bool   // whether the document has stated a number of accepted orders or an error code so far
-	currentElement string // name of the element opened last, in lower case; empty once an element has been closed
+	hasResult      bool   // whether a number of accepted orders or an error code has been read from the document
+	currentElement string // name of the XML element opened last, in lower case; empty once an element has been closed
 }
 
-// DecodeCallResponse decodes the XML document with which the relay responds to a call. The code of an error may be in
-// an element or in an attribute. An incomplete document is an error, and so is a document without a number of accepted
-// orders or a code.
+// DecodeCallResponse decodes the XML document with which the relay responds to a call. The error code may be the text
+// of an element or the value of an attribute. An incomplete document is an error, and so is a document that has neither
+// a number of accepted orders nor an error code.
 func DecodeCallResponse(body []byte) (CallResponse, error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	parser := callResponseParser{}
@@ -45,7 +46,7 @@
 	}
 }
 
-// applyToken updates the response with the next token of the document.
+// applyToken updates the response with the next token of the XML document.
 func (p *callResponseParser) applyToken(token xml.Token) error {
 	switch token := token.(type) {
 	case xml.StartElement:
@@ -63,15 +64,15 @@
 	return nil
 }
 
-// applyText updates the response with the text of the current element, without surrounding white space.
+// applyText updates the response with the text of the current XML element, without surrounding white space.
 func (p *callResponseParser) applyText(text string) error {
 	switch p.currentElement {
 	case acceptedElement:
-		accepted, err := strconv.Atoi(text)
-		if err != nil || accepted < 0 {
+		acceptedOrders, err := strconv.Atoi(text)
+		if err != nil || acceptedOrders < 0 {
 			return &fieldcheck.Error{Field: acceptedElement, Value: strconv.Quote(text), Want: "accepted orders: a whole number from 0"}
 		}
-		p.response.AcceptedOrders = accepted
+		p.response.AcceptedOrders = acceptedOrders
 		p.hasResult = true
 	case errorCodeElement, errorElement:
 		if text != "" {
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -32,8 +32,8 @@
 	// maxBusyFraction is the largest busy fraction accepted in a load report. A fully used endpoint reports 1, and
 	// measured values exceed 1 by a few tenths.
 	maxBusyFraction = 4
-	// boundTolerance multiplies the bounds that are derived from the settings, because clocks and timers run late
-	// on a busy machine.
+	// boundTolerance multiplies the largest mean latency and the longest report interval that are expected from the
+	// settings, because clocks and timers run late on a busy machine.
 	boundTolerance = 10
 )
 
@@ -51,17 +51,17 @@
 // Codec decodes and encodes messages. It holds the part of the configuration that messages refer to by name or by
 // position. A Codec is immutable and may be used by several goroutines at once.
 type Codec struct {
-	loadMetrics    []assign.LoadMetric // configured metrics, in the order of the values in assign.EndpointLoadReport.Load
-	requestClasses []string            // names of the request classes, by position
+	loadMetrics    []assign.LoadMetric // load metrics of the settings, in the order of the load values in reports
+	requestClasses []string            // names of the request classes, by their positions in the settings
 	zones          []string            // names of the zones; empty in a deployment without zones
 	proxyCount     int                 // proxies are numbered from 0 to proxyCount-1
-	maxMeanLatency float64             // largest valid mean latency, ms; no client waits beyond the latest deadline
-	maxInterval    float64             // longest valid report interval, ms
+	maxMeanLatency float64             // largest valid mean latency in ms; clients give up after the latest deadline
+	maxInterval    float64             // longest valid report interval in ms
 	clockZero      time.Time           // wall-clock time at which the clock of the decision module shows 0
 }
 
-// NewCodec returns a codec for a configuration. ClockZero is the wall-clock time at which the clock of the decision
-// module shows 0.
+// NewCodec returns a codec for a configuration. The parameter clockZero is the wall-clock time at which the clock of
+// the decision module (package assign) shows 0.
 func NewCodec(config assign.Config, clockZero time.Time) *Codec {
 	codec := &Codec{
 		loadMetrics:    config.Reports.LoadMetrics,
@@ -109,11 +109,11 @@
 	return nil
 }
 
-// proxyFieldDescription is the text for proxyField in errors.
+// proxyFieldDescription describes the field proxyField in error messages.
 const proxyFieldDescription = "number of a proxy"
 
-// decodeProxy returns the number of a proxy and records an error in validator if the number is invalid. A nil value
-// stands for a missing field.
+// decodeProxy returns the number of a proxy and records an error in validator if the number is invalid. The parameter
+// value is nil if the field is missing.
 func (c *Codec) decodeProxy(validator *fieldcheck.Validator, value *float64) int {
 	number := validator.Count(proxyField, proxyFieldDescription, value, maxFieldValue)
 	if number >= c.proxyCount {
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -24,7 +24,7 @@
 // invalidInput is an input that must be rejected, with the error that is expected.
 type invalidInput struct {
 	input     string
-	wantField string // name of the field in the fieldcheck.Error; empty if any other error will do
+	wantField string // name of the field in the expected fieldcheck.Error; empty if any error will do
 	wantError error  // error that the returned error must wrap; nil if any error will do
 }
 
--- a/internal/wire/endpointlist.go
+++ b/internal/wire/endpointlist.go
@@ -37,7 +37,7 @@
 	return assign.EndpointUpdate{Version: int(*list.Version), Full: *list.Full, Endpoints: endpoints}, nil
 }
 
-// checkHeader returns an error if the version of an endpoint list or its flag for a full list is missing or invalid.
+// checkHeader returns an error if an endpoint list has no valid version or does not state whether it is complete.
 func checkHeader(list EndpointList) error {
 	if list.Version == nil || *list.Version < 0 {
 		return &fieldcheck.Error{Field: versionField, Value: valueOrMissing(list.Version), Want: "version of the list: a whole number from 0"}
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// valueOrMissing returns a value as text for an error. A nil value stands for a missing field.
+// valueOrMissing returns the text of a field's value for an error message. The parameter value is nil if the field is
+// missing.
 func valueOrMissing(value *int64) string {
 	if value == nil {
 		return fieldcheck.Missing
@@ -91,8 +92,9 @@
 		Want: fmt.Sprintf("state of an endpoint: %s, %s or %s", stateReady, stateDraining, stateRemoved)}
 }
 
-// toAssignerClock converts a Unix time in milliseconds to a time of the decision module's clock in seconds. A time
-// before the zero of that clock becomes 0, which stands for a start long ago.
+// toAssignerClock converts the start time of an endpoint from Unix time in milliseconds to the time in seconds on the
+// clock of the decision module (package assign). If the endpoint started before that clock showed 0, the result is 0,
+// which stands for a start long ago.
 func (c *Codec) toAssignerClock(unixMilliseconds float64) float64 {
 	if unixMilliseconds <= 0 {
 		return 0
--- a/internal/wire/orders.go
+++ b/internal/wire/orders.go
@@ -36,13 +36,14 @@
 	return "", fmt.Errorf("%w: type %T", ErrCannotEncode, order)
 }
 
-// joinOrder returns the text of an order from its name and its arguments.
+// joinOrder returns the text of an order with the given name and arguments.
 func joinOrder(name string, arguments ...string) string {
 	return name + argumentSeparator + strings.Join(arguments, argumentSeparator)
 }
 
-// joinRequestClasses returns the argument of an order that names request classes, which are given by their positions in
-// the settings. No positions stand for all request classes. The error is ErrCannotEncode.
+// joinRequestClasses returns the argument of an order that names request classes. The parameter classes has the
+// positions of these classes in the settings; if it is empty, the argument stands for all request classes. The error is
+// ErrCannotEncode.
 func (c *Codec) joinRequestClasses(classes []int) (string, error) {
 	if len(classes) == 0 {
 		return wildcard, nil
@@ -76,7 +77,8 @@
 	return "0"
 }
 
-// EncodeCall returns the body of a call to the relay that contains orders in their encoded form.
+// EncodeCall returns the body of a call to the relay, which is an HTTP request with orders. The orders are in the form
+// that EncodeOrder returns.
 func EncodeCall(orders []string) []byte {
 	return []byte(callBodyPrefix + url.QueryEscape(strings.Join(orders, orderSeparator)))
 }
--- a/internal/wire/relayevents.go
+++ b/internal/wire/relayevents.go
@@ -43,11 +43,11 @@
 		Proxy:             proxy,
 		Zone:              zone,
 		TypicalRate:       fields.number(typicalRateField, "typical rate in 1/s"),
-		DefaultTablesOnly: fields.number(defaultTablesOnlyField, "whether the proxy is fresh") != 0,
+		DefaultTablesOnly: fields.number(defaultTablesOnlyField, "whether the proxy holds only its default tables") != 0,
 	}
 }
 
-// sequenceFieldDescription is the text for sequenceField in errors.
+// sequenceFieldDescription describes the field sequenceField in error messages.
 const sequenceFieldDescription = "sequence number"
 
 // decodeAcknowledged decodes the fields of an event that reports an acknowledgment by a proxy.
@@ -66,27 +66,27 @@
 	return c.decodeProxy(&fields.validator, &number)
 }
 
-// eventFields reads the fields of a relay event. It keeps the first error, so the caller may read several fields before
-// it checks validator.Err.
+// eventFields reads the fields of a relay event. The validator keeps the first error, so the caller may read several
+// fields before it checks validator.Err.
 type eventFields struct {
 	validator fieldcheck.Validator
 	values    url.Values
 }
 
 // number returns the value of a field that holds a number from 0 to maxFieldValue, and 0 if the field is invalid.
-// Description is the text for the field in errors, with its unit.
+// The parameter description is the text for the field in error messages, with the unit of the field.
 func (f *eventFields) number(name, description string) float64 {
 	value, err := strconv.ParseFloat(f.values.Get(name), 64)
 	if err != nil {
-		f.validator.RecordError(&fieldcheck.Error{Field: name, Value: f.quoted(name), Want: description + ": a number"})
+		f.validator.RecordError(&fieldcheck.Error{Field: name, Value: f.quotedValue(name), Want: description + ": a number"})
 		return 0
 	}
 	return f.validator.Number(name, description, &value, maxFieldValue)
 }
 
-// quoted returns the text of a field in quotation marks, or fieldcheck.Missing for a missing field, for use in an
+// quotedValue returns the text of a field in quotation marks, or fieldcheck.Missing for a missing field, for use in an
 // error.
-func (f *eventFields) quoted(name string) string {
+func (f *eventFields) quotedValue(name string) string {
 	if !f.values.Has(name) {
 		return fieldcheck.Missing
 	}
--- a/internal/wire/reports.go
+++ b/internal/wire/reports.go
@@ -34,7 +34,8 @@
 // EncodeRefused returns the line that a client is sent before the assigner closes its connection, with its line end.
 func EncodeRefused() []byte { return []byte(`{"@type":"` + refusedType + `"}` + "\n") }
 
-// missingMetric is the placeholder for a metric that a load report does not contain. Valid values are not negative.
+// missingMetric is the placeholder for the value of a metric that a load report does not contain. It differs from all
+// valid values, which are not negative.
 const missingMetric = -1
 
 // DecodeMessage decodes one line received at the assigner's address. The error wraps ErrUnknownMessage for an
--- a/internal/wire/reports_test.go
+++ b/internal/wire/reports_test.go
@@ -29,17 +29,17 @@
 // load.
 func TestDecodeMessageDropsInvalidLoadAlone(t *testing.T) {
 	const messageFormat = `{"@type":"heard","locality":"b","endpoint":"s","total":2,"errors":%s,"interval":500,"metrics":%s}`
-	succeeded := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, MeanLatency: 0.001, Interval: 0.5}
-	failed := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, Failed: 2, Interval: 0.5, Load: []float64{0.5, 7}}
+	reportWithoutFailures := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, MeanLatency: 0.001, Interval: 0.5}
+	reportWithFailures := assign.EndpointLoadReport{Zone: "b", Endpoint: "s", Attempts: 2, Failed: 2, Interval: 0.5, Load: []float64{0.5, 7}}
 	for name, test := range map[string]struct {
 		failed, load string
 		want         assign.EndpointLoadReport
 	}{
-		"missing metric":                  {`0,"rtt":1`, `{"util":0.5}`, succeeded},
-		"negative metric":                 {`0,"rtt":1`, `{"inflight":7,"util":-1}`, succeeded},
-		"metric above its bound":          {`0,"rtt":1`, `{"inflight":7,"util":1e6}`, succeeded},
-		"load of another type":            {`0,"rtt":1`, `"none"`, succeeded},
-		"no latency, all attempts failed": {`2`, `{"inflight":7,"util":0.5}`, failed},
+		"missing metric":                  {`0,"rtt":1`, `{"util":0.5}`, reportWithoutFailures},
+		"negative metric":                 {`0,"rtt":1`, `{"inflight":7,"util":-1}`, reportWithoutFailures},
+		"metric above its bound":          {`0,"rtt":1`, `{"inflight":7,"util":1e6}`, reportWithoutFailures},
+		"load of another type":            {`0,"rtt":1`, `"none"`, reportWithoutFailures},
+		"no latency, all attempts failed": {`2`, `{"inflight":7,"util":0.5}`, reportWithFailures},
 	} {
 		line := fmt.Sprintf(messageFormat, test.failed, test.load)
 		want := Report{test.want}
--- a/internal/wire/stream.go
+++ b/internal/wire/stream.go
@@ -27,8 +27,8 @@
 // EventStream reads server-sent events (text/event-stream). It must not be used by several goroutines at once.
 type EventStream struct {
 	reader                *bufio.Reader
-	firstLineRead         bool // whether the first line has been read
-	previousLineEndedInCR bool // whether the previous line ended in CR; an LF right after the CR is part of the line end
+	firstLineRead         bool // whether the first line of the stream has been read
+	previousLineEndedInCR bool // whether the previous line ended in CR; a following LF is part of the line end
 }
 
 // NewEventStream returns an event stream that reads from r. The caller closes r.
@@ -53,7 +53,7 @@
 			event = pendingEvent{}
 		case isComment && !event.hasFields():
 			return "", "", nil
-		case isComment: // a comment within an event is skipped, because the event itself shows that the connection is alive
+		case isComment: // a comment within an event is skipped: the event itself shows that the connection is alive
 		default:
 			if err := event.addField(line); err != nil {
 				return "", "", err
@@ -64,15 +64,15 @@
 
 // pendingEvent is an event of which only the first lines have been read.
 type pendingEvent struct {
-	eventType string   // empty if no type has been read
-	data      []string // lines of the data that have been read
-	size      int      // size of the data lines without line ends, in bytes
+	eventType string   // type of the event; empty if no line with the type has been read
+	data      []string // data lines of the event that have been read so far
+	size      int      // total size of the data lines without line ends, in bytes
 }
 
-// hasFields reports whether a type or a line of data has been read.
+// hasFields reports whether the type or a data line of the event has been read.
 func (e *pendingEvent) hasFields() bool { return e.eventType != "" || len(e.data) > 0 }
 
-// typeOrDefault returns the type of the event, or defaultEventType if no type has been read.
+// typeOrDefault returns the type of the event, or defaultEventType if no line with the type has been read.
 func (e *pendingEvent) typeOrDefault() string {
 	if e.eventType == "" {
 		return defaultEventType
@@ -80,8 +80,8 @@
 	return e.eventType
 }
 
-// addField adds the field on a line that is neither empty nor a comment. Fields other than the type and the data are
-// ignored. The error is ErrEventTooLong.
+// addField adds to the event the field on a line that is neither empty nor a comment. Fields other than the type and
+// the data are ignored. The error is ErrEventTooLong.
 func (e *pendingEvent) addField(line string) error {
 	field, value, _ := strings.Cut(line, ":")
 	value = strings.TrimPrefix(value, " ")
--- a/internal/wire/stream_test.go
+++ b/internal/wire/stream_test.go
@@ -14,7 +14,7 @@
 // chunkedReader is an io.Reader that returns a text in chunks of random size.
 type chunkedReader struct {
 	random *rand.Rand
-	text   string // text that has not been read
+	text   string // rest of the text that has not been read
 }
 
 func (r *chunkedReader) Read(b []byte) (int, error) {
